--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -50,6 +50,7 @@
         gang_wait_s=None,
         gang_peer_s=4.0,
         deployment=TWO_TEAMS,
+        on_output=None,
     ):
         self.deployment = deployment
         # The limits that the settings announce; the older version that a member's next process
@@ -95,6 +96,8 @@
         self.lag, self.slow_state = (0.001, 0.02), 0.0
         self.waits = {}
         self.starts = 0
+        # Called with what leaves a controller: when, its name, the kind of output and its parts.
+        self.on_output = on_output or (lambda now, name, kind, *parts: None)
         for name in self.names:
             self.boot(name)
 
@@ -252,6 +255,7 @@
         out = node.out
         out.logs.clear()
         for reply in out.replies:
+            self.on_output(self.now, name, "reply", reply.status, reply.body, reply.retry_after)
             user = reply.request
             if isinstance(user, WorkerRequest):
                 user.answer(reply.status, reply.body)
@@ -265,9 +269,20 @@
         for member, frame in frames:
             # Versions meet as bytes; among equals the way there and back changes nothing.
             sent = codec.pack(frame) if self.mixed else frame
+            self.on_output(self.now, name, "frame", member, codec.pack(frame))
             self.carry_frame(name, member, lambda m=member, f=sent: self.frame(name, m, f))
         calls, out.calls = out.calls, []
         for call in calls:
+            self.on_output(
+                self.now,
+                name,
+                call.service,
+                call.address,
+                call.method,
+                call.path,
+                call.body,
+                call.timeout,
+            )
             self.send(name, life, call)
 
     def frame(self, sender, member, frame):
