--- a/tests/production.py
+++ b/tests/production.py
@@ -1,5 +1,6 @@
 """Earlier versions, taken from the repository's history to run beside this one."""
 
+import contextlib
 import functools
 import importlib
 import operator
@@ -7,6 +8,7 @@
 import subprocess
 import sys
 import tarfile
+import tempfile
 from io import BytesIO
 from pathlib import Path
 
@@ -66,6 +68,18 @@
         return self.core.Node(self.settings.parse(raw), seed, now, day=1000.0)
 
 
+def _unpack(archive, source):
+    """Unpack an archive in one step, for other test processes may look for it meanwhile."""
+    source.parent.mkdir(parents=True, exist_ok=True)
+    with tempfile.TemporaryDirectory(dir=source.parent) as scratch:
+        made = Path(scratch) / "made"
+        with tarfile.open(fileobj=BytesIO(archive)) as tar:
+            tar.extractall(made, filter="data")
+        # Another process may have been first: its copy is the same.
+        with contextlib.suppress(OSError):
+            made.rename(source)
+
+
 @functools.cache
 def _load(name):
     source = ROOT / "target" / "old" / name
@@ -75,8 +89,7 @@
         )
         if archive.returncode:
             return None
-        with tarfile.open(fileobj=BytesIO(archive.stdout)) as tar:
-            tar.extractall(source, filter="data")
+        _unpack(archive.stdout, source)
     return EarlierVersion(source / "src")
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -168,6 +168,7 @@
     assert lines_of_a_report(4000) == lines_of_a_report(400)
 
 
+@pytest.mark.longest
 def test_a_day_of_4000_machines_starts_loses_its_leader_and_serves_its_jobs():
     simulation = Simulation(seed=5, lease_s=30.0, cancel_s=70.0, deployment=LARGE)
     simulation.run_until(simulation.leader)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -21,18 +21,10 @@
 from copperpass.net.server import ApiFactory, BoundedBody
 from tests.bodies import raw_settings
 
-ROOT = pathlib.Path(__file__).parent.parent
-
+# Some tests look for a port that is free and then use it: one process runs them all.
+pytestmark = pytest.mark.xdist_group("sockets")
 
-@pytest.fixture(scope="module")
-def reactor():
-    from twisted.internet import reactor
-
-    thread = threading.Thread(target=lambda: reactor.run(installSignalHandlers=False), daemon=True)
-    thread.start()
-    yield reactor
-    reactor.callFromThread(reactor.stop)
-    thread.join(10)
+ROOT = pathlib.Path(__file__).parent.parent
 
 
 def on_reactor(reactor, action):
