--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -6,7 +6,7 @@
 import sys
 
 from copperpass import __version__
-from copperpass.core.authority import times_of
+from copperpass.core.election.authority import times_of
 from copperpass.settings import SettingsError, load
 from copperpass.tuning import Tuning, load_tuning
 
--- /dev/null
+++ b/src/copperpass/core/api/__init__.py
@@ -0,0 +1,1 @@
+"""Requests of users: validation, idempotent submission, polls and cancellations."""
--- a/src/copperpass/core/users.py
+++ b/src/copperpass/core/api/user_api.py
@@ -9,10 +9,17 @@
 import msgspec
 
 from copperpass import wire
-from copperpass.core.fleet import type_fits
-from copperpass.core.jobs import LIVE, OVER, fits
+from copperpass.core.jobs.job_table import LIVE, OVER, fits
+from copperpass.core.kvstore.transactions import (
+    APPLIED,
+    CONFLICT,
+    INVALID,
+    URGENT,
+    Op,
+    TransactionQueue,
+)
 from copperpass.core.ports import Call, Outbox, Outcome, Reply
-from copperpass.core.transactions import APPLIED, CONFLICT, INVALID, URGENT, Op, TransactionQueue
+from copperpass.core.scheduling.machines import type_fits
 from copperpass.settings import Cluster, Team
 
 RETRY_AFTER = 1
--- /dev/null
+++ b/src/copperpass/core/autoscaling/__init__.py
@@ -0,0 +1,1 @@
+"""The leader's control loop: which machines are provisioned, assigned and released."""
--- a/src/copperpass/core/manager/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core import allocation
-from copperpass.core.jobs import Job
-from copperpass.core.manager.state import ManagedMachine, Pool
+from copperpass.core.autoscaling.state import ManagedMachine, Pool
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling import allocation
 from copperpass.settings import Cluster
 
 LEAST_WEIGHT = 1e-3
--- a/src/copperpass/core/manager/listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.directory import EMPTY, UNPOOLED
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.rentals import CALL_TIMEOUT_S, Rentals
-from copperpass.core.manager.state import ManagerContext, ManagerState
+from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, Rentals
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.state import ManagerContext, ManagerState
 from copperpass.core.ports import Call, Outcome
-from copperpass.core.rental import Place
+from copperpass.core.shards.routing import EMPTY, UNPOOLED
 
 
 class CloudListing:
--- a/src/copperpass/core/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable
 
 from copperpass import peer, wire
-from copperpass.core.directory import Status
-from copperpass.core.fleet_store import FLEET, StoredFleet, page_number
-from copperpass.core.manager.grants import Grants
-from copperpass.core.manager.listing import CloudListing
-from copperpass.core.manager.machines import Machines
-from copperpass.core.manager.planner import Planner
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.rentals import Rentals
-from copperpass.core.manager.state import UNKNOWN_REVISION, ManagerContext, ManagerState
+from copperpass.core.autoscaling.cloud_listing import CloudListing
+from copperpass.core.autoscaling.instance_requests import Rentals
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.machine_tracking import Machines
+from copperpass.core.autoscaling.planner import Planner
+from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
+from copperpass.core.shards.grants import Grants
+from copperpass.core.shards.routing import Status
+from copperpass.core.storage.machine_inventory import FLEET, StoredFleet, page_number
 
 __all__ = ["UNKNOWN_REVISION", "ClusterManager", "ManagerContext"]
 
--- a/src/copperpass/core/manager/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -4,8 +4,9 @@
 
 from dataclasses import dataclass
 
-from copperpass.core import dispatch, rental
-from copperpass.core.manager.state import ManagerContext, ManagerState
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.state import ManagerContext, ManagerState
+from copperpass.core.scheduling import objectives
 
 # A pool's own peak is kept for longer: the fewer its jobs, the more they vary.
 POOL_WINDOW = 2.4
@@ -35,15 +36,15 @@
     def __init__(self, context: ManagerContext, state: ManagerState) -> None:
         tuning = context.tuning
         self.state, self.cluster, self.jobs = state, context.cluster, context.jobs
-        self.aims = dispatch.Aims(context.cluster.objectives, tuning.patience_s)
-        self.scarce = dispatch.Scarce(context.types, tuning.keep_scarce_s)
+        self.aims = objectives.Aims(context.cluster.objectives, tuning.patience_s)
+        self.scarce = objectives.Scarce(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
-        self.peak = rental.Peak(warm_s)
-        self.cheap_peak = rental.Peak(tuning.cheap_window_boots * state.boot_s)
+        self.peak = provisioning.Peak(warm_s)
+        self.cheap_peak = provisioning.Peak(tuning.cheap_window_boots * state.boot_s)
         window = POOL_WINDOW * tuning.warm_window_boots * state.boot_s
-        self.peaks = {number: rental.Peak(window) for number in state.pools}
+        self.peaks = {number: provisioning.Peak(window) for number in state.pools}
         # Urgent work that may use ordinary machines only.
-        self.ordinary_peaks = {number: rental.Peak(warm_s) for number in state.pools}
+        self.ordinary_peaks = {number: provisioning.Peak(warm_s) for number in state.pools}
 
     def measure(self, now: float) -> Demand:
         """Sum up the work that is left; judges on the way which jobs are guaranteed."""
@@ -52,10 +53,10 @@
         ordinary: dict[int, float] = dict.fromkeys(state.pools, 0.0)
         patient = 0.0
         jobs = list(self.jobs.jobs.values())
-        dispatch.judge_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
+        objectives.judge_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
         self.scarce.note(now, jobs)
         for job in jobs:
-            cannot_wait = rental.cannot_wait(job, self.aims, state.boot_s)
+            cannot_wait = provisioning.cannot_wait(job, self.aims, state.boot_s)
             if cannot_wait and job.spec.team in state.pool_of:
                 left = job.spec.tasks - job.done_count - len(job.finished)
                 number = state.pool_of[job.spec.team]
@@ -80,9 +81,9 @@
         """Take a measure into one pool's peak, between plans."""
         self.peaks[number].add(now, demand.urgent[number])
 
-    def warm(self) -> rental.Warm:
+    def warm(self) -> provisioning.Warm:
         """The room to keep up for urgent work."""
-        return rental.Warm(self.peak.value(), self.cheap_peak.value())
+        return provisioning.Warm(self.peak.value(), self.cheap_peak.value())
 
     def scarce_types(self) -> set[str]:
         """The types that are kept for work that fits no other."""
--- a/src/copperpass/core/manager/rentals.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.directory import EMPTY
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.state import Booking, ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.state import Booking, ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.kvstore.transactions import Budget
 from copperpass.core.ports import NO_ANSWER, Call, Outcome
-from copperpass.core.rental import Place
-from copperpass.core.transactions import Budget
+from copperpass.core.shards.routing import EMPTY
 
 # Returns and lists of machines may take this part of the cloud's rate; as much of it as comes up
 # in the second figure's seconds can be saved up.
--- a/src/copperpass/core/manager/records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -4,7 +4,9 @@
 
 from dataclasses import replace
 
-from copperpass.core.directory import (
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.shards.routing import (
     ANYBODY,
     EMPTY,
     MOST_HANDOVERS,
@@ -14,8 +16,6 @@
     Status,
     base_token,
 )
-from copperpass.core.manager.state import ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.rental import Place
 
 # Handovers left beside one for each machine when a term gives up its authority.
 HANDOVERS_KEPT = 1000
--- a/src/copperpass/core/manager/machines.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from copperpass import wire
-from copperpass.core.directory import EMPTY, OWN_POOL, UNPOOLED, Status
-from copperpass.core.jobs import JobTable
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.rentals import RELEASE_AGAIN_S, Rentals
-from copperpass.core.manager.state import ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.rental import Place
+from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, Rentals
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.shards.routing import EMPTY, OWN_POOL, UNPOOLED, Status
 
 # A machine that hasn't come up after so many boot times is returned.
 BOOTS_TO_COME_UP = 5
--- a/src/copperpass/core/manager/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -5,20 +5,21 @@
 from dataclasses import dataclass
 
 from copperpass import wire
-from copperpass.core import dispatch, rental
-from copperpass.core.directory import UNPOOLED
-from copperpass.core.jobs import Job
-from copperpass.core.manager.demand import DemandTracker
-from copperpass.core.manager.lending import Lending
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.rental_plan import RentalPlan
-from copperpass.core.manager.state import (
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.demand import DemandTracker
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.rebalancing import Lending
+from copperpass.core.autoscaling.scale_out_plan import RentalPlan
+from copperpass.core.autoscaling.state import (
     MachineRequest,
     ManagedMachine,
     ManagerContext,
     ManagerState,
     Pool,
 )
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling import objectives
+from copperpass.core.shards.routing import UNPOOLED
 
 # Requests older than this many reports' time are no longer true.
 REQUEST_REPORTS = 2
@@ -31,18 +32,18 @@
     pool: Pool
     serving: list[ManagedMachine]
     # Machines on their way to the pool.
-    rooms: list[rental.Room]
+    rooms: list[provisioning.Room]
     # Idle machines of other pools, the cheapest first.
     spare: list[ManagedMachine]
-    cover: rental.Cover
+    cover: provisioning.Cover
     # About what the pool's own machines have left; None until a gang asks.
-    own_rooms: list[rental.Room] | None = None
+    own_rooms: list[provisioning.Room] | None = None
 
-    def own(self) -> list[rental.Room]:
+    def own(self) -> list[provisioning.Room]:
         """The room that is left on the pool's own machines."""
         if self.own_rooms is None:
             self.own_rooms = [
-                rental.left_room(machine.type, machine.place, machine.used_cpus)
+                provisioning.left_room(machine.type, machine.place, machine.used_cpus)
                 for machine in self.serving
                 if machine.entry.pool == self.pool.number
             ]
@@ -108,13 +109,13 @@
     def _offer(self, pool: Pool, serving: list[ManagedMachine]) -> PoolOffer:
         """Gather what is on its way to a pool and what others could lend."""
         rooms = [
-            rental.new_room(self.state.types[place.type], place)
+            provisioning.new_room(self.state.types[place.type], place)
             for place, count, number in self.state.renting.values()
             if number == pool.number
             for _ in range(count)
         ]
         rooms += [
-            rental.new_room(machine.type, machine.place)
+            provisioning.new_room(machine.type, machine.place)
             for machine in serving
             if machine.back_for == pool.number and machine.entry.back
         ]
@@ -126,14 +127,14 @@
             and not machine.entry.back
             and machine.entry.pool != UNPOOLED
         ]
-        spare.sort(key=lambda m: dispatch.price_of(m.type, m.entry.spot) / m.type.cpus)
+        spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
         return PoolOffer(pool, serving, rooms, spare, self.lending.cover(serving))
 
     def _begin(self, now: float, offer: PoolOffer, request: MachineRequest) -> Search:
         """Start a request's search with the room that is on its way."""
         job, count, horizon = request
         tied_to = offer.pool.ties.get(job.spec.id)
-        spec = rental.tied(job.spec, [tied_to] if tied_to else [])
+        spec = provisioning.tied(job.spec, [tied_to] if tied_to else [])
         closed = self.scarce.closed_to(spec)
         zone: str | None = None
         rooms = offer.rooms
@@ -143,7 +144,7 @@
             rooms = rooms + offer.own()
             zone = spec.zone or self._gang_zone(now, spec, count, rooms, offer.spare)
             rooms = [room for room in rooms if room.zone == zone]
-        left = rental.fill(rooms, spec, count, horizon, closed)
+        left = provisioning.fill(rooms, spec, count, horizon, closed)
         # Work that can wait for longer than a boot asks only for the cheap kind at first.
         # Not for the rest of a gang, for which other machines are kept idle meanwhile.
         long = horizon > self.tuning.patient_boots * self.state.boot_s
@@ -155,19 +156,19 @@
         now: float,
         spec: wire.Spec,
         count: int,
-        rooms: list[rental.Room],
+        rooms: list[provisioning.Room],
         spare: list[ManagedMachine],
     ) -> str | None:
         """The zone where most of a gang's tasks find room already and the rest can be rented."""
         state = self.state
         slots: dict[str, int] = {}
-        offers = rooms + [rental.new_room(machine.type, machine.place) for machine in spare]
+        offers = rooms + [provisioning.new_room(machine.type, machine.place) for machine in spare]
         for room in offers:
             slots[room.zone] = slots.get(room.zone, 0) + room.slots(spec, count, state.boot_s)
         for zone in sorted(slots, key=lambda z: (-slots[z], z)):
             if slots[zone] > 0 and (
                 slots[zone] >= count
-                or rental.choose_place(
+                or provisioning.choose_place(
                     spec, 1, state.types, {}, state.refusals, now, False, set(), zone
                 )
             ):
@@ -189,7 +190,7 @@
                 continue
             if not offer.cover.may_lend(lender, number, machine.type.cpus):
                 continue
-            room = rental.new_room(machine.type, machine.place)
+            room = provisioning.new_room(machine.type, machine.place)
             taken = room.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
@@ -202,7 +203,7 @@
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
-            place = rental.choose_place(
+            place = provisioning.choose_place(
                 spec,
                 search.left,
                 state.types,
@@ -217,7 +218,7 @@
                 break
             if spec.gang and spec.one_zone:
                 search.zone = place.zone
-            room = rental.new_room(state.types[place.type], place)
+            room = provisioning.new_room(state.types[place.type], place)
             taken = room.take(spec, search.left, search.horizon)
             if taken <= 0:
                 break
@@ -236,7 +237,7 @@
                 continue
             if not self.lending.may_leave(machine):
                 continue
-            room = rental.new_room(machine.type, machine.place)
+            room = provisioning.new_room(machine.type, machine.place)
             taken = room.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
@@ -256,7 +257,7 @@
                 used = machine.used_cpus
                 if other is offer.pool or left <= 0 or beyond < used or machine.entry.back:
                     break
-                room = rental.new_room(machine.type, machine.place)
+                room = provisioning.new_room(machine.type, machine.place)
                 taken = room.take(spec, left, 0.0)
                 if taken > 0 and machine.type.name not in self.scarce.closed_to(spec):
                     left -= taken
--- a/src/copperpass/core/manager/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -3,23 +3,24 @@
 from __future__ import annotations
 
 from copperpass import peer
-from copperpass.core import allocation, rental
-from copperpass.core.directory import ANYBODY
-from copperpass.core.manager.allocation_plan import allocate, fullness, remaining_by_team
-from copperpass.core.manager.demand import Demand, DemandTracker
-from copperpass.core.manager.lending import Lending
-from copperpass.core.manager.placement_plan import PlacementPlanner
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.rental_plan import MACHINES_PER_CALL, RentalPlan, most_per_plan
-from copperpass.core.manager.rentals import Rentals
-from copperpass.core.manager.state import (
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.allocation_plan import allocate, fullness, remaining_by_team
+from copperpass.core.autoscaling.demand import Demand, DemandTracker
+from copperpass.core.autoscaling.instance_requests import Rentals
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.placement_plan import PlacementPlanner
+from copperpass.core.autoscaling.rebalancing import Lending
+from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, RentalPlan, most_per_plan
+from copperpass.core.autoscaling.state import (
     MachineRequest,
     ManagedMachine,
     ManagerContext,
     ManagerState,
     Pool,
 )
-from copperpass.core.manager.warm_room import WarmRoom
+from copperpass.core.autoscaling.warm_capacity import WarmRoom
+from copperpass.core.scheduling import allocation
+from copperpass.core.shards.routing import ANYBODY
 
 # The part of patient work's room that doesn't count as warm room for work that can't wait.
 PATIENT_PART = 1.0
@@ -111,7 +112,7 @@
         now: float,
         order: list[Pool],
         serving: list[ManagedMachine],
-        warm: rental.Warm,
+        warm: provisioning.Warm,
         taken: float,
     ) -> None:
         """Serve the pools in their order, keep warm room, rent what was planned."""
--- a/src/copperpass/core/rental.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from copperpass import wire
-from copperpass.core.dispatch import Aims, price_of, remaining
-from copperpass.core.fleet import Machine, allows, type_fits
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling.machines import Machine, allows, type_fits
+from copperpass.core.scheduling.objectives import Aims, price_of, remaining
 
 
 class Place(NamedTuple):
--- a/src/copperpass/core/manager/lending.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from copperpass.core import rental
-from copperpass.core.manager.demand import DemandTracker
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.state import ManagedMachine, ManagerState
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.demand import DemandTracker
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.state import ManagedMachine, ManagerState
 
 
 class Lending:
@@ -44,7 +44,7 @@
             self.ordinary_cpus[number] -= machine.type.cpus
         self.records.ask_back(now, machine, pool)
 
-    def cover(self, serving: list[ManagedMachine]) -> rental.Cover:
+    def cover(self, serving: list[ManagedMachine]) -> provisioning.Cover:
         """How far each pool's machines, with those on their way, cover its urgent peak."""
         state = self.state
         have = dict.fromkeys(state.pools, 0.0)
@@ -57,4 +57,4 @@
         for place, count, number in state.renting.values():
             have[number] += state.types[place.type].cpus * count
         need = {number: peak.value() for number, peak in self.tracker.peaks.items()}
-        return rental.Cover(have, need)
+        return provisioning.Cover(have, need)
--- a/src/copperpass/core/manager/rental_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from copperpass.core.manager.state import ManagedMachine
-from copperpass.core.rental import Place
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.state import ManagedMachine
 
 # The most machines that one call to the cloud may rent, by the protocol.
 MACHINES_PER_CALL = 50
--- a/src/copperpass/core/manager/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -7,14 +7,14 @@
 from typing import NamedTuple
 
 from copperpass import wire
-from copperpass.core import rental
-from copperpass.core.authority import GRANT_PER_TTL, Authority, certain_lease_s
-from copperpass.core.directory import Entry, Feed, Inbox, Status, Table
-from copperpass.core.fleet_store import FleetStore, StoredFleet
-from copperpass.core.jobs import Job, JobTable
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.election.authority import GRANT_PER_TTL, Authority, certain_lease_s
+from copperpass.core.jobs.job_table import Job, JobTable
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
-from copperpass.core.rental import Place
-from copperpass.core.transactions import TransactionQueue
+from copperpass.core.shards.routing import Entry, Feed, Inbox, Status, Table
+from copperpass.core.storage.machine_inventory import FleetStore, StoredFleet
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -150,7 +150,7 @@
         self.grant_s = GRANT_PER_TTL * context.authority.ttl
         self.report_s = context.cluster.workers.report_s
         self.lease_s = certain_lease_s(context.cluster)
-        self.boot_s = rental.longest_boot(context.types)
+        self.boot_s = provisioning.longest_boot(context.types)
         self.table: Table[Entry] = Table()
         self.machines: dict[str, ManagedMachine] = {}
         # When each deleted machine was confirmed as gone.
@@ -164,7 +164,7 @@
         for team, number in context.pools.items():
             self.pools.setdefault(number, Pool(number, [])).teams.append(team)
         self.renting: dict[str, Booking] = {}
-        self.refusals = rental.Refusals()
+        self.refusals = provisioning.Refusals()
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
         self.dear_excess = True
         state = context.cluster.state
--- a/src/copperpass/core/manager/warm_room.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -4,12 +4,13 @@
 
 from collections.abc import Iterator
 
-from copperpass.core import dispatch, rental
-from copperpass.core.manager.demand import DemandTracker
-from copperpass.core.manager.lending import Lending
-from copperpass.core.manager.rental_plan import RentalPlan
-from copperpass.core.manager.state import ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.rental import Place
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.demand import DemandTracker
+from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.rebalancing import Lending
+from copperpass.core.autoscaling.scale_out_plan import RentalPlan
+from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.scheduling import objectives
 
 
 class WarmRoom:
@@ -31,7 +32,7 @@
     def keep(
         self,
         now: float,
-        warm: rental.Warm,
+        warm: provisioning.Warm,
         serving: list[ManagedMachine],
         taken: float,
         plan: RentalPlan,
@@ -45,7 +46,7 @@
         cover = self.lending.cover(serving)
         for cpus, spot_only in ((warm.any, False), (warm.cheap, True)):
             while total < cpus and not plan.full and not self.fleet_store.full():
-                place = rental.choose_place(
+                place = provisioning.choose_place(
                     None, 1, types, plan.zones, refusals, now, spot_only, scarce
                 )
                 if place is None:
@@ -109,7 +110,7 @@
     def _ordinary_place(self, now: float, closed: set[str], within: str | None) -> Place | None:
         """The cheapest place for an ordinary machine, in one zone or in any."""
         state = self.state
-        return rental.choose_place(
+        return provisioning.choose_place(
             None, 1, state.types, {}, state.refusals, now, False, closed, within, dear_only=True
         )
 
@@ -131,7 +132,7 @@
                 cover.move(own, short, machine.type.cpus)
                 self.lending.let_go(now, machine, short)
 
-    def return_idle(self, now: float, warm: rental.Warm, taken: float) -> None:
+    def return_idle(self, now: float, warm: provisioning.Warm, taken: float) -> None:
         """Ask back the dearest idle machines beyond the warm room."""
         serving = self.state.serving()
         total = sum(machine.type.cpus for machine in serving) - taken
@@ -143,7 +144,7 @@
             and not machine.entry.back
             and now - max(machine.idle_since, machine.up_at) >= idle_s
         ]
-        idle.sort(key=lambda m: -dispatch.price_of(m.type, m.entry.spot) / m.type.cpus)
+        idle.sort(key=lambda m: -objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
         for machine in idle:
             kept = warm.cheap if machine.entry.spot else warm.any
             if total - machine.type.cpus >= kept and self.lending.may_leave(machine):
--- /dev/null
+++ b/src/copperpass/core/election/__init__.py
@@ -0,0 +1,1 @@
+"""Who may act: the leader lease, quorum votes during an outage, and campaigns."""
--- a/src/copperpass/core/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -22,8 +22,15 @@
 import msgspec
 
 from copperpass import peer, wire
+from copperpass.core.kvstore.transactions import (
+    APPLIED,
+    CONFLICT,
+    UNKNOWN,
+    URGENT,
+    Op,
+    TransactionQueue,
+)
 from copperpass.core.ports import Call, Outbox, Outcome
-from copperpass.core.transactions import APPLIED, CONFLICT, UNKNOWN, URGENT, Op, TransactionQueue
 from copperpass.settings import Cluster, SettingsError
 
 DRIFT = 0.0005
--- /dev/null
+++ b/src/copperpass/core/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which members there are, which version they run, and which of them answer."""
--- a/src/copperpass/core/versions.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from copperpass import __version__, wire
+from copperpass.core.kvstore.transactions import APPLIED, PLAIN, Op, TransactionQueue
 from copperpass.core.ports import Call, Outbox, Outcome
-from copperpass.core.transactions import APPLIED, PLAIN, Op, TransactionQueue
 
 # Outside the prefix that all versions list and watch.
 VERSIONS = "v/"
--- a/src/copperpass/core/node.py
+++ b/src/copperpass/core/node/node.py
@@ -7,21 +7,21 @@
 import msgspec
 
 from copperpass import peer, wire
-from copperpass.core.authority import GRANT_PER_TTL, LEAD, TOKEN, Authority, times_of
-from copperpass.core.cluster_manager import ClusterManager, ManagerContext
-from copperpass.core.directory import MOST_POOLS
-from copperpass.core.fleet_store import StoredFleet
-from copperpass.core.grant_client import BATCH, GrantClient
-from copperpass.core.jobs import COMPLETIONS, LEAST_KNOWN_CANCELLED, LIVE, JobTable
-from copperpass.core.pool_scheduler import PoolScheduler
+from copperpass.core.api.user_api import UserApi
+from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
+from copperpass.core.autoscaling.provisioning import longest_boot
+from copperpass.core.election.authority import GRANT_PER_TTL, LEAD, TOKEN, Authority, times_of
+from copperpass.core.jobs.job_table import COMPLETIONS, LEAST_KNOWN_CANCELLED, LIVE, JobTable
+from copperpass.core.kvstore.transactions import GATHERED, INVALID, Op, TransactionQueue
+from copperpass.core.kvstore.watch_cache import View
+from copperpass.core.membership.version_registry import VersionRegistry
 from copperpass.core.ports import Call, Outbox, Outcome, Reply
-from copperpass.core.relay import Relay
-from copperpass.core.rental import longest_boot
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.transactions import GATHERED, INVALID, Op, TransactionQueue
-from copperpass.core.users import UserApi
-from copperpass.core.versions import VersionRegistry
-from copperpass.core.view import View
+from copperpass.core.scheduling.shard_scheduler import PoolScheduler
+from copperpass.core.shards.grant_client import BATCH, GrantClient
+from copperpass.core.shards.relay import Relay
+from copperpass.core.shards.routing import MOST_POOLS
+from copperpass.core.storage.machine_inventory import StoredFleet
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
 
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from copperpass import wire
-from copperpass.core.fleet import Machine, Placement
-from copperpass.core.jobs import task_id
+from copperpass.core.jobs.job_table import task_id
 from copperpass.core.ports import Call, Outcome
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.state import PoolState
 
 # The part of all connections that direct commands of all pools together may take, and the least
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 
 from copperpass import wire
-from copperpass.core import rental
-from copperpass.core.authority import GRANT_PER_TTL, certain_lease_s, times_of
-from copperpass.core.jobs import JobTable
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.election.authority import GRANT_PER_TTL, certain_lease_s, times_of
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
-from copperpass.core.transactions import TransactionQueue
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -87,7 +87,7 @@
             overlap_s=GRANT_PER_TTL * times_of(cluster).ttl if partitioned else 0.0,
             silence_s=silence_s,
             lost_s=max(1.5 * silence_s, rerouted_s),
-            boot_s=rental.longest_boot(context.types),
+            boot_s=provisioning.longest_boot(context.types),
             gang_notice_s=workers.gang_notice_s,
             gang_wait_s=workers.gang_wait_s or 2 * workers.lease_s,
         )
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
-from copperpass.core import allocation, dispatch, rental
-from copperpass.core.directory import WaitingTasks
-from copperpass.core.fleet import allows, type_fits
-from copperpass.core.jobs import EPS, Job
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.jobs.job_table import EPS, Job
+from copperpass.core.scheduling import allocation, objectives
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import allows, type_fits
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import PoolState
-from copperpass.core.scheduling.task_reports import FAILED_MACHINES
+from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
+from copperpass.core.shards.routing import WaitingTasks
 
 # The least weight of a team in the allocation.
 LEAST_WEIGHT = 1e-3
@@ -35,13 +36,13 @@
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
         if not waiting:
             return []
-        rooms = rental.rooms_of(self.machines.values(), now, timing.silence_s)
+        rooms = provisioning.rooms_of(self.machines.values(), now, timing.silence_s)
         unseen = self.unseen()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
         self.ties.clear()
         taken = {team: state.tally.of(team)[0] for team in state.by_team}
-        for job in dispatch.task_order(waiting, state.aims, now, timing.boot_s / 2):
+        for job in objectives.task_order(waiting, state.aims, now, timing.boot_s / 2):
             # Tasks that may be running where we have not looked yet need no machines.
             if not self.startable(job, now, unseen):
                 continue
@@ -53,16 +54,16 @@
                 # The rest of a gang waits for it: what they take isn't free before.
                 horizon = 0.0
             where = (self.machines[m].zone for m in job.placed.values() if m in self.machines)
-            spec = rental.tied(job.spec, where)
+            spec = provisioning.tied(job.spec, where)
             if spec.one_zone and spec.zone is not None:
                 self.ties[spec.id] = spec.zone
-            fill = rental.fill_gang if spec.gang else rental.fill
+            fill = provisioning.fill_gang if spec.gang else provisioning.fill
             closed = self.reservations.scarce.closed_to(spec)
             left = fill(rooms, spec, count, horizon, closed)
             if left > 0:
                 unmet.append(WaitingTasks(spec.id, left, horizon))
                 # Without it each job that waits would look at each full machine.
-                rooms = rental.without_exhausted(rooms, least_cpus)
+                rooms = provisioning.without_exhausted(rooms, least_cpus)
         return unmet
 
     def _count_under_limit(self, job: Job, taken: dict[str, float]) -> int | None:
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -8,16 +8,16 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core import allocation, dispatch
-from copperpass.core.fleet import Machine
-from copperpass.core.jobs import Job, fits
+from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.scheduling import allocation, objectives
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.demand import Demand
-from copperpass.core.scheduling.freed_room import machine_to_hold
 from copperpass.core.scheduling.gangs import GangPlacer
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.ranking import Ranking
+from copperpass.core.scheduling.reclaimable_capacity import machine_to_hold
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
@@ -154,7 +154,7 @@
     def _fill_queues(self, demand: Demand, jobs: list[Job]) -> None:
         """Queue each team's jobs that may start, by urgency, and count its tasks."""
         now, aims, teams = self.now, self.aims, self.state.teams
-        dispatch.judge_guarantees(jobs, {team.name: team.cpus for team in teams})
+        objectives.judge_guarantees(jobs, {team.name: team.cpus for team in teams})
         self.running = {team.name: 0 for team in teams}
         queues: dict[str, list[Job]] = {team.name: [] for team in teams}
         unseen = demand.unseen()
@@ -166,13 +166,13 @@
         self.backlog = sum(len(queue) for queue in queues.values())
         bonus = self.boot_s / 2
         self.queues = {
-            name: dispatch.task_order(queue, aims, now, bonus) for name, queue in queues.items()
+            name: objectives.task_order(queue, aims, now, bonus) for name, queue in queues.items()
         }
         self.late_used = sum(
             len(job.placed) * job.spec.cpus for job in jobs if aims.overdue(job, now)
         )
         for queue in self.queues.values():
-            dispatch.share_late(queue, aims, now, self.late_used, self.late_quota)
+            objectives.share_late(queue, aims, now, self.late_used, self.late_quota)
 
     def place_all(self) -> None:
         """Start tasks until no queue has one that finds room."""
@@ -247,7 +247,7 @@
         if self.late_used < self.late_quota and self.aims.overdue(job, now):
             self.late_used += job.spec.cpus
             queue = self.queues[name]
-            dispatch.share_late(queue, self.aims, now, self.late_used, self.late_quota)
+            objectives.share_late(queue, self.aims, now, self.late_used, self.late_quota)
         self.log.append(machine)
         self._count(name, job, 1)
 
--- a/src/copperpass/core/scheduling/gang_planning.py
+++ b/src/copperpass/core/scheduling/gang_planning.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from copperpass import wire
-from copperpass.core.dispatch import remaining
-from copperpass.core.fleet import Machine, allows, type_fits
-from copperpass.core.jobs import EPS, Job
+from copperpass.core.jobs.job_table import EPS, Job
+from copperpass.core.scheduling.machines import Machine, allows, type_fits
+from copperpass.core.scheduling.objectives import remaining
 from copperpass.core.scheduling.ranking import Ranking
 
 
--- a/src/copperpass/core/scheduling/gangs.py
+++ b/src/copperpass/core/scheduling/gangs.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.fleet import Machine, Placement, StopReason
-from copperpass.core.jobs import Job, fits
+from copperpass.core.jobs.job_table import Job, fits
 from copperpass.core.scheduling.gang_planning import gang_hold, plan_gang
+from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.ranking import Ranking
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import PoolState
--- a/src/copperpass/core/scheduling/silence.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from copperpass.core.fleet import Machine
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
--- a/src/copperpass/core/scheduling/reports.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core import dispatch
-from copperpass.core.directory import HANDOVER_SHIFT, UNPOOLED, Status
-from copperpass.core.fleet import UNIDENTIFIED, Machine, Placement, StopReason
-from copperpass.core.jobs import Job, parse_task
+from copperpass.core.jobs.job_table import Job, parse_task
 from copperpass.core.ports import NOT_SENT, Outcome
+from copperpass.core.scheduling import objectives
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gangs import GangMonitor
+from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import PoolState
-from copperpass.core.scheduling.task_reports import TaskReports
+from copperpass.core.scheduling.task_statuses import TaskReports
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.core.shards.routing import HANDOVER_SHIFT, UNPOOLED, Status
 
 # A task is moved off a machine that goes if it will still run for longer than this multiple of the
 # time that is left: estimates are rough.
@@ -264,7 +264,7 @@
             ):
                 # It can't be saved in time: to run on may still complete it.
                 continue
-            if dispatch.remaining(placement, now) > NOTICE_MARGIN * left:
+            if objectives.remaining(placement, now) > NOTICE_MARGIN * left:
                 self.tasks.stop(now, placement, StopReason.NOTICE)
 
     def direct_answer(
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.completions import CompletionStore
-from copperpass.core.fleet import StopReason
-from copperpass.core.jobs import LIVE, OVER, Job
+from copperpass.core.jobs.job_table import LIVE, OVER, Job
+from copperpass.core.kvstore.transactions import APPLIED, Op
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import StopReason
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.transactions import APPLIED, Op
+from copperpass.core.storage.completions import CompletionStore
 
 # The part of the limits of a record that is used, which leaves room for what is estimated.
 USED_PART = 0.8
--- a/src/copperpass/core/fleet.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -12,8 +12,8 @@
 from enum import StrEnum
 
 from copperpass import wire
-from copperpass.core.directory import Status
-from copperpass.core.jobs import Job, fits
+from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.shards.routing import Status
 
 Key = tuple[str, int, int]
 # The team of a task whose job is not known.
--- a/src/copperpass/core/dispatch.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 
 from copperpass import wire
-from copperpass.core.fleet import Placement, type_fits
-from copperpass.core.jobs import Job, fits
+from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.scheduling.machines import Placement, type_fits
 from copperpass.settings import Objective
 
 LATE = 1e6
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from copperpass.core.directory import ANYBODY, EMPTY, Contact, Entry, Status
-from copperpass.core.fleet import Machine, StopReason
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine, StopReason
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.core.shards.routing import ANYBODY, EMPTY, Contact, Entry, Status
 
 
 class Ownership:
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -6,11 +6,17 @@
 from dataclasses import dataclass
 
 from copperpass import wire
-from copperpass.core.fleet import NO_PRIORITY, Machine, Placement, StopReason, zone_allows
-from copperpass.core.jobs import Job, fits
+from copperpass.core.jobs.job_table import Job, fits
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.freed_room import stop_cost, victims, worth_saving
+from copperpass.core.scheduling.machines import (
+    NO_PRIORITY,
+    Machine,
+    Placement,
+    StopReason,
+    zone_allows,
+)
+from copperpass.core.scheduling.reclaimable_capacity import stop_cost, victims, worth_saving
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
--- a/src/copperpass/core/scheduling/ranking.py
+++ b/src/copperpass/core/scheduling/ranking.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from copperpass import wire
-from copperpass.core.dispatch import price_of, remaining
-from copperpass.core.fleet import Machine, allows, zone_allows
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling.machines import Machine, allows, zone_allows
+from copperpass.core.scheduling.objectives import price_of, remaining
 
 # Tasks are taken to run for so many times their estimate when they use what others leave.
 BACKFILL_MARGIN = 1.0
--- a/src/copperpass/core/scheduling/freed_room.py
+++ b/src/copperpass/core/scheduling/reclaimable_capacity.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.dispatch import remaining
-from copperpass.core.fleet import Machine, Placement, allows, type_fits, zone_allows
-from copperpass.core.jobs import EPS, Job, fits
+from copperpass.core.jobs.job_table import EPS, Job, fits
+from copperpass.core.scheduling.machines import Machine, Placement, allows, type_fits, zone_allows
+from copperpass.core.scheduling.objectives import remaining
 
 
 def unsaved_work(placement: Placement, spec: wire.Spec | None, now: float) -> float:
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from copperpass.core import dispatch, rental
-from copperpass.core.fleet import Machine
-from copperpass.core.jobs import Job
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling import objectives
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.ranking import PlacementPolicy
 from copperpass.core.scheduling.state import PoolState
 
@@ -18,10 +19,10 @@
 
     def __init__(self, context: SchedulerContext, state: PoolState) -> None:
         self.state, self.tuning = state, context.tuning
-        self.scarce = dispatch.Scarce(context.types, self.tuning.keep_scarce_s)
+        self.scarce = objectives.Scarce(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
         self.kept: frozenset[str] = frozenset()
-        self.ordinary_peak = rental.Peak(self.tuning.warm_window_boots * state.timing.boot_s)
+        self.ordinary_peak = provisioning.Peak(self.tuning.warm_window_boots * state.timing.boot_s)
 
     def left_out(self, job: Job, now: float) -> bool:
         """Whether none of a job's tasks has had a place for so long that nothing is kept from it.
@@ -56,7 +57,7 @@
             sum(
                 job.spec.cpus * (job.spec.tasks - job.done_count)
                 for job in jobs
-                if rental.needs_ordinary(job, aims, boot_s)
+                if provisioning.needs_ordinary(job, aims, boot_s)
             ),
         )
         need = self.ordinary_peak.value()
--- a/src/copperpass/core/pool_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -7,24 +7,24 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.completions import CompletionStore
-from copperpass.core.directory import Entry, Status, WaitingTasks
-from copperpass.core.fleet import Machine, Tally
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
 from copperpass.core.scheduling.dispatch_round import Dispatcher
 from copperpass.core.scheduling.gangs import GangMonitor, GangPlacer
+from copperpass.core.scheduling.heartbeat_timeouts import SilenceScan
+from copperpass.core.scheduling.heartbeats import Reports
 from copperpass.core.scheduling.job_results import JobResults
+from copperpass.core.scheduling.machines import Machine, Tally
 from copperpass.core.scheduling.ownership import Ownership
 from copperpass.core.scheduling.preemption import Preemption
-from copperpass.core.scheduling.reports import Reports
 from copperpass.core.scheduling.reservations import Reservations
-from copperpass.core.scheduling.silence import SilenceScan
 from copperpass.core.scheduling.state import PoolState
-from copperpass.core.scheduling.task_reports import TaskReports
+from copperpass.core.scheduling.task_statuses import TaskReports
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.core.shards.routing import Entry, Status, WaitingTasks
+from copperpass.core.storage.completions import CompletionStore
 from copperpass.settings import Team
 
 
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 
-from copperpass.core.directory import Contact, Status
-from copperpass.core.dispatch import Aims
-from copperpass.core.fleet import Machine, Placement, Tally
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.context import SchedulerContext, Timing
+from copperpass.core.scheduling.machines import Machine, Placement, Tally
+from copperpass.core.scheduling.objectives import Aims
+from copperpass.core.shards.routing import Contact, Status
 from copperpass.settings import Team
 
 # How many of a team's latest tasks tell what its next ones will ask for.
--- a/src/copperpass/core/scheduling/task_reports.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.fleet import UNIDENTIFIED, Machine, Placement, StopReason
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gangs import GangMonitor
 from copperpass.core.scheduling.job_results import JobResults
+from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle, runs_alone
 
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from copperpass import wire
-from copperpass.core.fleet import Machine, Placement, StopReason
-from copperpass.core.jobs import Job
+from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.state import PoolState
 
 # Attempts are told apart by term, then by ownership within the term, then counted.
--- a/src/copperpass/core/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Iterable
 
 from copperpass import peer
-from copperpass.core.authority import DRIFT, GRANT_PER_TTL
-from copperpass.core.cluster_manager import UNKNOWN_REVISION, ClusterManager
-from copperpass.core.directory import Entry, Feed, Inbox, Status, Table, WaitingTasks
-from copperpass.core.pool_scheduler import PoolScheduler
+from copperpass.core.autoscaling.cluster_manager import UNKNOWN_REVISION, ClusterManager
+from copperpass.core.election.authority import DRIFT, GRANT_PER_TTL
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
+from copperpass.core.scheduling.shard_scheduler import PoolScheduler
+from copperpass.core.shards.routing import Entry, Feed, Inbox, Status, Table, WaitingTasks
 
 # Entries to a frame: some 70 bytes each.
 BATCH = 200
--- a/src/copperpass/core/manager/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from copperpass import peer, wire
-from copperpass.core.authority import DRIFT, TOKEN
-from copperpass.core.directory import EMPTY, OWN_POOL, Entry, Feed, Inbox
-from copperpass.core.manager.records import MachineRecords
-from copperpass.core.manager.state import (
+from copperpass.core.autoscaling.machine_records import MachineRecords
+from copperpass.core.autoscaling.state import (
     UNKNOWN_REVISION,
     Grantee,
     ManagerContext,
     ManagerState,
     Pool,
 )
+from copperpass.core.election.authority import DRIFT, TOKEN
 from copperpass.core.ports import Call, Outcome
+from copperpass.core.shards.routing import EMPTY, OWN_POOL, Entry, Feed, Inbox
 
 # A member counts as live for this part of a grant's length after its last request.
 LIVE_PER_GRANT = 0.75
--- a/src/copperpass/core/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -20,9 +20,16 @@
 from collections.abc import Callable, Iterable
 
 from copperpass import wire
-from copperpass.core.authority import TOKEN
-from copperpass.core.jobs import COMPLETIONS, Job, JobTable, pack_done, segment_key, split_segment
-from copperpass.core.transactions import APPLIED, GATHERED, INVALID, Op, TransactionQueue
+from copperpass.core.election.authority import TOKEN
+from copperpass.core.jobs.job_table import (
+    COMPLETIONS,
+    Job,
+    JobTable,
+    pack_done,
+    segment_key,
+    split_segment,
+)
+from copperpass.core.kvstore.transactions import APPLIED, GATHERED, INVALID, Op, TransactionQueue
 
 # What marks the key of a page that holds a segment.
 SEGMENT = "s"
--- a/src/copperpass/core/fleet_store.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -26,8 +26,8 @@
 import msgspec
 
 from copperpass import wire
-from copperpass.core.authority import TOKEN
-from copperpass.core.transactions import (
+from copperpass.core.election.authority import TOKEN
+from copperpass.core.kvstore.transactions import (
     APPLIED,
     CONFLICT,
     INVALID,
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from copperpass import __version__
-from copperpass.core.node import Node
+from copperpass.core.node.node import Node
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, Outcome
 from copperpass.log import LEVELS
 from copperpass.net.client import Client
--- a/src/copperpass/peer.py
+++ b/src/copperpass/peer.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from copperpass.core.directory import Contact, Entry, Status, WaitingTasks
+from copperpass.core.shards.routing import Contact, Entry, Status, WaitingTasks
 
 MAGIC, VERSION = b"cp", 3
 HEADER = struct.Struct("!2sBBI")
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -13,9 +13,9 @@
 
 from copperpass import peer, wire
 from copperpass import settings as settings_module
-from copperpass.core.fleet import UNIDENTIFIED
-from copperpass.core.node import Node
+from copperpass.core.node.node import Node
 from copperpass.core.ports import Outcome
+from copperpass.core.scheduling.machines import UNIDENTIFIED
 from tests.bodies import raw_settings
 from tests.deployments import TWO_TEAMS
 from tests.standins.cloud import Cloud
--- a/tests/state_service.py
+++ b/tests/state_service.py
@@ -3,9 +3,9 @@
 import json
 import random
 
-from copperpass.core.fleet_store import FleetStore, StoredFleet
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.transactions import TransactionQueue
+from copperpass.core.storage.machine_inventory import FleetStore, StoredFleet
 from tests.standins.state import State
 
 # Limits that the settings announce under `state.next`.
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from copperpass.core.allocation import (
+from copperpass.core.scheduling.allocation import (
     Claim,
     allocate,
     allocate_once,
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -8,9 +8,9 @@
 
 from copperpass import peer, wire
 from copperpass import settings as settings_module
-from copperpass.core.authority import Authority, Times, times_of
+from copperpass.core.election.authority import Authority, Times, times_of
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.transactions import TransactionQueue
 from copperpass.settings import SettingsError
 from tests.bodies import raw_settings
 from tests.standins.state import State
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from copperpass import wire
-from copperpass.core.completions import CompletionStore
-from copperpass.core.jobs import JobTable, make_job, pack_done
+from copperpass.core.jobs.job_table import JobTable, make_job, pack_done
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outcome
-from copperpass.core.transactions import TransactionQueue
+from copperpass.core.storage.completions import CompletionStore
 from tests import production
 from tests.bodies import job
 from tests.state_service import COMING, Service
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -6,10 +6,10 @@
 import pytest
 
 from copperpass import peer, wire
-from copperpass.core.authority import TOKEN, Authority, times_of
-from copperpass.core.directory import Contact
+from copperpass.core.election.authority import TOKEN, Authority, times_of
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.transactions import TransactionQueue
+from copperpass.core.shards.routing import Contact
 from copperpass.settings import parse
 from tests.bodies import job, raw_settings
 from tests.simulation import Simulation, User
@@ -321,8 +321,8 @@
 
 
 def test_the_zone_that_a_job_is_tied_to_gets_the_machines():
-    # Holds `rental.tied`. Rented elsewhere, machines were of no use to it: they idled, went back,
-    # and were rented again.
+    # Holds `provisioning.tied`. Rented elsewhere, machines were of no use to it: they idled, went
+    # back, and were rented again.
     simulation = Simulation(seed=2)
     simulation.cloud.capacity = {(z, s): 6 for z in "abc" for s in (True, False)}
     simulation.run_until(simulation.leader)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -7,7 +7,7 @@
 import pytest
 
 from copperpass import wire
-from copperpass.core.jobs import make_job
+from copperpass.core.jobs.job_table import make_job
 from tests.bodies import job
 from tests.simulation import Simulation
 from tests.standins.worker import WorkerRequest
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from copperpass.core.authority import Authority
-from copperpass.core.node import Node
+from copperpass.core.election.authority import Authority
+from copperpass.core.node.node import Node
 from copperpass.peer import JobCancelled
 from tests.bodies import job
 from tests.simulation import Simulation
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -3,7 +3,7 @@
 import random
 
 from copperpass import peer
-from copperpass.core.directory import Feed, Inbox, Status, Table
+from copperpass.core.shards.routing import Feed, Inbox, Status, Table
 from tests.bodies import job
 from tests.simulation import Simulation
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -6,9 +6,9 @@
 import pytest
 
 from copperpass import wire
-from copperpass.core.dispatch import Aims, Scarce, share_late, task_order
-from copperpass.core.fleet import Machine, Placement
-from copperpass.core.jobs import make_job
+from copperpass.core.jobs.job_table import make_job
+from copperpass.core.scheduling.machines import Machine, Placement
+from copperpass.core.scheduling.objectives import Aims, Scarce, share_late, task_order
 from copperpass.core.scheduling.ranking import PlacementPolicy, Ranking
 from copperpass.settings import Objective
 from tests.bodies import job
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -7,7 +7,7 @@
 from twisted.internet.testing import StringTransport
 
 from copperpass import peer
-from copperpass.core.directory import Contact, Entry, Status
+from copperpass.core.shards.routing import Contact, Entry, Status
 from copperpass.net import peers
 
 FRAMES = [
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -7,13 +7,13 @@
 
 from copperpass import settings as settings_module
 from copperpass import wire
-from copperpass.core.directory import ANYBODY, Contact, Entry, base_token
-from copperpass.core.fleet import Machine
-from copperpass.core.jobs import JobTable
-from copperpass.core.pool_scheduler import PoolScheduler
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.transactions import TransactionQueue
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.shard_scheduler import PoolScheduler
+from copperpass.core.shards.routing import ANYBODY, Contact, Entry, base_token
 from tests.bodies import job, raw_settings
 from tests.deployments import TYPE, machine_types
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -6,7 +6,7 @@
 import pytest
 
 from copperpass import wire
-from copperpass.core.scheduling.freed_room import stop_cost, worth_saving
+from copperpass.core.scheduling.reclaimable_capacity import stop_cost, worth_saving
 from tests.bodies import job
 from tests.test_pool_scheduler import Bench
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -3,10 +3,10 @@
 import json
 
 from copperpass import wire
-from copperpass.core.fleet_store import FleetStore
+from copperpass.core.kvstore.transactions import GATHERED, URGENT, Op, TransactionQueue
+from copperpass.core.kvstore.watch_cache import View
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.transactions import GATHERED, URGENT, Op, TransactionQueue
-from copperpass.core.view import View
+from copperpass.core.storage.machine_inventory import FleetStore
 
 
 def test_users_writes_do_not_queue_behind_gathered_ones():
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,8 +5,12 @@
 import pytest
 
 from copperpass import peer
-from copperpass.core import rental
-from copperpass.core.directory import (
+from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, most_per_plan
+from copperpass.core.node.node import pools_of
+from copperpass.core.ports import Outbox
+from copperpass.core.shards.relay import Relay
+from copperpass.core.shards.routing import (
     MOST_HANDOVERS,
     MOST_POOLS,
     UNPOOLED,
@@ -14,10 +18,6 @@
     Entry,
     base_token,
 )
-from copperpass.core.manager.rental_plan import MACHINES_PER_CALL, most_per_plan
-from copperpass.core.node import pools_of
-from copperpass.core.ports import Outbox
-from copperpass.core.relay import Relay
 from copperpass.settings import Team, parse
 from copperpass.tuning import Tuning
 from tests.bodies import job, raw_settings
@@ -126,7 +126,7 @@
     kind = machine_types(TYPE)["box"]
     looks = []
 
-    class Counted(rental.Room):
+    class Counted(provisioning.Room):
         def take(self, spec, count, horizon):
             looks.append(spec.id)
             return super().take(spec, count, horizon)
@@ -134,8 +134,8 @@
     rooms = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
     waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
-        assert rental.fill(rooms, each.spec, 2, 0.0, set()) == 2
-        rooms = rental.without_exhausted(rooms, least_cpus=4.0)
+        assert provisioning.fill(rooms, each.spec, 2, 0.0, set()) == 2
+        rooms = provisioning.without_exhausted(rooms, least_cpus=4.0)
     assert looks == ["req-000001"] * machines, "only the first job looks at all of them"
 
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,8 +1,8 @@
 """The transaction queue when the state service's limits drop unannounced."""
 
 from copperpass import wire
+from copperpass.core.kvstore.transactions import APPLIED, INVALID, PLAIN, Op, TransactionQueue
 from copperpass.core.ports import Outcome
-from copperpass.core.transactions import APPLIED, INVALID, PLAIN, Op, TransactionQueue
 from tests.state_service import Service
 
 
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -9,11 +9,11 @@
 import pytest
 
 from copperpass import peer, wire
-from copperpass.core.directory import Contact, Entry, Status
-from copperpass.core.jobs import JobTable
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.kvstore.transactions import TransactionQueue
+from copperpass.core.membership.version_registry import FORMAT, VersionRegistry
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.transactions import TransactionQueue
-from copperpass.core.versions import FORMAT, VersionRegistry
+from copperpass.core.shards.routing import Contact, Entry, Status
 from tests import production
 
 CONTACT = Contact("10.0.0.9:1", 3, 77)
