--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import LIVE, OVER, fits
 from copperpass.core.kvstore.transactions import (
     APPLIED,
@@ -20,13 +19,27 @@
 )
 from copperpass.core.ports import Call, Outbox, Outcome, Reply
 from copperpass.core.scheduling.machines import type_fits
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
+from copperpass.protocol.kvstore import Item, delete_key, key_path, put_key
+from copperpass.protocol.records import JobRecord
+from copperpass.protocol.users import (
+    JOB_ID_PATTERN,
+    MAX_BODY_BYTES,
+    MAX_TASKS,
+    JobAnswer,
+    JobState,
+    OnlyId,
+    Spec,
+    decode_spec,
+)
 from copperpass.settings import Cluster, Team
 
 RETRY_AFTER = 1
 # Ended jobs that are remembered: at least so many, and all that can have ended while a question
 # about one of them was under way.
 LEAST_KNOWN_FINALS = 2000
-Found = Callable[[float, "wire.JobRecord | None", int], None]
+Found = Callable[[float, "JobRecord | None", int], None]
 
 
 class Rejection(Exception):
@@ -37,11 +50,11 @@
         self.status, self.why = status, why
 
 
-def check(spec: wire.Spec, cluster: Cluster, types: dict[str, wire.MachineType]) -> None:
+def check(spec: Spec, cluster: Cluster, types: dict[str, MachineType]) -> None:
     """Raise a Rejection when the job is malformed or can never run."""
-    if not wire.JOB_ID.match(spec.id):
+    if not JOB_ID_PATTERN.match(spec.id):
         raise Rejection(400, "id: not of the form req-000000")
-    if not 1 <= spec.tasks <= wire.MAX_TASKS:
+    if not 1 <= spec.tasks <= MAX_TASKS:
         raise Rejection(400, "pages: outside 1..100000")
     amounts = {
         "cpus": spec.cpus,
@@ -77,7 +90,7 @@
         _check_gang(spec, team, zones)
 
 
-def _check_gang(spec: wire.Spec, team: Team, zones: set[str]) -> None:
+def _check_gang(spec: Spec, team: Team, zones: set[str]) -> None:
     """Raise a Rejection when a gang, whose tasks all run at once, can never run."""
     if not fits(spec.cpus * spec.tasks, team.cpus_limit) or not fits(
         spec.gpus * spec.tasks, team.gpus_limit
@@ -87,10 +100,10 @@
         raise Rejection(422, "a gang can't be both in one zone and spread")
 
 
-def _read(outcome: Outcome) -> tuple[wire.JobRecord, int] | None:
+def _read(outcome: Outcome) -> tuple[JobRecord, int] | None:
     """The record and version that a read brought."""
-    item = wire.decode(outcome.body, wire.Item) if outcome.status == 200 else None
-    record = wire.decode(bytes(item.value), wire.JobRecord) if item else None
+    item = decode(outcome.body, Item) if outcome.status == 200 else None
+    record = decode(bytes(item.value), JobRecord) if item else None
     return None if item is None or record is None else (record, item.version)
 
 
@@ -110,8 +123,8 @@
         self.cluster, self.out, self.transactions = cluster, out, transactions
         self.read_timeout = read_timeout
         self.most_finals = max(LEAST_KNOWN_FINALS, cluster.changes_per_cancellation_span)
-        self.types: dict[str, wire.MachineType] = {}
-        self.finals: OrderedDict[str, wire.JobRecord] = OrderedDict()
+        self.types: dict[str, MachineType] = {}
+        self.finals: OrderedDict[str, JobRecord] = OrderedDict()
         # Jobs whose live records have gone, which never come back.
         self.removed: OrderedDict[str, None] = OrderedDict()
         self.counts: Callable[[str], tuple[int, int]] = lambda job_id: (0, 0)
@@ -122,22 +135,22 @@
 
     def submit(self, now: float, request: object, body: bytes) -> None:
         """POST /api/jobs."""
-        if len(body) > wire.MAX_BODY:
+        if len(body) > MAX_BODY_BYTES:
             # Malformed: users give up at once on a 400, but repeat a 413 for a minute.
-            self._answer(request, 400, wire.error("body too large"))
+            self._answer(request, 400, error_body("body too large"))
             return
         try:
-            spec = wire.decode_spec(body)
-        except wire.DECODE_ERRORS as error:
-            known = wire.decode(body, wire.OnlyId)
+            spec = decode_spec(body)
+        except DECODE_ERRORS as error:
+            known = decode(body, OnlyId)
             refusal = Rejection(400, str(error))
-            if known is None or not wire.JOB_ID.match(known.id):
-                self._answer(request, 400, wire.error(refusal.why))
+            if known is None or not JOB_ID_PATTERN.match(known.id):
+                self._answer(request, 400, error_body(refusal.why))
             else:
                 self._refuse(now, request, known.id, refusal)
             return
-        if not wire.JOB_ID.match(spec.id):
-            self._answer(request, 400, wire.error("id: not of the form req-000000"))
+        if not JOB_ID_PATTERN.match(spec.id):
+            self._answer(request, 400, error_body("id: not of the form req-000000"))
             return
         if not self.types:
             self._refuse(now, request, spec.id, Rejection(503, "machine types not known yet"))
@@ -149,11 +162,11 @@
             return
         record = {"spec": msgspec.to_builtins(spec), "at": round(now + self.day, 1)}
         room = self.cluster.state.least_value_bytes
-        if len(wire.encode(record)) > room and spec.types is not None:
+        if len(encode(record)) > room and spec.types is not None:
             # Types named twice, or that don't exist, say nothing.
             spec.types = [t for t in dict.fromkeys(spec.types) if t in self.types]
             record["spec"] = msgspec.to_builtins(spec)
-        size = len(wire.encode(record))
+        size = len(encode(record))
         if size > room:
             self._refuse(now, request, spec.id, Rejection(422, "can never be stored: too large"))
             return
@@ -167,7 +180,7 @@
 
         op = Op(
             {LIVE + spec.id: 0, OVER + spec.id: 0},
-            [wire.put(LIVE + spec.id, record)],
+            [put_key(LIVE + spec.id, record)],
             stored,
             now + self.read_timeout,
             URGENT,
@@ -176,8 +189,8 @@
 
     def poll(self, now: float, request: object, job_id: str) -> None:
         """GET /api/jobs/{id}."""
-        if not wire.JOB_ID.match(job_id):
-            self._answer(request, 404, wire.error("no such job"))
+        if not JOB_ID_PATTERN.match(job_id):
+            self._answer(request, 404, error_body("no such job"))
             return
         self.lookup(
             now,
@@ -188,20 +201,20 @@
 
     def cancel(self, now: float, request: object, job_id: str, tries: int = 6) -> None:
         """POST /api/jobs/{id}/cancel."""
-        if not wire.JOB_ID.match(job_id):
-            self._answer(request, 404, wire.error("no such job"))
+        if not JOB_ID_PATTERN.match(job_id):
+            self._answer(request, 404, error_body("no such job"))
             return
 
-        def found(n: float, record: wire.JobRecord | None, version: int) -> None:
+        def found(n: float, record: JobRecord | None, version: int) -> None:
             if record is None or record.final:
                 self._tell(request, job_id, record)
                 return
             count = self.counts(job_id)[0]
-            final = {"final": wire.CANCELLED, "count": count}
+            final = {"final": JobState.CANCELLED, "count": count}
 
             def stored(m: float, how: str, revision: int) -> None:
                 if how == APPLIED:
-                    over = wire.JobRecord(final=wire.CANCELLED, count=count)
+                    over = JobRecord(final=JobState.CANCELLED, count=count)
                     self.note_final(job_id, over)
                     self.announce_cancelled(m, job_id)
                     self._tell(request, job_id, over)
@@ -215,7 +228,7 @@
                 n,
                 Op(
                     {LIVE + job_id: version},
-                    [wire.remove(LIVE + job_id), wire.put(OVER + job_id, final)],
+                    [delete_key(LIVE + job_id), put_key(OVER + job_id, final)],
                     stored,
                     n + self.read_timeout,
                     URGENT,
@@ -270,22 +283,20 @@
         while len(self.removed) > self.most_finals:
             self.removed.popitem(last=False)
 
-    def note_final(self, job_id: str, record: wire.JobRecord) -> None:
+    def note_final(self, job_id: str, record: JobRecord) -> None:
         """Final records never change, so a stored one may be kept and told again."""
         self.finals[job_id] = record
         while len(self.finals) > self.most_finals:
             self.finals.popitem(last=False)
 
     def _get(self, key: str, then: Callable[[float, Outcome], None]) -> None:
-        self.out.calls.append(
-            Call("state", "GET", wire.path_key(key), then, b"", self.read_timeout / 2)
-        )
+        self.out.calls.append(Call("state", "GET", key_path(key), then, b"", self.read_timeout / 2))
 
     # -- answers --------------------------------------------------------------
 
     def _submitted(self, now: float, how: str, request: object, job_id: str) -> None:
         if how == APPLIED:
-            self._answer(request, 201, wire.encode(wire.JobAnswer(job_id, wire.QUEUED)))
+            self._answer(request, 201, encode(JobAnswer(job_id, JobState.QUEUED)))
         elif how == CONFLICT:
             self.poll(now, request, job_id)
         else:
@@ -294,30 +305,30 @@
     def _refuse(self, now: float, request: object, job_id: str, rejection: Rejection) -> None:
         """Refuse, unless the id is that of a job which was accepted before."""
 
-        def found(n: float, record: wire.JobRecord | None, version: int) -> None:
+        def found(n: float, record: JobRecord | None, version: int) -> None:
             if record is not None:
                 self._tell(request, job_id, record)
             elif rejection.status == 503:
                 self._unavailable(request, rejection.why)
             else:
-                self._answer(request, rejection.status, wire.error(rejection.why))
+                self._answer(request, rejection.status, error_body(rejection.why))
 
         self.lookup(now, job_id, found, lambda n: self._unavailable(request, "can't be decided"))
 
-    def _tell(self, request: object, job_id: str, record: wire.JobRecord | None) -> None:
+    def _tell(self, request: object, job_id: str, record: JobRecord | None) -> None:
         if record is None:
-            self._answer(request, 404, wire.error("no such job"))
+            self._answer(request, 404, error_body("no such job"))
             return
         if record.final:
-            answer = wire.JobAnswer(job_id, record.final, record.count, 0)
+            answer = JobAnswer(job_id, record.final, record.count, 0)
         else:
             done, running = self.counts(job_id)
-            state = wire.RUNNING if running else wire.QUEUED
-            answer = wire.JobAnswer(job_id, state, done, running)
-        self._answer(request, 200, wire.encode(answer))
+            state = JobState.RUNNING if running else JobState.QUEUED
+            answer = JobAnswer(job_id, state, done, running)
+        self._answer(request, 200, encode(answer))
 
     def _unavailable(self, request: object, why: str) -> None:
-        self.out.replies.append(Reply(request, 503, wire.error(why), RETRY_AFTER))
+        self.out.replies.append(Reply(request, 503, error_body(why), RETRY_AFTER))
 
     def _answer(self, request: object, status: int, body: bytes) -> None:
         self.out.replies.append(Reply(request, status, body))
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, Rentals
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.provisioning import Place
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
 from copperpass.core.ports import Call, Outcome
-from copperpass.core.shards.routing import EMPTY, UNPOOLED
+from copperpass.protocol.cloud import ListedMachine, MachineList, machines_path
+from copperpass.protocol.frames.messages import NO_SHARD, Occupancy
+from copperpass.protocol.json_codec import decode
 
 
 class CloudListing:
@@ -38,7 +39,7 @@
         """Ask for the machines whose names come after one."""
 
         def then(n: float, outcome: Outcome) -> None:
-            page = wire.decode(outcome.body, wire.MachineList) if outcome.status == 200 else None
+            page = decode(outcome.body, MachineList) if outcome.status == 200 else None
             if page is None or not self.state.ready:
                 self.listing = False
                 return
@@ -49,11 +50,9 @@
                 return
             self.listing = False
 
-        self.out.calls.append(
-            Call("cloud", "GET", wire.path_machines(after), then, b"", CALL_TIMEOUT_S)
-        )
+        self.out.calls.append(Call("cloud", "GET", machines_path(after), then, b"", CALL_TIMEOUT_S))
 
-    def _listed(self, now: float, item: wire.ListedMachine) -> None:
+    def _listed(self, now: float, item: ListedMachine) -> None:
         """Take in what the list says of a machine."""
         state, records = self.state, self.records
         if item.id in state.gone or item.type not in state.types:
@@ -61,7 +60,7 @@
         machine = state.machines.get(item.id)
         if machine is None:
             place = Place(item.type, item.zone, item.spot)
-            machine = records.add(now, item.id, place, UNPOOLED, EMPTY)
+            machine = records.add(now, item.id, place, NO_SHARD, Occupancy.EMPTY)
             machine.rented_at = now - item.age_s
             state.fleet_store.rented(now, item.id, place)
         machine.listed = True
@@ -69,5 +68,5 @@
             records.learn_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.entry.failed:
             # It has stopped on its own: nothing runs there any more.
-            records.update(machine, failed=True, may_hold=EMPTY)
+            records.update(machine, failed=True, may_hold=Occupancy.EMPTY)
             self.rentals.release(now, [machine])
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Iterable
 
-from copperpass import peer, wire
 from copperpass.core.autoscaling.cloud_listing import CloudListing
 from copperpass.core.autoscaling.instance_requests import Rentals
 from copperpass.core.autoscaling.machine_records import MachineRecords
@@ -12,8 +11,16 @@
 from copperpass.core.autoscaling.planner import Planner
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
 from copperpass.core.shards.grants import Grants
-from copperpass.core.shards.routing import Status
 from copperpass.core.storage.machine_inventory import FLEET, StoredFleet, page_number
+from copperpass.protocol.frames.messages import (
+    Grant,
+    GrantRequest,
+    MachineRequests,
+    Share,
+    Status,
+    ZoneTies,
+)
+from copperpass.protocol.workers import Report
 
 __all__ = ["UNKNOWN_REVISION", "ClusterManager", "ManagerContext"]
 
@@ -67,7 +74,7 @@
         """The version of the token counter that guards this term's writes."""
         return self.state.token_version()
 
-    def shares(self) -> tuple[peer.Share, ...]:
+    def shares(self) -> tuple[Share, ...]:
         """Who owns what."""
         return self.grants.shares()
 
@@ -100,7 +107,7 @@
 
     # -- frames and reports ------------------------------------------------------------------
 
-    def pulled(self, now: float, sender: str, pull: peer.GrantRequest) -> peer.Grant | None:
+    def pulled(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
         """A member asks to have its grants extended."""
         return self.grants.pulled(now, sender, pull)
 
@@ -108,17 +115,17 @@
         """An owner's table has news."""
         self.following.told(now, sender, statuses)
 
-    def tied(self, frame: peer.ZoneTies) -> None:
+    def tied(self, frame: ZoneTies) -> None:
         """An owner says in which zone jobs must find room; older owners don't."""
         pool = self.pools.get(frame.pool)
         if pool is not None:
             pool.ties = dict(frame.zones)
 
-    def asked(self, now: float, wants: peer.MachineRequests) -> None:
+    def asked(self, now: float, wants: MachineRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         self.planner.asked(now, wants)
 
-    def unowned(self, now: float, report: wire.Report) -> None:
+    def unowned(self, now: float, report: Report) -> None:
         """A machine reports that is in nobody's pool: find out whose it is."""
         self.following.unowned(now, report)
 
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -2,13 +2,20 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.provisioning import Place
 from copperpass.core.autoscaling.state import Booking, ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.kvstore.transactions import Budget
 from copperpass.core.ports import NO_ANSWER, Call, Outcome
-from copperpass.core.shards.routing import EMPTY
+from copperpass.protocol.cloud import (
+    INSTANCES_PATH,
+    RELEASE_PATH,
+    Rented,
+    instance_request_body,
+    release_body,
+)
+from copperpass.protocol.frames.messages import Occupancy
+from copperpass.protocol.json_codec import decode
 
 # Returns and lists of machines may take this part of the cloud's rate; as much of it as comes up
 # in the second figure's seconds can be saved up.
@@ -77,15 +84,15 @@
             if outcome.status != NO_ANSWER:
                 self.fleet_store.ended(n, request, [])
 
-        body = wire.rental(request, place.type, place.zone, place.spot, booking.machines)
-        self.out.calls.append(Call("cloud", "POST", wire.PATH_RENTALS, then, body, CALL_TIMEOUT_S))
+        body = instance_request_body(request, place.type, place.zone, place.spot, booking.machines)
+        self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, then, body, CALL_TIMEOUT_S))
 
     def _rented(self, now: float, booking: Booking, request: str, body: bytes) -> None:
         """The cloud has carried out a booking, in full or in part."""
         state, place = self.state, booking.place
         known = state.renting.pop(request, None)
         pool = known.pool if known is not None else state.neediest_pool()
-        rented = wire.decode(body, wire.Rented)
+        rented = decode(body, Rented)
         names = rented.machines if rented else []
         if len(names) < booking.machines:
             state.refusals.refused(place, now, state.boot_s / 2)
@@ -95,7 +102,7 @@
         self.fleet_store.ended(now, request, names)
         for name in names:
             if name not in state.machines and name not in state.gone:
-                self.records.add(now, name, place, pool, EMPTY)
+                self.records.add(now, name, place, pool, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
         """Return machines, with those whose return hasn't been confirmed."""
@@ -118,5 +125,5 @@
                 for machine in waiting:
                     self.records.mark_gone(n, machine)
 
-        body = wire.release([machine.entry.name for machine in waiting])
-        self.out.calls.append(Call("cloud", "POST", wire.PATH_RELEASE, then, body, CALL_TIMEOUT_S))
+        body = release_body([machine.entry.name for machine in waiting])
+        self.out.calls.append(Call("cloud", "POST", RELEASE_PATH, then, body, CALL_TIMEOUT_S))
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -6,16 +6,8 @@
 
 from copperpass.core.autoscaling.provisioning import Place
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.shards.routing import (
-    ANYBODY,
-    EMPTY,
-    MOST_HANDOVERS,
-    UNPOOLED,
-    Contact,
-    Entry,
-    Status,
-    base_token,
-)
+from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
+from copperpass.protocol.frames.messages import NO_SHARD, Contact, Entry, Occupancy, Status
 
 # Handovers left beside one for each machine when a term gives up its authority.
 HANDOVERS_KEPT = 1000
@@ -67,7 +59,7 @@
             place.spot,
             pool,
             base,
-            may_hold if recorded else EMPTY,
+            may_hold if recorded else Occupancy.EMPTY,
             recorded,
             contact=contact,
         )
@@ -84,9 +76,9 @@
             if place.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
                 known = hint is not None and not hint.gone
-                pool = hint.pool if hint is not None and known else UNPOOLED
+                pool = hint.pool if hint is not None and known else NO_SHARD
                 contact = hint.contact if hint is not None and known else None
-                self.add(now, name, place, pool, ANYBODY, contact)
+                self.add(now, name, place, pool, Occupancy.ANY_SHARD, contact)
 
     def mark_recorded(self, now: float, names: set[str]) -> None:
         """The fleet's record says of these machines that they have been up."""
@@ -111,7 +103,7 @@
         """Change who commands a machine, under a higher token."""
         base = self.next_base()
         machine.back_for, machine.back_until = None, 0.0
-        proven = status is not None and may_hold == EMPTY and status.contact is not None
+        proven = status is not None and may_hold == Occupancy.EMPTY and status.contact is not None
         contact = status.contact if status is not None and proven else machine.entry.contact
         machine.status = Status(machine.entry.name, base, up=machine.status.up)
         self.update(
@@ -130,7 +122,7 @@
         self, now: float, machine: ManagedMachine, pool: int | None, vacate: bool = False
     ) -> None:
         """Ask a machine's owner to give it back: for another pool, or to be returned."""
-        if machine.entry.pool == UNPOOLED:
+        if machine.entry.pool == NO_SHARD:
             return
         machine.back_for, machine.back_until = pool, now + self.state.report_s
         self.update(machine, back=True, vacate=vacate)
@@ -142,5 +134,5 @@
             return
         del self.state.machines[name]
         self.state.gone[name] = now
-        self.update(machine, gone=True, may_hold=EMPTY)
+        self.update(machine, gone=True, may_hold=Occupancy.EMPTY)
         self.fleet_store.gone(now, name)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from copperpass import wire
 from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, Rentals
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.provisioning import Place
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.jobs.job_table import JobTable
-from copperpass.core.shards.routing import EMPTY, OWN_POOL, UNPOOLED, Status
+from copperpass.protocol.frames.messages import NO_SHARD, Occupancy, Status
+from copperpass.protocol.workers import Report
 
 # A machine that hasn't come up after so many boot times is returned.
 BOOTS_TO_COME_UP = 5
@@ -50,8 +50,8 @@
         status = self._note_changes(now, machine, status)
         before, machine.status = machine.status, status
         machine.used_cpus = status.used_cpus
-        if status.settled and not before.settled and machine.entry.may_hold != EMPTY:
-            records.update(machine, may_hold=EMPTY)
+        if status.settled and not before.settled and machine.entry.may_hold != Occupancy.EMPTY:
+            records.update(machine, may_hold=Occupancy.EMPTY)
         if status.contact is not None and not status.given:
             records.learn_contact(machine, status.contact.address, status.contact.session)
         if status.given:
@@ -79,18 +79,18 @@
 
     def _given(self, now: float, machine: ManagedMachine, status: Status) -> None:
         """An owner has given a machine back: nobody commands it now."""
-        if status.pool != UNPOOLED:
+        if status.pool != NO_SHARD:
             # It holds tasks of another pool.
-            self.records.rebase(machine, status.pool, machine.entry.may_hold or OWN_POOL)
+            self.records.rebase(machine, status.pool, machine.entry.may_hold or Occupancy.OWN_SHARD)
         elif machine.back_for is not None:
-            self.records.rebase(machine, machine.back_for, EMPTY, status)
+            self.records.rebase(machine, machine.back_for, Occupancy.EMPTY, status)
         else:
-            self.records.rebase(machine, UNPOOLED, EMPTY, status)
+            self.records.rebase(machine, NO_SHARD, Occupancy.EMPTY, status)
             self.rentals.release(now, [machine])
 
     # -- machines that nobody owns ----------------------------------------------------------
 
-    def unowned(self, now: float, report: wire.Report) -> None:
+    def unowned(self, now: float, report: Report) -> None:
         """A machine reports that is in nobody's pool: find out whose it is."""
         state = self.state
         machine = state.machines.get(report.machine)
@@ -100,12 +100,12 @@
             # Unexpected: rented by a request that was carried out late, or a late copy about a
             # machine that is gone. Whoever owns it will see whether answers reach it.
             place = Place(report.type, report.zone, report.spot)
-            machine = self.records.add(now, report.machine, place, UNPOOLED, EMPTY)
-        if machine.entry.pool != UNPOOLED or machine.releasing:
+            machine = self.records.add(now, report.machine, place, NO_SHARD, Occupancy.EMPTY)
+        if machine.entry.pool != NO_SHARD or machine.releasing:
             return
         self.records.rebase(machine, self._pool_of(report), machine.entry.may_hold)
 
-    def _pool_of(self, report: wire.Report) -> int:
+    def _pool_of(self, report: Report) -> int:
         """The pool with the most tasks in a report; the neediest if it has none."""
         counts: dict[int, int] = {}
         for task in report.tasks:
@@ -128,11 +128,11 @@
             again = machine.releasing and now - machine.release_sent > RELEASE_AGAIN_S
             if again or (never and not machine.releasing):
                 self.rentals.release(now, [machine])
-            unclaimed = machine.entry.may_hold != EMPTY and machine.entry.pool == UNPOOLED
+            unclaimed = machine.entry.may_hold != Occupancy.EMPTY and machine.entry.pool == NO_SHARD
             if unclaimed and now - state.won_at > state.lease_s + state.grant_s:
                 # Nobody has answered it in this term, nor under a grant of the term before, so its
                 # session is over; it is gone.
-                self.records.update(machine, may_hold=EMPTY)
+                self.records.update(machine, may_hold=Occupancy.EMPTY)
                 self.rentals.release(now, [machine])
         for name in [name for name, at in state.gone.items() if now - at > self.gone_s]:
             del state.gone[name]
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass
 
-from copperpass import wire
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.demand import DemandTracker
 from copperpass.core.autoscaling.machine_records import MachineRecords
@@ -19,7 +18,8 @@
 )
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling import objectives
-from copperpass.core.shards.routing import UNPOOLED
+from copperpass.protocol.frames.messages import NO_SHARD
+from copperpass.protocol.users import Spec
 
 # Requests older than this many reports' time are no longer true.
 REQUEST_REPORTS = 2
@@ -56,7 +56,7 @@
 
     job: Job
     # The job's shape, with the zone that it is tied to.
-    spec: wire.Spec
+    spec: Spec
     # Tasks that have found no room so far.
     left: int
     horizon: float
@@ -125,7 +125,7 @@
             if machine.spare
             and machine.entry.pool != pool.number
             and not machine.entry.back
-            and machine.entry.pool != UNPOOLED
+            and machine.entry.pool != NO_SHARD
         ]
         spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
         return PoolOffer(pool, serving, rooms, spare, self.lending.cover(serving))
@@ -154,7 +154,7 @@
     def _gang_zone(
         self,
         now: float,
-        spec: wire.Spec,
+        spec: Spec,
         count: int,
         rooms: list[provisioning.Room],
         spare: list[ManagedMachine],
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import peer
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.allocation_plan import allocate, fullness, remaining_by_team
 from copperpass.core.autoscaling.demand import Demand, DemandTracker
@@ -20,7 +19,7 @@
 )
 from copperpass.core.autoscaling.warm_capacity import WarmRoom
 from copperpass.core.scheduling import allocation
-from copperpass.core.shards.routing import ANYBODY
+from copperpass.protocol.frames.messages import MachineRequests, Occupancy
 
 # The part of patient work's room that doesn't count as warm room for work that can't wait.
 PATIENT_PART = 1.0
@@ -56,7 +55,7 @@
         self.next_plan = now + self.plan_s
         return True
 
-    def asked(self, now: float, frame: peer.MachineRequests) -> None:
+    def asked(self, now: float, frame: MachineRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         state = self.state
         pool = state.pools.get(frame.pool)
@@ -90,7 +89,7 @@
             self.state.pools.values(),
             key=lambda pool: fullness(pool, serving, remaining, allocated),
         )
-        if not any(machine.entry.may_hold == ANYBODY for machine in serving):
+        if not any(machine.entry.may_hold == Occupancy.ANY_SHARD for machine in serving):
             self._change(now, order, serving, warm, taken)
         if now >= self.next_summary:
             self.next_summary = now + SUMMARY_REPORTS * self.state.report_s
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -9,10 +9,12 @@
 
 import msgspec
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.machines import Machine, allows, type_fits
 from copperpass.core.scheduling.objectives import Aims, price_of, remaining
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.users import Spec
+from copperpass.protocol.workers import TaskState
 
 
 class Place(NamedTuple):
@@ -23,7 +25,7 @@
     spot: bool
 
 
-def longest_boot(types: dict[str, wire.MachineType]) -> float:
+def longest_boot(types: dict[str, MachineType]) -> float:
     """The longest usual boot time; before the offer is known, that of a common machine."""
     return max((t.boot_s for t in types.values()), default=20.0)
 
@@ -110,7 +112,7 @@
 class Room:
     """What a machine offers to tasks that wait, now or within their horizon."""
 
-    type: wire.MachineType
+    type: MachineType
     zone: str
     spot: bool
     cpus: float
@@ -123,7 +125,7 @@
     def __post_init__(self) -> None:
         self.most = self.cpus + sum(free[1] for free in self.frees)
 
-    def slots(self, spec: wire.Spec, count: int, horizon: float) -> int:
+    def slots(self, spec: Spec, count: int, horizon: float) -> int:
         """For how many tasks, up to `count`, that may start within the horizon there is room."""
         if count <= 0 or spec.cpus > self.most + 1e-6:
             return 0
@@ -139,7 +141,7 @@
                 slots = min(slots, int((have + 1e-6) / need))
         return max(0, slots)
 
-    def take(self, spec: wire.Spec, count: int, horizon: float) -> int:
+    def take(self, spec: Spec, count: int, horizon: float) -> int:
         """Give room to up to `count` tasks that may start within the horizon."""
         slots = self.slots(spec, count, horizon)
         if slots <= 0:
@@ -151,9 +153,7 @@
         return slots
 
 
-def fill_gang(
-    rooms: list[Room], spec: wire.Spec, count: int, horizon: float, closed: set[str]
-) -> int:
+def fill_gang(rooms: list[Room], spec: Spec, count: int, horizon: float, closed: set[str]) -> int:
     """Give room to a gang's tasks, to all of them or to none; returns how many are left."""
     zones: dict[str, list[Room]] = {}
     for room in rooms:
@@ -177,7 +177,7 @@
     return count
 
 
-def slots_on_new(machine_type: wire.MachineType, spec: wire.Spec, count: int) -> int:
+def slots_on_new(machine_type: MachineType, spec: Spec, count: int) -> int:
     """For how many of a job's tasks, up to `count`, an empty machine of a type has room."""
     per = [
         have / need
@@ -192,9 +192,9 @@
 
 
 def choose_place(
-    spec: wire.Spec | None,
+    spec: Spec | None,
     count: int,
-    types: dict[str, wire.MachineType],
+    types: dict[str, MachineType],
     zones: dict[str, int],
     refusals: Refusals,
     now: float,
@@ -245,7 +245,7 @@
             # A gang's task that waits for the others ends after them, not by itself.
             (remaining(p, now), p.cpus, p.gpus, p.memory_gb)
             for p in m.tasks.values()
-            if p.active and p.state != wire.GATHERING
+            if p.active and p.state != TaskState.GATHERING
         ]
         rooms.append(Room(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
     return rooms
@@ -267,7 +267,7 @@
     return not job.spec.spot and cannot_wait(job, aims, boot_s)
 
 
-def left_room(machine_type: wire.MachineType, place: Place, used_cpus: float) -> Room:
+def left_room(machine_type: MachineType, place: Place, used_cpus: float) -> Room:
     """About what a machine offers beside what runs there; its memory is taken to be as full."""
     part = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
     return Room(
@@ -281,7 +281,7 @@
     )
 
 
-def new_room(machine_type: wire.MachineType, place: Place) -> Room:
+def new_room(machine_type: MachineType, place: Place) -> Room:
     """What an empty machine offers."""
     return Room(
         machine_type,
@@ -294,7 +294,7 @@
     )
 
 
-def tied(spec: wire.Spec, zones: Iterable[str]) -> wire.Spec:
+def tied(spec: Spec, zones: Iterable[str]) -> Spec:
     """A job as it may still be placed: in one zone for all, where its other tasks are.
 
     Counted and rented elsewhere, room is of no use to it: machines came up, idled and went back.
@@ -310,7 +310,7 @@
     return [room for room in rooms if room.most + 1e-6 >= least_cpus]
 
 
-def fill(rooms: list[Room], spec: wire.Spec, count: int, horizon: float, closed: set[str]) -> int:
+def fill(rooms: list[Room], spec: Spec, count: int, horizon: float, closed: set[str]) -> int:
     """Give room to tasks that may start within the horizon; returns how many are left."""
     for room in rooms:
         if count <= 0:
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -6,15 +6,16 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from copperpass import wire
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.provisioning import Place
 from copperpass.core.election.authority import GRANT_PER_TTL, Authority, certain_lease_s
 from copperpass.core.jobs.job_table import Job, JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
-from copperpass.core.shards.routing import Entry, Feed, Inbox, Status, Table
+from copperpass.core.shards.routing import Feed, Inbox, Table
 from copperpass.core.storage.machine_inventory import FleetStore, StoredFleet
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.frames.messages import Entry, Status
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -27,7 +28,7 @@
     """A rented machine, as the leader sees it."""
 
     entry: Entry
-    type: wire.MachineType
+    type: MachineType
     rented_at: float
     status: Status
     up_at: float = 0.0
@@ -121,7 +122,7 @@
     transactions: TransactionQueue
     authority: Authority
     jobs: JobTable
-    types: dict[str, wire.MachineType]
+    types: dict[str, MachineType]
     fleet: StoredFleet
     # The pool of each team.
     pools: dict[str, int]
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -21,7 +21,6 @@
 
 import msgspec
 
-from copperpass import peer, wire
 from copperpass.core.kvstore.transactions import (
     APPLIED,
     CONFLICT,
@@ -31,6 +30,16 @@
     TransactionQueue,
 )
 from copperpass.core.ports import Call, Outbox, Outcome
+from copperpass.protocol.frames.messages import Frame, Promise, PromiseRequest
+from copperpass.protocol.json_codec import decode, encode
+from copperpass.protocol.kvstore import (
+    LEASES_PATH,
+    LeaseMade,
+    lease_path,
+    put_key,
+    renew_lease_path,
+)
+from copperpass.protocol.records import LeadRecord, TokenRecord
 from copperpass.settings import Cluster, SettingsError
 
 DRIFT = 0.0005
@@ -99,7 +108,7 @@
         self.on_change = on_change
         # What was confirmed before this moment is known here.
         self.fresh_at = fresh_at
-        self.lead: wire.LeadRecord | None = None
+        self.lead: LeadRecord | None = None
         self.lead_version = 0
         self.counter = 0
         self.counter_version = 0
@@ -148,7 +157,7 @@
             if version < self.lead_version and raw is not None:
                 return
             had = self.lead
-            self.lead = wire.decode(raw, wire.LeadRecord) if raw is not None else None
+            self.lead = decode(raw, LeadRecord) if raw is not None else None
             self.lead_version = version if raw is not None else 0
             if self.lead is None:
                 if had is not None:
@@ -168,7 +177,7 @@
                 # Our own earlier run still holds the key: that process is gone, so end its lease.
                 self._end_key(now, self.lead.lease)
         elif key == TOKEN and raw is not None and version > self.counter_version:
-            record = wire.decode(raw, wire.TokenRecord)
+            record = decode(raw, TokenRecord)
             # Every campaign is guarded by the counter's version: an older one can't win any more.
             self.doubtful.clear()
             if record:
@@ -256,19 +265,19 @@
                 # A late write of the key is refused from now on.
                 self.doubtful.discard(lease)
 
-        self.out.calls.append(Call("state", "DELETE", wire.path_lease(lease), then, b"", self.ttl))
+        self.out.calls.append(Call("state", "DELETE", lease_path(lease), then, b"", self.ttl))
 
     # -- frames from the others -----------------------------------------------
 
-    def received(self, now: float, sender: str, frame: peer.Frame) -> None:
+    def received(self, now: float, sender: str, frame: Frame) -> None:
         """Take a frame of the election."""
-        if isinstance(frame, peer.PromiseRequest):
+        if isinstance(frame, PromiseRequest):
             granted = self._may_promise(frame.token)
             if granted:
                 self.promise_until = now + self.times.promise
                 self.highest = max(self.highest, frame.token)
-            self.out.send(sender, peer.Promise(frame.token, frame.number, granted))
-        elif isinstance(frame, peer.Promise):
+            self.out.send(sender, Promise(frame.token, frame.number, granted))
+        elif isinstance(frame, Promise):
             sent = self.asked.get(frame.number)
             if frame.granted and sent is not None and frame.token == self.token and self.leading:
                 until = sent + self.times.promise * (1 - 2 * DRIFT)
@@ -296,7 +305,7 @@
         for old in [n for n, at in self.asked.items() if now - at > self.times.promise]:
             del self.asked[old]
         for other in self.others:
-            self.out.send(other, peer.PromiseRequest(self.token, self.number))
+            self.out.send(other, PromiseRequest(self.token, self.number))
 
     # -- campaign -----------------------------------------------------------------
 
@@ -306,13 +315,11 @@
             return
         self.campaigning = True
         self.new_lease_sent = now
-        body = wire.encode({"ttl_ms": int(self.ttl * 1000)})
-        self.out.calls.append(
-            Call("state", "POST", wire.PATH_LEASES, self._leased, body, self.ttl / 3)
-        )
+        body = encode({"ttl_ms": int(self.ttl * 1000)})
+        self.out.calls.append(Call("state", "POST", LEASES_PATH, self._leased, body, self.ttl / 3))
 
     def _leased(self, now: float, outcome: Outcome) -> None:
-        made = wire.decode(outcome.body, wire.LeaseMade) if outcome.status == 200 else None
+        made = decode(outcome.body, LeaseMade) if outcome.status == 200 else None
         if made is None or self.lead is not None:
             if made is not None:
                 self._drop(made.lease)
@@ -320,14 +327,14 @@
             return
         self.new_lease = made.lease
         token = self.counter + 1
-        record = wire.LeadRecord(self.member, token, made.lease)
+        record = LeadRecord(self.member, token, made.lease)
         self.transactions.submit(
             now,
             Op(
                 {LEAD: 0, TOKEN: self.counter_version},
                 [
-                    wire.put(LEAD, msgspec.to_builtins(record), made.lease),
-                    wire.put(TOKEN, {"token": token, "member": self.member}),
+                    put_key(LEAD, msgspec.to_builtins(record), made.lease),
+                    put_key(TOKEN, {"token": token, "member": self.member}),
                 ],
                 lambda n, how, rev: self._campaigned(n, how, rev, token, made.lease),
                 now + self.ttl / 3,
@@ -343,7 +350,7 @@
             self.campaigning = False
             self.leading = True
             self.token, self.win_revision, self.lease = token, revision, lease
-            self.lead = wire.LeadRecord(self.member, token, lease)
+            self.lead = LeadRecord(self.member, token, lease)
             self.lead_version = revision
             self.counter, self.counter_version = token, revision
             self.counter_holder = self.member
@@ -383,7 +390,7 @@
             Call(
                 "state",
                 "POST",
-                wire.path_extend(lease),
+                renew_lease_path(lease),
                 lambda n, o: self._renewed(n, o, lease, now),
                 b"{}",
                 self.ttl / 3,
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from copperpass import wire
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.records import JobRecord
+from copperpass.protocol.users import Spec
 
 LIVE, OVER, COMPLETIONS = "c/live/", "d/job/", "c/ends/"
 EPS = 1e-6
@@ -54,7 +56,7 @@
 class Job:
     """A job and what this controller knows of its tasks."""
 
-    spec: wire.Spec
+    spec: Spec
     version: int
     arrived: float
     created: int
@@ -196,7 +198,7 @@
             self.again.append(index)
 
 
-def make_job(record: wire.JobRecord, version: int, now: float, day: float = 0.0) -> Job | None:
+def make_job(record: JobRecord, version: int, now: float, day: float = 0.0) -> Job | None:
     """A job from its record; `day` is the time of day less the steady clock's."""
     if record.spec is None:
         return None
@@ -237,7 +239,7 @@
 
     def saw_completions(self, key: str, raw: bytes | None) -> None:
         """Take in a record of ends."""
-        page = wire.decode(raw, dict[str, str]) if raw is not None else None
+        page = decode(raw, dict[str, str]) if raw is not None else None
         if page is None:
             self.pages.pop(key, None)
             return
@@ -262,7 +264,7 @@
                 del self.jobs[job_id]
                 return job, True
             return None, False
-        record = wire.decode(raw, wire.JobRecord)
+        record = decode(raw, JobRecord)
         if record is None:
             return None, False
         if job is None:
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -7,8 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from copperpass import wire
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, Outbox, Outcome
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.kvstore import TRANSACTION_PATH, Applied, Refused, transaction_body
+from copperpass.protocol.users import MAX_BODY_BYTES
 
 APPLIED, CONFLICT, UNAVAILABLE, UNKNOWN, INVALID = (
     "applied",
@@ -111,7 +113,7 @@
 
     def submit(self, now: float, op: Op) -> None:
         """Queue an operation; its `then` is always called once."""
-        op.size = len(wire.transaction(op.guards, op.writes))
+        op.size = len(transaction_body(op.guards, op.writes))
         self.queues[op.rank].append(op)
         self.pump(now)
 
@@ -142,7 +144,7 @@
                 fits = (
                     writes + len(op.writes) <= self.txn_ops
                     and len(guards) + len(op.guards) <= 4 * self.txn_ops
-                    and size + op.size <= wire.MAX_BODY * 0.9
+                    and size + op.size <= MAX_BODY_BYTES * 0.9
                     and not targets & (written | set(guards))
                     and not written & set(op.guards)
                     and all(guards.get(k, v) == v for k, v in op.guards.items())
@@ -173,9 +175,9 @@
             Call(
                 "state",
                 "POST",
-                wire.PATH_TXN,
+                TRANSACTION_PATH,
                 lambda now, outcome: self._done(now, batch, outcome),
-                wire.transaction(guards, writes),
+                transaction_body(guards, writes),
                 self.timeout,
             )
         )
@@ -184,12 +186,12 @@
         self.in_flight -= 1
         status = outcome.status
         if status == 200:
-            applied = wire.decode(outcome.body, wire.Applied)
+            applied = decode(outcome.body, Applied)
             self.pause = PAUSE_S
             for op in batch:
                 self._end(now, op, APPLIED, applied.revision if applied else 0)
         elif status == 409:
-            refused = wire.decode(outcome.body, wire.Refused)
+            refused = decode(outcome.body, Refused)
             failed = set(refused.failed) if refused else set()
             again = [op for op in batch if failed and not failed & set(op.guards)]
             for op in batch:
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 
-from copperpass import wire
 from copperpass.core.ports import Call, Outbox, Outcome
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.kvstore import Events, Listing, list_path, watch_path
 
 PREFIX = "c/"
 Saw = Callable[[float, str, bytes | None, int], None]
@@ -42,11 +43,11 @@
 
     def _list(self, after: str) -> None:
         self.out.calls.append(
-            Call("state", "GET", wire.path_list(PREFIX, after), self._page, b"", self.timeout)
+            Call("state", "GET", list_path(PREFIX, after), self._page, b"", self.timeout)
         )
 
     def _page(self, now: float, outcome: Outcome) -> None:
-        page = wire.decode(outcome.body, wire.Listing) if outcome.status == 200 else None
+        page = decode(outcome.body, Listing) if outcome.status == 200 else None
         if page is None:
             self._fail(now)
             return
@@ -69,7 +70,7 @@
         self.tick(now)
 
     def _follow(self) -> None:
-        path = wire.path_follow(PREFIX, self.revision, int(self.wait_s * 1000))
+        path = watch_path(PREFIX, self.revision, int(self.wait_s * 1000))
         self.out.calls.append(
             Call("state", "GET", path, self._news, b"", self.wait_s + self.timeout)
         )
@@ -79,7 +80,7 @@
             self.listed, self.busy = False, False
             self.tick(now)
             return
-        news = wire.decode(outcome.body, wire.Events) if outcome.status == 200 else None
+        news = decode(outcome.body, Events) if outcome.status == 200 else None
         if news is None:
             self._fail(now)
             return
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -8,9 +8,12 @@
 
 from __future__ import annotations
 
-from copperpass import __version__, wire
+from copperpass import __version__
 from copperpass.core.kvstore.transactions import APPLIED, PLAIN, Op, TransactionQueue
 from copperpass.core.ports import Call, Outbox, Outcome
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.kvstore import Item, key_path, put_key
+from copperpass.protocol.records import VersionRecord
 
 # Outside the prefix that all versions list and watch.
 VERSIONS = "v/"
@@ -57,8 +60,8 @@
 
         def then(now: float, outcome: Outcome) -> None:
             self.busy.discard(member)
-            item = wire.decode(outcome.body, wire.Item) if outcome.status == 200 else None
-            record = wire.decode(bytes(item.value), wire.VersionRecord) if item else None
+            item = decode(outcome.body, Item) if outcome.status == 200 else None
+            record = decode(bytes(item.value), VersionRecord) if item else None
             if member != self.member:
                 if record is not None and record.format >= FORMAT:
                     self.known.add(member)
@@ -68,7 +71,7 @@
                 self._write(now, item.version if item is not None else 0)
 
         self.out.calls.append(
-            Call("state", "GET", wire.path_key(VERSIONS + member), then, b"", self.timeout)
+            Call("state", "GET", key_path(VERSIONS + member), then, b"", self.timeout)
         )
 
     def _write(self, now: float, version: int) -> None:
@@ -83,5 +86,5 @@
 
         value = {"version": __version__, "format": FORMAT}
         self.transactions.submit(
-            now, Op({key: version}, [wire.put(key, value)], then, now + self.gap_s, PLAIN)
+            now, Op({key: version}, [put_key(key, value)], then, now + self.gap_s, PLAIN)
         )
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from copperpass import peer, wire
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
 from copperpass.core.autoscaling.provisioning import longest_boot
@@ -20,8 +19,28 @@
 from copperpass.core.scheduling.shard_scheduler import PoolScheduler
 from copperpass.core.shards.grant_client import BATCH, GrantClient
 from copperpass.core.shards.relay import Relay
-from copperpass.core.shards.routing import MOST_POOLS
 from copperpass.core.storage.machine_inventory import StoredFleet
+from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
+from copperpass.protocol.frames.messages import (
+    MAX_SHARDS,
+    NEVER_ANSWERED,
+    Entries,
+    Frame,
+    Grant,
+    GrantRequest,
+    Heartbeat,
+    JobCancelled,
+    MachineRequests,
+    RelayedAnswer,
+    RelayedReport,
+    RunningCounts,
+    Share,
+    Statuses,
+    ZoneTies,
+)
+from copperpass.protocol.json_codec import decode, encode, error_body
+from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.workers import Report, redirect_body
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
 
@@ -38,7 +57,7 @@
     partitioned = guaranteed > tuning.part_cpus_per_core * cluster.resources.cores
     if not partitioned:
         return {team.name: 0 for team in cluster.teams}
-    return {team.name: number % MOST_POOLS for number, team in enumerate(cluster.teams)}
+    return {team.name: number % MAX_SHARDS for number, team in enumerate(cluster.teams)}
 
 
 class Node:
@@ -115,7 +134,7 @@
             self.proven,
         )
         self.cluster_manager: ClusterManager | None = None
-        self.types: dict[str, wire.MachineType] = {}
+        self.types: dict[str, MachineType] = {}
         self.next_types = 0.0
         self.fetching_types = False
         self.stored_types = b""
@@ -174,44 +193,44 @@
                 before, upto, entries = feed.next(BATCH)
                 self.out.send(
                     member,
-                    peer.Entries(
+                    Entries(
                         cluster_manager.epoch, grantee.incarnation, before, upto, tuple(entries)
                     ),
                 )
 
-    def received(self, now: float, sender: str, frame: peer.Frame) -> None:
+    def received(self, now: float, sender: str, frame: Frame) -> None:
         """A frame from another controller."""
         self.peer_heard[sender] = now
-        if isinstance(frame, peer.Heartbeat):
-            if frame.state_age_ms != peer.NEVER:
+        if isinstance(frame, Heartbeat):
+            if frame.state_age_ms != NEVER_ANSWERED:
                 self.peer_state[sender] = now - frame.state_age_ms / 1000
-        elif isinstance(frame, peer.RunningCounts):
+        elif isinstance(frame, RunningCounts):
             self.peer_counts[sender] = frame.running
-        elif isinstance(frame, peer.RelayedReport):
-            report = wire.decode(frame.body, wire.Report)
+        elif isinstance(frame, RelayedReport):
+            report = decode(frame.body, Report)
             if report is not None:
                 status, body = self._answer(now, report, True)
-                self.out.send(sender, peer.RelayedAnswer(frame.number, status, body))
-        elif isinstance(frame, peer.ZoneTies):
+                self.out.send(sender, RelayedAnswer(frame.number, status, body))
+        elif isinstance(frame, ZoneTies):
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
                 self.cluster_manager.tied(frame)
-        elif isinstance(frame, peer.JobCancelled):
+        elif isinstance(frame, JobCancelled):
             self._job_cancelled(now, frame.job)
-        elif isinstance(frame, peer.RelayedAnswer):
+        elif isinstance(frame, RelayedAnswer):
             self.relay.answered(frame)
-        elif isinstance(frame, peer.GrantRequest):
+        elif isinstance(frame, GrantRequest):
             grant = (
                 self.cluster_manager.pulled(now, sender, frame) if self.cluster_manager else None
             )
             if grant is not None:
                 self.out.send(sender, grant)
-        elif isinstance(frame, peer.Grant):
+        elif isinstance(frame, Grant):
             self.grant_client.granted(now, sender, frame)
-        elif isinstance(frame, peer.Entries):
+        elif isinstance(frame, Entries):
             self.grant_client.entries(now, sender, frame)
-        elif isinstance(frame, peer.Statuses):
+        elif isinstance(frame, Statuses):
             self._told(now, sender, frame)
-        elif isinstance(frame, peer.MachineRequests):
+        elif isinstance(frame, MachineRequests):
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
                 self.cluster_manager.asked(now, frame)
         else:
@@ -219,9 +238,9 @@
 
     def report(self, now: float, request: object, body: bytes) -> None:
         """POST /v1/report."""
-        report = wire.decode(body, wire.Report)
+        report = decode(body, Report)
         if report is None:
-            self.out.replies.append(Reply(request, 400, wire.error("malformed report")))
+            self.out.replies.append(Reply(request, 400, error_body("malformed report")))
             return
         grant_client, name = self.grant_client, report.machine
         owner = grant_client.owner_of(name)
@@ -242,13 +261,13 @@
             owner = next(
                 (m for m in self.authority.others if m != owner and self._linked(now, m)), None
             )
-        self.out.replies.append(Reply(request, 421, wire.referral(owner)))
+        self.out.replies.append(Reply(request, 421, redirect_body(owner)))
 
     def _linked(self, now: float, member: str) -> bool:
         """Whether a member's beats, four in a promise's length, come in."""
         return now - self.peer_heard.get(member, float("-inf")) < self.times.promise
 
-    def _unowned(self, now: float, report: wire.Report) -> str | None:
+    def _unowned(self, now: float, report: Report) -> str | None:
         """Where a machine should go that nobody is known to command."""
         if self.cluster_manager is not None:
             if not self.cluster_manager.ready or not self.authority.entitled(now):
@@ -259,20 +278,20 @@
         leader = self.authority.leader_name()
         return leader if leader != self.settings.name else None
 
-    def _answer(self, now: float, report: wire.Report, handed: bool) -> tuple[int, bytes]:
+    def _answer(self, now: float, report: Report, handed: bool) -> tuple[int, bytes]:
         """What this node itself answers a report with."""
         entry = self.grant_client.directory.get(report.machine)
         owner = self.grant_client.schedulers.get(entry.pool) if entry is not None else None
         if owner is None or not self.grant_client.entitled(now):
             if self.cluster_manager is not None and entry is None and handed:
                 self._unowned(now, report)
-            return 421, wire.referral(None)
+            return 421, redirect_body(None)
         answer = owner.report(now, report, handed)
         if answer is None:
-            return 503, wire.error("not commanded here")
-        return 200, wire.encode(answer)
+            return 503, error_body("not commanded here")
+        return 200, encode(answer)
 
-    def _told(self, now: float, sender: str, frame: peer.Statuses) -> None:
+    def _told(self, now: float, sender: str, frame: Statuses) -> None:
         cluster_manager = self.cluster_manager
         if cluster_manager is None or frame.epoch != cluster_manager.epoch:
             return
@@ -309,7 +328,7 @@
         self._job_cancelled(now, job_id)
         for other in self.authority.others:
             if self.proven(other):
-                self.out.send(other, peer.JobCancelled(job_id))
+                self.out.send(other, JobCancelled(job_id))
 
     def _job_cancelled(self, now: float, job_id: str) -> None:
         job = self.jobs.mark_cancelled(job_id)
@@ -343,7 +362,7 @@
         elif key == TYPES and raw is not None:
             # A node that has just started can judge submissions and command workers before
             # the cloud has answered it.
-            offer = wire.decode(raw, wire.MachineTypes)
+            offer = decode(raw, MachineTypes)
             self.stored_types = raw
             if offer is not None and not self.types:
                 self._use_types(offer)
@@ -399,7 +418,7 @@
             self.cluster_manager.wait_out(before)
         grant_client.lead(self.cluster_manager)
 
-    def _make_owner(self, share: peer.Share) -> PoolScheduler:
+    def _make_owner(self, share: Share) -> PoolScheduler:
         grant_client = self.grant_client
         context = SchedulerContext(
             cluster=self.cluster,
@@ -447,10 +466,10 @@
         self.next_beat = now + self.times.promise / 4
 
         def age(at: float) -> int:
-            return min(peer.NEVER - 1, int((now - at) * 1000)) if at > 0 else peer.NEVER
+            return min(NEVER_ANSWERED - 1, int((now - at) * 1000)) if at > 0 else NEVER_ANSWERED
 
         # How fresh the view is: every answered request would say less of what this node can see.
-        beat = peer.Heartbeat(self.authority.counter, age(self.view.fresh_at))
+        beat = Heartbeat(self.authority.counter, age(self.view.fresh_at))
         for other in self.authority.others:
             self.out.send(other, beat)
         if self.schedulers and now >= self.next_counts:
@@ -461,14 +480,14 @@
                 if job.shown() and self.pools.get(job.spec.team, 0) in self.grant_client.schedulers
             }
             for other in self.authority.others:
-                self.out.send(other, peer.RunningCounts(counts))
+                self.out.send(other, RunningCounts(counts))
 
     def _fetch_types(self, now: float) -> None:
         self.fetching_types = True
 
         def then(n: float, outcome: Outcome) -> None:
             self.fetching_types = False
-            offer = wire.decode(outcome.body, wire.MachineTypes) if outcome.status == 200 else None
+            offer = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
             if offer is None:
                 self.next_types = n + 1.0 + self.rng.random()
                 return
@@ -477,9 +496,9 @@
             # Only the leader needs prices that follow the market.
             self.next_types = n + (30.0 if self.cluster_manager is not None else 300.0)
 
-        self.out.calls.append(Call("cloud", "GET", wire.PATH_TYPES, then, b"", 3.0))
+        self.out.calls.append(Call("cloud", "GET", MACHINE_TYPES_PATH, then, b"", 3.0))
 
-    def _use_types(self, offer: wire.MachineTypes) -> None:
+    def _use_types(self, offer: MachineTypes) -> None:
         self.types.update({t.name: t for t in offer.types})
         self.user_api.types = self.types
         longest = longest_boot(self.types)
@@ -488,10 +507,10 @@
         if self.cluster_manager is not None:
             self.cluster_manager.boot_s = longest
 
-    def _store_types(self, now: float, offer: wire.MachineTypes) -> None:
+    def _store_types(self, now: float, offer: MachineTypes) -> None:
         if self.cluster_manager is None or len(self.stored_types) > 0:
             return
-        if len(wire.encode(offer)) > self.cluster.state.least_value_bytes:
+        if len(encode(offer)) > self.cluster.state.least_value_bytes:
             self.types_too_large = True
             return
 
@@ -503,7 +522,7 @@
             # Written once: a late copy must not bring an older offer back.
             Op(
                 {TOKEN: self.authority.win_revision, TYPES: 0},
-                [wire.put(TYPES, msgspec.to_builtins(offer))],
+                [put_key(TYPES, msgspec.to_builtins(offer))],
                 then,
                 now + self.ttl,
                 GATHERED,
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from copperpass.peer import Frame
+from copperpass.protocol.frames.messages import Frame
 
 # A call without an answer may have been carried out, or be carried out yet. One that was not sent,
 # because no connection could be made, never will be.
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -4,12 +4,20 @@
 
 from collections.abc import Callable
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import task_id
 from copperpass.core.ports import Call, Outcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.state import PoolState
+from copperpass.protocol.json_codec import encode
+from copperpass.protocol.workers import (
+    COMMANDS_PATH,
+    Command,
+    CommandKind,
+    Direct,
+    Report,
+    TaskState,
+)
 
 # The part of all connections that direct commands of all pools together may take, and the least
 # number for one pool.
@@ -50,24 +58,24 @@
             machine.deaf_since = now
             self.context.out.log("debug", "machine may be deaf", machine=machine.name)
 
-    def for_report(self, now: float, machine: Machine, report: wire.Report) -> list[wire.Command]:
+    def for_report(self, now: float, machine: Machine, report: Report) -> list[Command]:
         """What the answer to a report tells the worker to do."""
         if not self.context.entitled(now):
             return []
-        commands: list[wire.Command] = []
+        commands: list[Command] = []
         raise_token = False
         for placement in machine.tasks.values():
             name = task_id(placement.job_id, placement.index)
-            if placement.state == wire.EXITED:
+            if placement.state == TaskState.EXITED:
                 if not placement.stored or not placement.seen:
                     continue
                 if placement.direct and placement.start_token >= report.token:
                     # A repeat of the start could still arrive: pass it with a higher token first.
                     raise_token = raise_token or machine.token <= placement.start_token
                     continue
-                commands.append(wire.Command(wire.FORGET, name, placement.attempt))
+                commands.append(Command(CommandKind.FORGET, name, placement.attempt))
             elif placement.stop is not None and placement.seen:
-                stop = wire.Command(wire.STOP, name, placement.attempt, placement.stop)
+                stop = Command(CommandKind.STOP, name, placement.attempt, placement.stop)
                 commands.append(stop)
                 placement.stop_sent = now
         if not machine.do_in_flight:
@@ -76,15 +84,13 @@
             commands += self._starts_for_report(now, machine, report)
         return commands
 
-    def _starts_for_report(
-        self, now: float, machine: Machine, report: wire.Report
-    ) -> list[wire.Command]:
+    def _starts_for_report(self, now: float, machine: Machine, report: Report) -> list[Command]:
         commands = []
         for placement in machine.starts:
             placement.sent_seq, placement.direct, placement.sent_at = report.seq, False, now
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
-            commands.append(wire.Command(wire.START, name, placement.attempt))
+            commands.append(Command(CommandKind.START, name, placement.attempt))
         machine.starts.clear()
         return commands
 
@@ -119,12 +125,12 @@
         for placement in stops:
             placement.stop_sent = now
             name = task_id(placement.job_id, placement.index)
-            commands.append(wire.Command(wire.STOP, name, placement.attempt, placement.stop))
+            commands.append(Command(CommandKind.STOP, name, placement.attempt, placement.stop))
         for placement in starts:
             placement.sent_at, placement.direct = now, True
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
-            commands.append(wire.Command(wire.START, name, placement.attempt))
+            commands.append(Command(CommandKind.START, name, placement.attempt))
         machine.starts.clear()
         machine.do_in_flight = True
         self.directs += 1
@@ -133,10 +139,10 @@
         def then(at: float, outcome: Outcome) -> None:
             self._answered(at, outcome, machine, starts, ordered)
 
-        body = wire.encode(wire.Direct(machine.token, max(1, machine.session), commands))
+        body = encode(Direct(machine.token, max(1, machine.session), commands))
         timeout = self.timing.report_s / 2 + 0.25
         self.context.out.calls.append(
-            Call("worker", "POST", wire.PATH_DO, then, body, timeout, machine.address)
+            Call("worker", "POST", COMMANDS_PATH, then, body, timeout, machine.address)
         )
 
     def _answered(
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -6,12 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from copperpass import wire
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.election.authority import GRANT_PER_TTL, certain_lease_s, times_of
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.workers import HEARTBEAT_ANSWER_S, NEXT_CONTROLLER_S
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -31,7 +32,7 @@
     out: Outbox
     transactions: TransactionQueue
     jobs: JobTable
-    types: dict[str, wire.MachineType]
+    types: dict[str, MachineType]
     versions: dict[str, int]
     # The pool that is scheduled, and the pool of each team.
     pool: int
@@ -80,7 +81,7 @@
         # before its grants: an owner of that term that hasn't seen it may answer workers for as
         # long as a grant.
         partitioned = len(set(context.pools.values())) > 1
-        rerouted_s = 1.25 * report_s + wire.REPORT_WAIT_S + 3 * wire.NEXT_NODE_S
+        rerouted_s = 1.25 * report_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
             report_s=report_s,
             lease_s=certain_lease_s(cluster),
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -10,7 +10,7 @@
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
-from copperpass.core.shards.routing import WaitingTasks
+from copperpass.protocol.frames.messages import WaitingTasks
 
 # The least weight of a team in the allocation.
 LEAST_WEIGHT = 1e-3
--- a/src/copperpass/core/scheduling/gang_planning.py
+++ b/src/copperpass/core/scheduling/gang_planning.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import EPS, Job
 from copperpass.core.scheduling.machines import Machine, allows, type_fits
 from copperpass.core.scheduling.objectives import remaining
 from copperpass.core.scheduling.ranking import Ranking
+from copperpass.protocol.users import Spec
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 Offer = tuple[float, bool, str, Machine]
 
 
-def _slots(spec: wire.Spec, room: tuple[float, float, float], most: int) -> int:
+def _slots(spec: Spec, room: tuple[float, float, float], most: int) -> int:
     """How many tasks fit into a room, up to `most`."""
     count = most
     for need, have in zip((spec.cpus, spec.gpus, spec.memory_gb), room, strict=True):
@@ -49,7 +49,7 @@
     return [{zone} for zone in sorted(zones) if taken <= {zone}]
 
 
-def _most_per_zone(spec: wire.Spec) -> int:
+def _most_per_zone(spec: Spec) -> int:
     """How many tasks of a gang one zone may take."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
@@ -155,9 +155,7 @@
     return GangHold(hold, now + last, short == 0)
 
 
-def _offers(
-    spec: wire.Spec, machine: Machine, need: int, now: float, free_to_all: bool
-) -> list[Offer]:
+def _offers(spec: Spec, machine: Machine, need: int, now: float, free_to_all: bool) -> list[Offer]:
     """A machine's free places, one after the other, by when they are there."""
     offers: list[Offer] = []
     room, had = list(machine.room()), 0
@@ -177,7 +175,7 @@
     return offers
 
 
-def _choose(spec: wire.Spec, offers: list[Offer], need: int) -> list[tuple[float, Machine]]:
+def _choose(spec: Spec, offers: list[Offer], need: int) -> list[tuple[float, Machine]]:
     """The first places, up to `need`, that don't put too many tasks into one zone."""
     most = _most_per_zone(spec)
     counts: dict[str, int] = {}
--- a/src/copperpass/core/scheduling/gangs.py
+++ b/src/copperpass/core/scheduling/gangs.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job, fits
 from copperpass.core.scheduling.gang_planning import gang_hold, plan_gang
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
@@ -10,6 +9,7 @@
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.protocol.workers import ExitCause, TaskState
 
 
 class GangMonitor:
@@ -32,7 +32,7 @@
         if placement.attempt != job.attempt:
             # Of another attempt, which only a leftover can be: neither may be added to.
             self.tasks.end_gang(now, job, StopReason.TWO_ATTEMPTS, 0.0)
-        elif placement.state in (wire.TASK_RUNNING, wire.SAVING):
+        elif placement.state in (TaskState.RUNNING, TaskState.SAVING):
             job.begun = True
 
     def exited(self, now: float, job: Job, placement: Placement) -> None:
@@ -40,11 +40,11 @@
         if job.ended():
             return
         if placement.attempt == job.attempt and not job.ending:
-            refused = placement.why in (wire.WHY_NO_ROOM, wire.WHY_BUSY, wire.WHY_UNKNOWN)
+            refused = placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN)
             waiting = not job.begun and (
                 refused
                 or placement.stop is not None
-                or (placement.why == wire.WHY_ERROR and not placement.running_at)
+                or (placement.why == ExitCause.ERROR and not placement.running_at)
             )
             if not waiting:
                 # Whatever the rest does now, it can't complete under this attempt.
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job, parse_task
 from copperpass.core.ports import NOT_SENT, Outcome
 from copperpass.core.scheduling import objectives
@@ -13,14 +12,18 @@
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.task_statuses import TaskReports
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.shards.routing import HANDOVER_SHIFT, UNPOOLED, Status
+from copperpass.core.shards.routing import HANDOVER_SHIFT
+from copperpass.protocol.frames.messages import NO_SHARD, Status
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.users import PRIORITY_LEVELS
+from copperpass.protocol.workers import Report, ReportAnswer
 
 # A task is moved off a machine that goes if it will still run for longer than this multiple of the
 # time that is left: estimates are rough.
 NOTICE_MARGIN = 1.5
 
 
-def proves_gone(machine: Machine, placement: Placement, report: wire.Report, full: bool) -> bool:
+def proves_gone(machine: Machine, placement: Placement, report: Report, full: bool) -> bool:
     """Whether a report without the task proves that it is not, and will not be, there."""
     if placement.seen:
         return True
@@ -52,9 +55,7 @@
         self.jobs, self.timing = context.jobs, state.timing
         self.machines, self.tally = state.machines, state.tally
 
-    def report(
-        self, now: float, report: wire.Report, handed: bool = False
-    ) -> wire.ReportAnswer | None:
+    def report(self, now: float, report: Report, handed: bool = False) -> ReportAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
@@ -67,7 +68,7 @@
             # could renew was sent before the newest message that we know of came in.
             newest = max(machine.last_report, machine.last_message)
             machine.last_answer = max(machine.last_answer, newest)
-            return wire.ReportAnswer(machine.token, [])
+            return ReportAnswer(machine.token, [])
         # A worker that has found its way here can be told directly again: a new machine's first
         # report often comes to another controller.
         machine.handed_until = now + 2 * self.timing.report_s if handed else float("-inf")
@@ -79,9 +80,9 @@
             self.state.last_report = now
         machine.last_answer = max(machine.last_answer, now)
         commands = self.commands.for_report(now, machine, report)
-        return wire.ReportAnswer(machine.token, commands)
+        return ReportAnswer(machine.token, commands)
 
-    def take(self, now: float, machine: Machine, report: wire.Report, full: bool) -> None:
+    def take(self, now: float, machine: Machine, report: Report, full: bool) -> None:
         """Bring what we know of a machine up to a newer report.
 
         `full`: the worker has sent it by itself; else it is the answer to a direct command.
@@ -99,7 +100,7 @@
             if machine.vacating and not machine.starts:
                 self.state.give_back_if_empty(machine)
 
-    def _take_session(self, now: float, machine: Machine, report: wire.Report, full: bool) -> None:
+    def _take_session(self, now: float, machine: Machine, report: Report, full: bool) -> None:
         """Note the session, and when the machine was heard."""
         if report.session != machine.session:
             if machine.session:
@@ -121,7 +122,7 @@
             machine.up, machine.up_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
-    def _take_proofs(self, now: float, machine: Machine, report: wire.Report) -> None:
+    def _take_proofs(self, now: float, machine: Machine, report: Report) -> None:
         """Note the cloud's notice, and what the token proves."""
         if report.notice_s is not None and machine.notice_until is None:
             until = machine.notice_until = now + report.notice_s
@@ -133,7 +134,7 @@
             self.state.unsettled.discard(machine.name)
             self.state.dirty = True
 
-    def _take_tasks(self, now: float, machine: Machine, report: wire.Report, full: bool) -> None:
+    def _take_tasks(self, now: float, machine: Machine, report: Report, full: bool) -> None:
         """Bring the machine's tasks up to those that are listed."""
         listed = set()
         for task in report.tasks:
@@ -161,8 +162,8 @@
         if not foreign:
             return
         if len(foreign) == len(machine.tasks) and not machine.do_in_flight:
-            pool = next((p.pool for p in foreign if p.pool != UNPOOLED), UNPOOLED)
-            if pool != UNPOOLED:
+            pool = next((p.pool for p in foreign if p.pool != NO_SHARD), NO_SHARD)
+            if pool != NO_SHARD:
                 last = Status(machine.name, machine.base, up=True, given=True, pool=pool)
                 self.state.part_with(machine, last)
                 return
@@ -218,7 +219,7 @@
         if placement.team == UNIDENTIFIED:
             spec = job.spec
             placement.team, placement.job_class = spec.team, spec.job_class
-            placement.priority = wire.PRIORITIES[spec.priority]
+            placement.priority = PRIORITY_LEVELS[spec.priority]
             placement.cpus, placement.gpus = spec.cpus, spec.gpus
             placement.memory_gb = spec.memory_gb
             placement.image, placement.estimate_s = spec.image, spec.estimate_s
@@ -278,7 +279,7 @@
         """A direct request was answered, or not: what has become of its starts."""
         report = None
         if outcome.status in (200, 409):
-            report = wire.decode(outcome.body, wire.Report)
+            report = decode(outcome.body, Report)
         mine = [p for p in starts if machine.tasks.get(p.key) is p and not p.seen]
         if outcome.status == NOT_SENT and ordered:
             # No connection: whatever is there can't be reached, so it gets nothing new for now.
@@ -304,7 +305,7 @@
         self.state.dirty = True
         self.commands.send(now, machine)
 
-    def _take_direct(self, now: float, machine: Machine, report: wire.Report) -> None:
+    def _take_direct(self, now: float, machine: Machine, report: Report) -> None:
         """Take what an answer reports, if it is newer than what is known."""
         if (report.session, report.seq) <= (machine.session, machine.seq):
             return
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import LIVE, OVER, Job
 from copperpass.core.kvstore.transactions import APPLIED, Op
 from copperpass.core.scheduling.context import SchedulerContext
@@ -10,6 +9,8 @@
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
+from copperpass.protocol.kvstore import delete_key, put_key
+from copperpass.protocol.users import JobState
 
 # The part of the limits of a record that is used, which leaves room for what is estimated.
 USED_PART = 0.8
@@ -45,7 +46,7 @@
             return
         job.storing = True
         key = LIVE + job.spec.id
-        final = {"final": wire.DONE, "count": job.spec.tasks}
+        final = {"final": JobState.DONE, "count": job.spec.tasks}
 
         def then(at: float, how: str, revision: int) -> None:
             job.storing = False
@@ -56,7 +57,7 @@
                 self.job_ended(at, job)
             # On a conflict the watch brings the newer record; the next scan tries again.
 
-        writes = [wire.remove(key), wire.put(OVER + job.spec.id, final)]
+        writes = [delete_key(key), put_key(OVER + job.spec.id, final)]
         deadline = now + 2 * self.state.timing.lease_s
         operation = Op({key: job.version}, writes, then, deadline)
         self.context.transactions.submit(now, operation)
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -11,9 +11,11 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job, fits
-from copperpass.core.shards.routing import Status
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.frames.messages import Status
+from copperpass.protocol.users import Spec
+from copperpass.protocol.workers import TaskState
 
 Key = tuple[str, int, int]
 # The team of a task whose job is not known.
@@ -83,7 +85,7 @@
     @property
     def active(self) -> bool:
         """Whether the task takes room on its machine."""
-        return self.state != wire.EXITED
+        return self.state != TaskState.EXITED
 
 
 @dataclass(slots=True)
@@ -91,7 +93,7 @@
     """A rented machine."""
 
     name: str
-    type: wire.MachineType
+    type: MachineType
     zone: str
     spot: bool
     # The lowest token of this handover; `token` is raised above it when needed.
@@ -185,7 +187,7 @@
             self.type.memory_gb - self.used_memory,
         )
 
-    def has_room(self, spec: wire.Spec) -> bool:
+    def has_room(self, spec: Spec) -> bool:
         """Whether a task fits now."""
         kind = self.type
         return (
@@ -194,7 +196,7 @@
             and fits(spec.gpus, kind.gpus - self.used_gpus)
         )
 
-    def fetch_s(self, spec: wire.Spec) -> float:
+    def fetch_s(self, spec: Spec) -> float:
         """Seconds until the machine has a job's image."""
         if spec.image in self.images:
             return 0.0
@@ -231,7 +233,7 @@
         )
 
 
-def allows(spec: wire.Spec, machine_type: wire.MachineType, zone: str, spot: bool) -> bool:
+def allows(spec: Spec, machine_type: MachineType, zone: str, spot: bool) -> bool:
     """Whether a job allows a type, a zone and a kind of machine."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
@@ -240,7 +242,7 @@
     return spec.spot or not spot
 
 
-def type_fits(spec: wire.Spec, machine_type: wire.MachineType) -> bool:
+def type_fits(spec: Spec, machine_type: MachineType) -> bool:
     """Whether one task fits an empty machine of a type."""
     return (
         fits(spec.cpus, machine_type.cpus)
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Iterable
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job, fits
 from copperpass.core.scheduling.machines import Placement, type_fits
+from copperpass.protocol.cloud import MachineType
+from copperpass.protocol.users import PRIORITY_LEVELS, Spec
 from copperpass.settings import Objective
 
 LATE = 1e6
@@ -111,14 +112,14 @@
     """
 
     def key(job: Job) -> tuple[bool, float, float, str]:
-        level = wire.PRIORITIES[job.spec.priority]
+        level = PRIORITY_LEVELS[job.spec.priority]
         due = aims.due(job, now) - level * bonus_s
-        return (level < wire.PRIORITIES["production"], due, job.arrived, job.spec.id)
+        return (level < PRIORITY_LEVELS["production"], due, job.arrived, job.spec.id)
 
     return sorted(jobs, key=key)
 
 
-def price_of(machine_type: wire.MachineType, spot: bool) -> float:
+def price_of(machine_type: MachineType, spot: bool) -> float:
     """What a machine costs an hour."""
     if spot and machine_type.spot_price is not None:
         return machine_type.spot_price
@@ -132,17 +133,17 @@
     of them at once. So such a type is kept from small tasks for as long as large ones are about.
     """
 
-    def __init__(self, types: dict[str, wire.MachineType], keep_s: float) -> None:
+    def __init__(self, types: dict[str, MachineType], keep_s: float) -> None:
         self.types, self.keep_s = types, keep_s
-        self.seen: dict[frozenset[str], tuple[float, wire.Spec]] = {}
+        self.seen: dict[frozenset[str], tuple[float, Spec]] = {}
         self.cache: dict[tuple[float, float, float], set[str]] = {}
         # The smallest of the tasks that are about now and that a type is kept for, by type.
-        self.smallest: dict[str, wire.Spec] = {}
+        self.smallest: dict[str, Spec] = {}
 
     def note(self, now: float, jobs: Iterable[Job]) -> None:
         """Take in the jobs that are about."""
         before = set(self.seen)
-        shapes: dict[tuple[float, float, float], wire.Spec] = {}
+        shapes: dict[tuple[float, float, float], Spec] = {}
         for job in jobs:
             spec = job.spec
             shapes.setdefault((spec.cpus, spec.gpus, spec.memory_gb), spec)
@@ -156,17 +157,17 @@
         if set(self.seen) != before:
             self.cache.clear()
 
-    def _note_smallest(self, types: Iterable[str], spec: wire.Spec) -> None:
+    def _note_smallest(self, types: Iterable[str], spec: Spec) -> None:
         for name in types:
             smallest = self.smallest.get(name)
             if smallest is None or spec.cpus < smallest.cpus:
                 self.smallest[name] = spec
 
-    def fitting(self, spec: wire.Spec) -> frozenset[str]:
+    def fitting(self, spec: Spec) -> frozenset[str]:
         """The types that one task fits."""
         return frozenset(t.name for t in self.types.values() if type_fits(spec, t))
 
-    def closed_to(self, spec: wire.Spec) -> set[str]:
+    def closed_to(self, spec: Spec) -> set[str]:
         """The types that are kept from a job's tasks."""
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
         closed = self.cache.get(shape)
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -7,7 +7,7 @@
 from copperpass.core.scheduling.machines import Machine, StopReason
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.shards.routing import ANYBODY, EMPTY, Contact, Entry, Status
+from copperpass.protocol.frames.messages import Contact, Entry, Occupancy, Status
 
 
 class Ownership:
@@ -56,7 +56,7 @@
         if entry.gone and machine is not None:
             self._gone(now, machine)
         other_pool = entry.pool != self.context.pool and not entry.gone
-        if entry.may_hold == ANYBODY and other_pool and not entry.failed:
+        if entry.may_hold == Occupancy.ANY_SHARD and other_pool and not entry.failed:
             self.state.elsewhere[entry.name] = (entry.type, entry.zone, entry.spot)
         elif self.state.elsewhere.pop(entry.name, None) is not None:
             self.state.dirty = True
@@ -90,7 +90,7 @@
             machine.seq = entry.contact.seq
             machine.settled = machine.up = True
             machine.up_at = machine.last_report = machine.last_answer = now
-        elif entry.recorded and entry.may_hold != EMPTY:
+        elif entry.recorded and entry.may_hold != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
             machine.last_answer = now + self.state.timing.overlap_s
             self.state.unsettled.add(entry.name)
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -5,7 +5,6 @@
 import heapq
 from dataclasses import dataclass
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job, fits
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
@@ -19,6 +18,7 @@
 from copperpass.core.scheduling.reclaimable_capacity import stop_cost, victims, worth_saving
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Room is freed for as many tasks of a job at a time.
 MOST_AT_ONCE = 8
@@ -71,7 +71,7 @@
                 and state.aims.guarantee is not None
                 and fits(used[spec.team][0] + spec.cpus, state.by_team[spec.team].cpus)
             )
-            if lowest >= wire.PRIORITIES[spec.priority] and not under:
+            if lowest >= PRIORITY_LEVELS[spec.priority] and not under:
                 continue
             if stopping is None:
                 stopping = self._count_stopping()
@@ -126,7 +126,7 @@
     ) -> list[tuple[float, str, Machine, list[Placement]]]:
         """The work that would be lost on each machine, and the tasks to stop there."""
         job, under = claimant.job, claimant.under_guarantee
-        priority = wire.PRIORITIES[job.spec.priority]
+        priority = PRIORITY_LEVELS[job.spec.priority]
         machines, jobs = self.state.machines, self.jobs.jobs
         found: list[tuple[float, str, Machine, list[Placement]]] = []
         for machine in usable:
--- a/src/copperpass/core/scheduling/reclaimable_capacity.py
+++ b/src/copperpass/core/scheduling/reclaimable_capacity.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import EPS, Job, fits
 from copperpass.core.scheduling.machines import Machine, Placement, allows, type_fits, zone_allows
 from copperpass.core.scheduling.objectives import remaining
+from copperpass.protocol.users import PRIORITY_LEVELS, Spec
 
 
-def unsaved_work(placement: Placement, spec: wire.Spec | None, now: float) -> float:
+def unsaved_work(placement: Placement, spec: Spec | None, now: float) -> float:
     """The work since a task's last checkpoint, about: all of it where it never saves."""
     if not placement.running_at:
         return 0.0
@@ -16,13 +16,13 @@
     return ran % spec.checkpoint_s if spec is not None and spec.checkpoint_s > 0 else ran
 
 
-def stop_cost(placement: Placement, spec: wire.Spec | None, now: float) -> float:
+def stop_cost(placement: Placement, spec: Spec | None, now: float) -> float:
     """The seconds of work that stopping a task costs: lost, or spent on saving if that is less."""
     lost = unsaved_work(placement, spec, now)
     return min(lost, spec.save_s) if spec is not None and spec.checkpoint_s > 0 else lost
 
 
-def worth_saving(placement: Placement, spec: wire.Spec, slack_s: float, now: float) -> bool:
+def worth_saving(placement: Placement, spec: Spec, slack_s: float, now: float) -> bool:
     """Whether a task that is stopped to make room should save first.
 
     Not where saving takes longer than the work since its last checkpoint did, nor where the room
@@ -113,9 +113,9 @@
 ) -> list[Placement]:
     """The tasks on a machine that may be stopped for a job."""
     spec, placements = job.spec, machine.tasks.values()
-    mine = wire.PRIORITIES[spec.priority]
+    mine = PRIORITY_LEVELS[spec.priority]
     # A gang is stopped as a whole and begins anew as a whole: only for a guarantee or production.
-    spares = not under and mine < wire.PRIORITIES["production"]
+    spares = not under and mine < PRIORITY_LEVELS["production"]
     gangs = (
         {j for j in {p.job_id for p in placements} if j in jobs and jobs[j].spec.gang}
         if spares
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
@@ -23,8 +22,9 @@
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.task_statuses import TaskReports
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.shards.routing import Entry, Status, WaitingTasks
 from copperpass.core.storage.completions import CompletionStore
+from copperpass.protocol.frames.messages import Entry, Status, WaitingTasks
+from copperpass.protocol.workers import Report, ReportAnswer
 from copperpass.settings import Team
 
 
@@ -81,9 +81,7 @@
         """The leader's table has an entry for a machine."""
         self.ownership.learn(now, entry)
 
-    def report(
-        self, now: float, report: wire.Report, handed: bool = False
-    ) -> wire.ReportAnswer | None:
+    def report(self, now: float, report: Report, handed: bool = False) -> ReportAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -8,7 +8,7 @@
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.machines import Machine, Placement, Tally
 from copperpass.core.scheduling.objectives import Aims
-from copperpass.core.shards.routing import Contact, Status
+from copperpass.protocol.frames.messages import Contact, Status
 from copperpass.settings import Team
 
 # How many of a team's latest tasks tell what its next ones will ask for.
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gangs import GangMonitor
@@ -10,6 +9,7 @@
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import PoolState
 from copperpass.core.scheduling.tasks import TaskLifecycle, runs_alone
+from copperpass.protocol.workers import ExitCause, TaskReport, TaskState
 
 # A job that has failed on as many machines has probably a mistake of its own.
 FAILED_MACHINES = 3
@@ -33,9 +33,7 @@
         self.state, self.tasks, self.gangs, self.results = state, tasks, gangs, results
         self.out, self.jobs = context.out, context.jobs
 
-    def update(
-        self, now: float, machine: Machine, placement: Placement, task: wire.TaskReport
-    ) -> None:
+    def update(self, now: float, machine: Machine, placement: Placement, task: TaskReport) -> None:
         """A task is reported as being on a machine."""
         was_active = placement.active
         placement.seen = True
@@ -44,16 +42,16 @@
             machine.stale = True
             return
         job = self.jobs.jobs.get(placement.job_id)
-        if task.state == wire.EXITED:
+        if task.state == TaskState.EXITED:
             if was_active:
                 self._exited(now, machine, placement, task, job)
         elif was_active:
             self._is_active(now, placement, task, job)
 
     def _is_active(
-        self, now: float, placement: Placement, task: wire.TaskReport, job: Job | None
+        self, now: float, placement: Placement, task: TaskReport, job: Job | None
     ) -> None:
-        if task.state in (wire.TASK_RUNNING, wire.SAVING) and not placement.running_at:
+        if task.state in (TaskState.RUNNING, TaskState.SAVING) and not placement.running_at:
             placement.running_at = now
         placement.state = task.state
         if job is not None and job.spec.gang:
@@ -66,13 +64,13 @@
         now: float,
         machine: Machine,
         placement: Placement,
-        task: wire.TaskReport,
+        task: TaskReport,
         job: Job | None,
     ) -> None:
         """A task that was active is reported as ended."""
-        placement.state, placement.why = wire.EXITED, task.why or ""
+        placement.state, placement.why = TaskState.EXITED, task.why or ""
         machine.stale = True
-        if placement.why != wire.WHY_DONE:
+        if placement.why != ExitCause.DONE:
             self._log_end(now, machine, placement, task)
         if placement.team == UNIDENTIFIED and job is None:
             placement.stored = self.state.knows_over(placement)
@@ -80,13 +78,13 @@
         self.state.dirty = True
         if job is None:
             placement.stored = True
-        elif placement.why == wire.WHY_DONE:
+        elif placement.why == ExitCause.DONE:
             self._done(now, machine, placement, job)
         else:
             self._ended_undone(now, machine, placement, job)
 
     def _log_end(
-        self, now: float, machine: Machine, placement: Placement, task: wire.TaskReport
+        self, now: float, machine: Machine, placement: Placement, task: TaskReport
     ) -> None:
         self.out.log(
             "debug",
@@ -126,11 +124,11 @@
         if self._is_current(machine, placement, job):
             job.release(placement.index)
         report_s = self.state.timing.report_s
-        if placement.why == wire.WHY_ERROR:
+        if placement.why == ExitCause.ERROR:
             self._failed(now, machine, job)
-        elif placement.why in (wire.WHY_NO_ROOM, wire.WHY_BUSY):
+        elif placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
             machine.hold_until = now + report_s
-        elif placement.why == wire.WHY_UNKNOWN:
+        elif placement.why == ExitCause.UNKNOWN:
             # The worker fetches the description itself and may have been told nothing yet.
             job.hold_until = now + report_s
         if job.spec.gang:
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.state import PoolState
+from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Attempts are told apart by term, then by ownership within the term, then counted.
 EPOCH_SHIFT, SERIAL_SHIFT = 44, 28
@@ -53,7 +53,7 @@
             machine.name,
             spec.team,
             spec.job_class,
-            wire.PRIORITIES[spec.priority],
+            PRIORITY_LEVELS[spec.priority],
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -5,18 +5,30 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
 
-from copperpass import peer
 from copperpass.core.autoscaling.cluster_manager import UNKNOWN_REVISION, ClusterManager
 from copperpass.core.election.authority import DRIFT, GRANT_PER_TTL
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
 from copperpass.core.scheduling.shard_scheduler import PoolScheduler
-from copperpass.core.shards.routing import Entry, Feed, Inbox, Status, Table, WaitingTasks
+from copperpass.core.shards.routing import Feed, Inbox, Table
+from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME
+from copperpass.protocol.frames.messages import (
+    Entries,
+    Entry,
+    Grant,
+    GrantRequest,
+    MachineRequests,
+    Share,
+    Status,
+    Statuses,
+    WaitingTasks,
+    ZoneTies,
+)
 
 # Entries to a frame: some 70 bytes each.
 BATCH = 200
 PULLS_PER_GRANT = 6
-MakeOwner = Callable[[peer.Share], PoolScheduler]
+MakeOwner = Callable[[Share], PoolScheduler]
 
 
 class GrantClient:
@@ -44,7 +56,7 @@
         self.cluster_manager: ClusterManager | None = None
         self.local: Feed[Entry] | None = None
         self.schedulers: dict[int, PoolScheduler] = {}
-        self.shares: dict[int, peer.Share] = {}
+        self.shares: dict[int, Share] = {}
         self.directory: dict[str, Entry] = {}
         # What the terms before knew; kept until a later term has said better.
         self.hints: dict[str, Entry] = {}
@@ -110,7 +122,7 @@
                 self.asked.popitem(last=False)
             self.out.send(
                 self.leader,
-                peer.GrantRequest(self.epoch, self.incarnation, self.number, self.inbox.applied),
+                GrantRequest(self.epoch, self.incarnation, self.number, self.inbox.applied),
             )
         for number, owner in self.schedulers.items():
             share = self.shares[number]
@@ -130,11 +142,9 @@
             for number, owner in self.schedulers.items():
                 owner.needs_machines = False
                 if owner.ready:
-                    wants = tuple(owner.wants(now)[: peer.MOST_REQUESTS])
+                    wants = tuple(owner.wants(now)[:MAX_REQUESTS_PER_FRAME])
                     self._tell_ties(number, owner, wants)
-                    self._send(
-                        now, peer.MachineRequests(self.epoch, number, self.inbox.applied, wants)
-                    )
+                    self._send(now, MachineRequests(self.epoch, number, self.inbox.applied, wants))
 
     def refresh(self, now: float) -> None:
         """A leader's own table has changed and is needed at once."""
@@ -154,7 +164,7 @@
         self, number: int, owner: PoolScheduler, wants: tuple[WaitingTasks, ...]
     ) -> None:
         """Say in which zones the jobs that want machines must have them."""
-        frame = peer.ZoneTies(
+        frame = ZoneTies(
             self.epoch,
             number,
             tuple((job, owner.ties[job]) for job, _, _ in wants if job in owner.ties),
@@ -164,10 +174,10 @@
         elif self.proven(self.leader):
             self.out.send(self.leader, frame)
 
-    def _send(self, now: float, frame: peer.MachineRequests | peer.Statuses) -> None:
+    def _send(self, now: float, frame: MachineRequests | Statuses) -> None:
         if self.cluster_manager is None:
             self.out.send(self.leader, frame)
-        elif isinstance(frame, peer.MachineRequests):
+        elif isinstance(frame, MachineRequests):
             self.cluster_manager.asked(now, frame)
         else:
             self.cluster_manager.told(now, self.member, frame.statuses)
@@ -179,16 +189,14 @@
                 self.table.put(status)
         while self.feed.sent < self.table.seq:
             before, upto, statuses = self.feed.next(BATCH)
-            self._send(
-                now, peer.Statuses(self.epoch, self.incarnation, before, upto, tuple(statuses))
-            )
+            self._send(now, Statuses(self.epoch, self.incarnation, before, upto, tuple(statuses)))
         if self.cluster_manager is not None:
             self.feed.acknowledged(self.feed.sent)
             self._local(now, self.cluster_manager)
 
     # -- what the leader tells ------------------------------------------------------------
 
-    def granted(self, now: float, sender: str, grant: peer.Grant) -> None:
+    def granted(self, now: float, sender: str, grant: Grant) -> None:
         """The leader has answered a pull."""
         asked = self.asked.get(grant.number)
         mine = grant.epoch == self.epoch and grant.incarnation == self.incarnation
@@ -202,7 +210,7 @@
         self.feed.acknowledged(grant.applied)
         self._share(now, grant.shares)
 
-    def entries(self, now: float, sender: str, part: peer.Entries) -> None:
+    def entries(self, now: float, sender: str, part: Entries) -> None:
         """Part of the leader's table."""
         mine = sender == self.leader and part.epoch == self.epoch
         if (
@@ -223,7 +231,7 @@
             for owner in self.schedulers.values():
                 owner.learn(now, entry)
 
-    def _share(self, now: float, shares: Iterable[peer.Share]) -> None:
+    def _share(self, now: float, shares: Iterable[Share]) -> None:
         self.shares = {share.pool: share for share in shares}
         for number, owner in list(self.schedulers.items()):
             share = self.shares.get(number)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from copperpass import peer, wire
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import (
     UNKNOWN_REVISION,
@@ -13,7 +12,10 @@
 )
 from copperpass.core.election.authority import DRIFT, TOKEN
 from copperpass.core.ports import Call, Outcome
-from copperpass.core.shards.routing import EMPTY, OWN_POOL, Entry, Feed, Inbox
+from copperpass.core.shards.routing import Feed, Inbox
+from copperpass.protocol.frames.messages import Entry, Grant, GrantRequest, Occupancy, Share
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.kvstore import TRANSACTION_PATH, Applied, transaction_body
 
 # A member counts as live for this part of a grant's length after its last request.
 LIVE_PER_GRANT = 0.75
@@ -39,7 +41,7 @@
         # When a pool last changed hands of the leader's own will.
         self.passed_at = state.won_at
 
-    def pulled(self, now: float, sender: str, pull: peer.GrantRequest) -> peer.Grant | None:
+    def pulled(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
         """A member asks to have its grants extended."""
         state = self.state
         if pull.epoch != state.epoch or not self.authority.entitled(now):
@@ -52,7 +54,7 @@
         feed.acknowledged(pull.applied)
         self.share_out(now)
         length = self._extend(now, grantee)
-        return peer.Grant(
+        return Grant(
             state.epoch,
             pull.incarnation,
             pull.number,
@@ -90,10 +92,10 @@
             self.authority.granted_until = granted
         return length
 
-    def shares(self) -> tuple[peer.Share, ...]:
+    def shares(self) -> tuple[Share, ...]:
         """Who owns what."""
         return tuple(
-            peer.Share(pool.number, pool.owner, pool.serial, pool.revision, pool.at)
+            Share(pool.number, pool.owner, pool.serial, pool.revision, pool.at)
             for pool in self.state.pools.values()
             if pool.owner
         )
@@ -106,8 +108,8 @@
         for machine in list(self.state.machines.values()):
             if machine.entry.pool == pool.number:
                 may_hold = machine.entry.may_hold
-                if machine.entry.recorded and may_hold == EMPTY:
-                    may_hold = OWN_POOL
+                if machine.entry.recorded and may_hold == Occupancy.EMPTY:
+                    may_hold = Occupancy.OWN_SHARD
                 self.records.rebase(machine, pool.number, may_hold)
 
     def wait_out(self, before: dict[str, Grantee]) -> None:
@@ -205,7 +207,7 @@
         busy = {pool.owner for pool in state.pools.values()}
         live = [member for member in self._live(now) if member not in busy]
         machines = state.machines.values()
-        up = any(m.status.up or m.entry.may_hold != EMPTY for m in machines)
+        up = any(m.status.up or m.entry.may_hold != Occupancy.EMPTY for m in machines)
         if up:
             settled = all(m.status.settled or not m.status.up for m in machines)
             quiet = now - max(self.passed_at, state.won_at) > state.lease_s
@@ -223,7 +225,7 @@
         pool.reading, serial = True, pool.serial
 
         def then(n: float, outcome: Outcome) -> None:
-            applied = wire.decode(outcome.body, wire.Applied) if outcome.status == 200 else None
+            applied = decode(outcome.body, Applied) if outcome.status == 200 else None
             if pool.serial == serial:
                 pool.reading = False
                 if applied is not None:
@@ -233,9 +235,9 @@
             Call(
                 "state",
                 "POST",
-                wire.PATH_TXN,
+                TRANSACTION_PATH,
                 then,
-                wire.transaction({TOKEN: self.state.token_version()}, []),
+                transaction_body({TOKEN: self.state.token_version()}, []),
                 self.authority.ttl / 3,
             )
         )
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -11,8 +11,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from copperpass import peer, wire
 from copperpass.core.ports import Outbox, Reply
+from copperpass.protocol.frames.messages import RelayedAnswer, RelayedReport
+from copperpass.protocol.json_codec import error_body
 
 # Workers that can't reach their owner have their reports relayed for so many leases.
 STUCK_LEASES = 3
@@ -59,9 +60,9 @@
         """Send a report on."""
         self.number = (self.number + 1) & 0xFFFFFFFF
         self.pending[self.number] = (now + self.wait_s, request)
-        self.out.send(member, peer.RelayedReport(self.number, body))
+        self.out.send(member, RelayedReport(self.number, body))
 
-    def answered(self, frame: peer.RelayedAnswer) -> None:
+    def answered(self, frame: RelayedAnswer) -> None:
         """Pass an answer back; one that comes too late finds nobody waiting."""
         held = self.pending.pop(frame.number, None)
         if held is not None:
@@ -75,7 +76,7 @@
             if now < until:
                 break
             del self.pending[number]
-            self.out.replies.append(Reply(request, 503, wire.error("not reached")))
+            self.out.replies.append(Reply(request, 503, error_body("not reached")))
 
     def _forget(self, now: float) -> None:
         """Forget the workers that haven't come for longer than anything of them counts."""
--- a/src/copperpass/core/shards/routing.py
+++ b/src/copperpass/core/shards/routing.py
@@ -6,14 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Generic, NamedTuple, Protocol, TypeVar
-
-# A pool's number has one byte in frames; the highest stands for none.
-UNPOOLED = 255
-MOST_POOLS = UNPOOLED
-# Who a machine may hold tasks for that its commander has not seen: nobody, anybody, its own pool.
-EMPTY, ANYBODY, OWN_POOL = range(3)
+from typing import Generic, Protocol, TypeVar
 
 # A token says in its high bits which term of which leader it belongs to, then which handover of a
 # machine, and in the low bits how often its commander has raised it.
@@ -26,64 +19,6 @@
     return (epoch << EPOCH_SHIFT) + (handover << HANDOVER_SHIFT)
 
 
-@dataclass(frozen=True, slots=True)
-class Contact:
-    """Where a machine was heard last."""
-
-    address: str
-    session: int
-    seq: int
-
-
-@dataclass(frozen=True, slots=True)
-class Entry:
-    """A machine in the leader's table: whose it is, and under which token."""
-
-    name: str
-    type: str
-    zone: str
-    spot: bool
-    pool: int
-    base: int
-    may_hold: int = EMPTY
-    recorded: bool = False
-    # Its owner shall give it back if it is idle (`vacate`: in any case), to be used elsewhere.
-    back: bool = False
-    vacate: bool = False
-    failed: bool = False
-    gone: bool = False
-    contact: Contact | None = None
-    # Given back empty a moment ago under the same leader: the contact is certain, nothing is there.
-    proven: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class Status:
-    """A machine in an owner's table: what its reports have shown."""
-
-    name: str
-    base: int
-    up: bool = False
-    settled: bool = False
-    idle: bool = False
-    # Given back: its owner commands it no more. `pool`: whose tasks are on it, if not the owner's.
-    given: bool = False
-    pool: int = UNPOOLED
-    # Its owner wants it deleted.
-    release: bool = False
-    used_cpus: float = 0.0
-    contact: Contact | None = None
-
-
-class WaitingTasks(NamedTuple):
-    """Tasks of a job that an owner's machines have no room for in time."""
-
-    job: str
-    tasks: int
-    # Seconds until they should start.
-    horizon: float
-
-
 class Named(Protocol):
     """Whatever is told apart by a machine's name."""
 
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -19,7 +19,6 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from copperpass import wire
 from copperpass.core.election.authority import TOKEN
 from copperpass.core.jobs.job_table import (
     COMPLETIONS,
@@ -30,6 +29,7 @@
     split_segment,
 )
 from copperpass.core.kvstore.transactions import APPLIED, GATHERED, INVALID, Op, TransactionQueue
+from copperpass.protocol.kvstore import put_key
 
 # What marks the key of a page that holds a segment.
 SEGMENT = "s"
@@ -342,7 +342,7 @@
             now,
             Op(
                 {TOKEN: self.token_version(), page.key: version},
-                [wire.put(page.key, self._value(page))],
+                [put_key(page.key, self._value(page))],
                 then,
                 now + self.deadline_s,
                 GATHERED,
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -25,7 +25,6 @@
 
 import msgspec
 
-from copperpass import wire
 from copperpass.core.election.authority import TOKEN
 from copperpass.core.kvstore.transactions import (
     APPLIED,
@@ -37,6 +36,10 @@
     Op,
     TransactionQueue,
 )
+from copperpass.protocol.json_codec import decode, encode
+from copperpass.protocol.kvstore import delete_key, put_key
+from copperpass.protocol.records import FleetRecord, PlaceRecord
+from copperpass.protocol.users import MAX_BODY_BYTES
 
 FLEET = "c/fleet"
 PAGES = "c/fleet/"
@@ -65,17 +68,17 @@
 class StoredFleet:
     """What the view holds of the fleet's records; kept up by the watch."""
 
-    record: wire.FleetRecord | None = None
+    record: FleetRecord | None = None
     # 0: there is no such record.
     version: int = 0
-    pages: dict[int, tuple[wire.FleetRecord | None, int]] = field(default_factory=dict)
+    pages: dict[int, tuple[FleetRecord | None, int]] = field(default_factory=dict)
 
     def saw(self, key: str, raw: bytes | None, version: int) -> bool:
         """Take in a change; returns whether it concerns the fleet."""
         number = page_number(key)
         if key != FLEET and number is None:
             return False
-        record = wire.decode(raw, wire.FleetRecord) if raw is not None else None
+        record = decode(raw, FleetRecord) if raw is not None else None
         if number is None:
             self.record, self.version = record, version if raw is not None else 0
         elif raw is None:
@@ -187,9 +190,9 @@
 
     def load(
         self,
-        record: wire.FleetRecord | None,
+        record: FleetRecord | None,
         version: int,
-        pages: dict[int, tuple[wire.FleetRecord | None, int]] | None = None,
+        pages: dict[int, tuple[FleetRecord | None, int]] | None = None,
     ) -> None:
         """Take over what an earlier authority has stored."""
         self.version = version
@@ -219,7 +222,7 @@
         for page in list(self.pages.values()):
             self._relieve(page)
 
-    def _take(self, record: wire.FleetRecord) -> dict[str, Place]:
+    def _take(self, record: FleetRecord) -> dict[str, Place]:
         """Take a record's machines and bookings over; returns their places."""
         found: dict[str, Place] = {}
         for at in record.places:
@@ -446,7 +449,7 @@
 
         self.writing = self.removing = True
         guards = {TOKEN: self.token_version(), FLEET: self.version}
-        self._submit(now, Op(guards, [wire.remove(FLEET)], then, now + self.deadline_s, PLAIN))
+        self._submit(now, Op(guards, [delete_key(FLEET)], then, now + self.deadline_s, PLAIN))
 
     def _remove_leftover(self, now: float) -> None:
         """Pages of an interrupted move that are not in use: no truth, but keys for ever."""
@@ -463,7 +466,7 @@
                 self.next_write = n + 4 * self.gap_s
 
         self.writing = True
-        writes = [wire.remove(f"{PAGES}{n}") for n in numbers]
+        writes = [delete_key(f"{PAGES}{n}") for n in numbers]
         self._submit(now, Op(guards, writes, then, now + self.deadline_s, PLAIN))
         self.next_write = now + len(numbers) * self.gap_s
 
@@ -500,16 +503,16 @@
         self.next_write = now + self.gap_s
         self.transactions.submit(now, op)
 
-    def _record(self, items: dict[str, Place]) -> wire.FleetRecord:
+    def _record(self, items: dict[str, Place]) -> FleetRecord:
         """The record of some machines and bookings."""
-        held = {place: wire.PlaceRecord(*place) for place in set(items.values())}
+        held = {place: PlaceRecord(*place) for place in set(items.values())}
         for name in sorted(items):
             record = held[items[name]]
             if name in self.booked:
                 record.booked[name] = self.booked[name][1]
             else:
                 (record.up if name in self.up else record.fresh).append(name)
-        return wire.FleetRecord([held[place] for place in sorted(held)])
+        return FleetRecord([held[place] for place in sorted(held)])
 
     def _mark(self, now: float, marked: set[str]) -> None:
         """Marks as up that are certainly stored."""
@@ -533,7 +536,7 @@
 
         op = Op(
             {TOKEN: token, FLEET: version},
-            [wire.put(FLEET, value)],
+            [put_key(FLEET, value)],
             then,
             now + self.deadline_s,
             PLAIN,
@@ -578,10 +581,10 @@
         size = largest = 0
         for page in due:
             value = msgspec.to_builtins(self._record(page.items))
-            largest = max(largest, len(wire.encode(value)))
-            write = wire.put(page.key, value)
-            size += len(wire.encode(write)) + len(page.key) + PLACE_BYTES
-            if writes and size > wire.MAX_BODY * 0.8:
+            largest = max(largest, len(encode(value)))
+            write = put_key(page.key, value)
+            size += len(encode(write)) + len(page.key) + PLACE_BYTES
+            if writes and size > MAX_BODY_BYTES * 0.8:
                 break
             guards[page.key] = page.version
             writes.append(write)
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -10,11 +10,13 @@
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from copperpass import peer
+from copperpass.protocol.frames.codec import FrameError, encode_frame
+from copperpass.protocol.frames.messages import Frame, Hello, UnknownFrame
+from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import split_address
 
 logger = logging.getLogger("copperpass")
-Received = Callable[[str, peer.Frame], None]
+Received = Callable[[str, Frame], None]
 # A stuck link is given up after as many times the wait between two tries to connect.
 STUCK_RETRIES = 12
 
@@ -24,7 +26,7 @@
 
     def __init__(self, members: set[str], received: Received) -> None:
         self.members, self.received = members, received
-        self.unpacker = peer.Unpacker()
+        self.unpacker = FrameDecoder()
         self.sender = ""
         self.told_unknown = False
 
@@ -36,22 +38,22 @@
         """
         try:
             for frame in self.unpacker.feed(data):
-                if isinstance(frame, peer.Hello):
+                if isinstance(frame, Hello):
                     if self.sender or frame.member not in self.members:
-                        raise peer.BadFrame(f"wrong sender {frame.member!r}")
+                        raise FrameError(f"wrong sender {frame.member!r}")
                     self.sender = frame.member
                 elif not self.sender:
-                    raise peer.BadFrame("no hello")
-                elif isinstance(frame, peer.UnknownFrame):
+                    raise FrameError("no hello")
+                elif isinstance(frame, UnknownFrame):
                     self._skip(frame)
                 else:
                     self.received(self.sender, frame)
-        except peer.BadFrame as error:
+        except FrameError as error:
             logger.error("bad frame", extra={"fields": {"peer": self.sender, "why": str(error)}})
             if self.transport is not None:
                 self.transport.abortConnection()
 
-    def _skip(self, frame: peer.UnknownFrame) -> None:
+    def _skip(self, frame: UnknownFrame) -> None:
         """Say once for each link what its sender knows and this version doesn't."""
         if not self.told_unknown:
             self.told_unknown = True
@@ -86,7 +88,7 @@
         self.factory.link = self
         transport.setTcpNoDelay(True)
         transport.registerProducer(self, True)
-        transport.write(peer.pack(peer.Hello(self.factory.own)))
+        transport.write(encode_frame(Hello(self.factory.own)))
 
     def pauseProducing(self) -> None:
         """More waits than the transport likes to hold."""
@@ -171,6 +173,6 @@
         for link in self.outgoing.values():
             link.connect()
 
-    def send(self, member: str, frame: peer.Frame) -> None:
+    def send(self, member: str, frame: Frame) -> None:
         """Send a frame to one member."""
-        self.outgoing[member].send(peer.pack(frame))
+        self.outgoing[member].send(encode_frame(frame))
--- a/src/copperpass/net/server.py
+++ b/src/copperpass/net/server.py
@@ -7,7 +7,9 @@
 
 from twisted.web.http import HTTPFactory, Request
 
-from copperpass import wire
+from copperpass.protocol.json_codec import error_body
+from copperpass.protocol.users import CANCEL_SUFFIX, HEALTH_PATH, JOBS_PATH, MAX_BODY_BYTES
+from copperpass.protocol.workers import HEARTBEAT_PATH
 
 JSON = b"application/json"
 
@@ -17,7 +19,7 @@
 
     def write(self, data: Any) -> int:
         """Keep what is within the bound; the rest of an oversize body is dropped."""
-        super().write(data[: max(0, wire.MAX_BODY + 1 - self.tell())])
+        super().write(data[: max(0, MAX_BODY_BYTES + 1 - self.tell())])
         return len(data)
 
 
@@ -45,32 +47,32 @@
         method = self.method.decode("latin-1")
         service = self.service
         content: Any = self.content
-        if path == wire.PATH_REPORT:
+        if path == HEARTBEAT_PATH:
             if self._allow(method, "POST"):
-                service.report(self, content.read(wire.MAX_BODY + 1))
-        elif path == wire.PATH_HEALTH:
+                service.report(self, content.read(MAX_BODY_BYTES + 1))
+        elif path == HEALTH_PATH:
             if self._allow(method, "GET"):
                 self.reply(*service.health())
-        elif path == wire.PATH_JOBS:
+        elif path == JOBS_PATH:
             if self._allow(method, "POST"):
-                service.submit(self, content.read(wire.MAX_BODY + 1))
-        elif path.startswith(wire.PATH_JOBS + "/"):
-            rest = path[len(wire.PATH_JOBS) + 1 :]
-            if rest.endswith(wire.PATH_CANCEL) and rest.count("/") == 1:
+                service.submit(self, content.read(MAX_BODY_BYTES + 1))
+        elif path.startswith(JOBS_PATH + "/"):
+            rest = path[len(JOBS_PATH) + 1 :]
+            if rest.endswith(CANCEL_SUFFIX) and rest.count("/") == 1:
                 if self._allow(method, "POST"):
-                    service.cancel(self, rest[: -len(wire.PATH_CANCEL)])
+                    service.cancel(self, rest[: -len(CANCEL_SUFFIX)])
             elif "/" in rest or not rest:
-                self.reply(404, wire.error("no such path"))
+                self.reply(404, error_body("no such path"))
             elif self._allow(method, "GET"):
                 service.poll(self, rest)
         else:
-            self.reply(404, wire.error("no such path"))
+            self.reply(404, error_body("no such path"))
 
     def _allow(self, method: str, wanted: str) -> bool:
         if method == wanted:
             return True
         self.setHeader(b"allow", wanted.encode())
-        self.reply(405, wire.error("method not allowed"))
+        self.reply(405, error_body("method not allowed"))
         return False
 
     def connectionLost(self, reason: Any) -> None:
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -15,7 +15,7 @@
 from copperpass.net.client import Client
 from copperpass.net.peers import Peers
 from copperpass.net.server import ApiFactory
-from copperpass.peer import Frame
+from copperpass.protocol.frames.messages import Frame
 from copperpass.settings import Settings, split_address
 from copperpass.tuning import Tuning
 
--- /dev/null
+++ b/src/copperpass/protocol/cloud.py
@@ -0,0 +1,94 @@
+"""Messages between controllers and the cloud, with the field names of the protocol mapped here."""
+
+from __future__ import annotations
+
+import msgspec
+
+from copperpass.protocol.json_codec import encode
+
+MACHINE_TYPES_PATH = "/machine_types"
+INSTANCES_PATH = "/rentals"
+RELEASE_PATH = "/rentals/release"
+
+
+class MachineType(
+    msgspec.Struct,
+    rename={
+        "gpus": "cards",
+        "cache_gb": "local_gb",
+        "spot_price": "low_price",
+        "boot_s": "startup_s",
+        "zones": "halls",
+    },
+):
+    """A type of machine that the cloud rents."""
+
+    name: str
+    cpus: float
+    memory_gb: float
+    price: float
+    boot_s: float
+    zones: list[str]
+    gpus: float = 0.0
+    cache_gb: float = 0.0
+    fetch_gb_per_s: float = 1.0
+    spot_price: float | None = None
+
+
+class MachineTypes(msgspec.Struct, rename={"types": "racks"}):
+    """The cloud's offer."""
+
+    types: list[MachineType]
+
+
+class ListedMachine(
+    msgspec.Struct,
+    rename={
+        "type": "rack",
+        "zone": "hall",
+        "spot": "borrowed",
+        "state": "status",
+        "age_s": "held_s",
+    },
+):
+    """A machine in the cloud's list."""
+
+    id: str
+    type: str
+    zone: str
+    spot: bool
+    state: str
+    address: str | None = None
+    age_s: float = 0.0
+
+
+class MachineList(msgspec.Struct, rename={"machines": "presses", "more": "truncated"}):
+    """A page of the cloud's list."""
+
+    machines: list[ListedMachine]
+    more: bool = False
+
+
+class Rented(msgspec.Struct, rename={"machines": "presses"}):
+    """The machines that a rental request brought."""
+
+    machines: list[str]
+
+
+def instance_request_body(
+    request: str, machine_type: str, zone: str, spot: bool, count: int
+) -> bytes:
+    """The body of a rental request."""
+    return encode(
+        {"booking": request, "rack": machine_type, "hall": zone, "borrowed": spot, "count": count}
+    )
+
+
+def release_body(names: list[str]) -> bytes:
+    """The body of a deletion."""
+    return encode({"presses": names})
+
+
+def machines_path(after: str) -> str:
+    """Where machines are listed."""
+    return "/rentals?most=500" + (f"&since={after}" if after else "")
--- /dev/null
+++ b/src/copperpass/protocol/frames/codec.py
@@ -0,0 +1,481 @@
+"""The bytes of each kind of frame: one codec a kind, in one table."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import Any
+
+from copperpass.protocol.frames.messages import (
+    Contact,
+    Entries,
+    Entry,
+    Frame,
+    Grant,
+    GrantRequest,
+    Heartbeat,
+    Hello,
+    JobCancelled,
+    MachineRequests,
+    Promise,
+    PromiseRequest,
+    RelayedAnswer,
+    RelayedReport,
+    RunningCounts,
+    Share,
+    Status,
+    Statuses,
+    WaitingTasks,
+    ZoneTies,
+)
+
+MAGIC, FRAME_VERSION = b"cp", 3
+HEADER = struct.Struct("!2sBBI")
+# A heartbeat or its answer may have 64 KiB, a batch of routes some 20 KiB as a rule.
+MAX_PAYLOAD_BYTES = 1 << 18
+# Requests for machines in one frame, the most urgent first: with names of up to 55 bytes it stays
+# within a payload. The rest is asked for when these have been served.
+MAX_REQUESTS_PER_FRAME = 1 << 12
+MAX_TEXT_BYTES = 255
+
+
+class FrameKind(IntEnum):
+    """The kinds of frames, as the header has them."""
+
+    HELLO = 1
+    HEARTBEAT = 2
+    PROMISE_REQUEST = 3
+    PROMISE = 4
+    RUNNING_COUNTS = 5
+    RELAYED_REPORT = 6
+    RELAYED_ANSWER = 7
+    GRANT_REQUEST = 8
+    GRANT = 9
+    ENTRIES = 10
+    STATUSES = 11
+    MACHINE_REQUESTS = 12
+    # Members up to 0.3.0 close the link on a kind that they don't know: these go only to members
+    # that are proven to know them. Later ones skip what they don't know.
+    JOB_CANCELLED = 13
+    ZONE_TIES = 14
+
+
+class FrameError(Exception):
+    """Bytes that no controller of this version or a later one would send."""
+
+
+class NewerFrameError(Exception):
+    """A frame that is whole, but of a kind or with fields that this version doesn't know."""
+
+
+@dataclass(frozen=True, slots=True)
+class FrameCodec:
+    """How the payload of one kind of frame is written and read."""
+
+    kind: FrameKind
+    message_type: type[Frame]
+    encode: Callable[[Any], bytes]
+    decode: Callable[[PayloadReader], Frame]
+
+
+class PayloadReader:
+    """Reads a payload from front to back."""
+
+    def __init__(self, payload: bytes) -> None:
+        self.payload, self.offset = payload, 0
+
+    def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The values of a fixed layout; raises `struct.error` where the payload is too short."""
+        values = layout.unpack_from(self.payload, self.offset)
+        self.offset += layout.size
+        return values
+
+    def text(self) -> str:
+        """A text behind one byte of its length."""
+        if self.at_end():
+            raise FrameError("short")
+        return self.bytes_of(self.unpack(_LENGTH)[0]).decode()
+
+    def bytes_of(self, size: int) -> bytes:
+        """So many bytes."""
+        end = self.offset + size
+        if end > len(self.payload):
+            raise FrameError("short")
+        raw = self.payload[self.offset : end]
+        self.offset = end
+        return raw
+
+    def rest(self) -> bytes:
+        """All that is left."""
+        return self.bytes_of(len(self.payload) - self.offset)
+
+    def at_end(self) -> bool:
+        """Whether nothing is left."""
+        return self.offset >= len(self.payload)
+
+    def finish(self) -> None:
+        """Raise `NewerFrameError` if something is left."""
+        if not self.at_end():
+            raise NewerFrameError("longer than known")
+
+
+_LENGTH = struct.Struct("!B")
+_HEARTBEAT = struct.Struct("!QI")
+_PROMISE_REQUEST = struct.Struct("!QQ")
+_PROMISE = struct.Struct("!QQB")
+_RUNNING_COUNT = struct.Struct("!BI")
+_RELAYED_REPORT = struct.Struct("!I")
+_RELAYED_ANSWER = struct.Struct("!IH")
+_GRANT_REQUEST = struct.Struct("!QQIQ")
+_GRANT = struct.Struct("!QQIIQBQB")
+_SHARE = struct.Struct("!BIQQ")
+_BATCH = struct.Struct("!QQQQH")
+_ENTRY = struct.Struct("!BQBB")
+_STATUS = struct.Struct("!QBBf")
+_CONTACT = struct.Struct("!QQ")
+_MACHINE_REQUESTS = struct.Struct("!QBQH")
+_MACHINE_REQUEST = struct.Struct("!If")
+_ZONE_TIES = struct.Struct("!QBH")
+
+
+def _text(value: str) -> bytes:
+    raw = value.encode()[:MAX_TEXT_BYTES]
+    return _LENGTH.pack(len(raw)) + raw
+
+
+def _pack_flags(*values: bool) -> int:
+    return sum(1 << bit for bit, value in enumerate(values) if value)
+
+
+def _unpack_flags(flags: int, count: int) -> tuple[bool, ...]:
+    return tuple(bool(flags >> bit & 1) for bit in range(count))
+
+
+# -- parts of frames -------------------------------------------------------------------
+
+
+def _encode_contact(contact: Contact | None) -> bytes:
+    if contact is None:
+        return b""
+    return _text(contact.address) + _CONTACT.pack(contact.session, contact.seq)
+
+
+def _decode_contact(reader: PayloadReader, present: bool) -> Contact | None:
+    return Contact(reader.text(), *reader.unpack(_CONTACT)) if present else None
+
+
+def _encode_entry(entry: Entry) -> bytes:
+    flags = _pack_flags(
+        entry.spot,
+        entry.recorded,
+        entry.back,
+        entry.vacate,
+        entry.failed,
+        entry.gone,
+        entry.proven,
+        entry.contact is not None,
+    )
+    return (
+        _text(entry.name)
+        + _text(entry.type)
+        + _text(entry.zone)
+        + _ENTRY.pack(entry.pool, entry.base, entry.may_hold, flags)
+        + _encode_contact(entry.contact)
+    )
+
+
+def _decode_entry(reader: PayloadReader) -> Entry:
+    name, machine_type, zone = reader.text(), reader.text(), reader.text()
+    pool, base, may_hold, flags = reader.unpack(_ENTRY)
+    spot, recorded, back, vacate, failed, gone, proven, reached = _unpack_flags(flags, 8)
+    return Entry(
+        name=name,
+        type=machine_type,
+        zone=zone,
+        spot=spot,
+        pool=pool,
+        base=base,
+        may_hold=may_hold,
+        recorded=recorded,
+        back=back,
+        vacate=vacate,
+        failed=failed,
+        gone=gone,
+        contact=_decode_contact(reader, reached),
+        proven=proven,
+    )
+
+
+def _encode_status(status: Status) -> bytes:
+    flags = _pack_flags(
+        status.up,
+        status.settled,
+        status.idle,
+        status.given,
+        status.release,
+        status.contact is not None,
+    )
+    return (
+        _text(status.name)
+        + _STATUS.pack(status.base, flags, status.pool, status.used_cpus)
+        + _encode_contact(status.contact)
+    )
+
+
+def _decode_status(reader: PayloadReader) -> Status:
+    name = reader.text()
+    base, flags, pool, used_cpus = reader.unpack(_STATUS)
+    up, settled, idle, given, release, reached = _unpack_flags(flags, 6)
+    return Status(
+        name=name,
+        base=base,
+        up=up,
+        settled=settled,
+        idle=idle,
+        given=given,
+        pool=pool,
+        release=release,
+        used_cpus=used_cpus,
+        contact=_decode_contact(reader, reached),
+    )
+
+
+def _encode_share(share: Share) -> bytes:
+    return _text(share.member) + _SHARE.pack(share.pool, share.serial, share.revision, share.at)
+
+
+def _decode_share(reader: PayloadReader) -> Share:
+    member = reader.text()
+    pool, serial, revision, at = reader.unpack(_SHARE)
+    return Share(pool, member, serial, revision, at)
+
+
+def _encode_request(request: WaitingTasks) -> bytes:
+    job_id, tasks, horizon = request
+    return _text(job_id) + _MACHINE_REQUEST.pack(tasks, horizon)
+
+
+def _decode_request(reader: PayloadReader) -> WaitingTasks:
+    job_id = reader.text()
+    return WaitingTasks(job_id, *reader.unpack(_MACHINE_REQUEST))
+
+
+# -- frames ----------------------------------------------------------------------------
+
+
+def _encode_heartbeat(frame: Heartbeat) -> bytes:
+    return _HEARTBEAT.pack(frame.token, frame.state_age_ms)
+
+
+def _encode_promise_request(frame: PromiseRequest) -> bytes:
+    return _PROMISE_REQUEST.pack(frame.token, frame.number)
+
+
+def _encode_promise(frame: Promise) -> bytes:
+    return _PROMISE.pack(frame.token, frame.number, frame.granted)
+
+
+def _decode_promise(reader: PayloadReader) -> Promise:
+    token, number, granted = reader.unpack(_PROMISE)
+    reader.finish()
+    if granted > 1:
+        raise FrameError("neither yes nor no")
+    return Promise(token, number, bool(granted))
+
+
+def _encode_running_counts(frame: RunningCounts) -> bytes:
+    """As many counts as one payload holds: they serve display alone."""
+    parts: list[bytes] = []
+    size = 0
+    for job_id, count in frame.running.items():
+        name = job_id.encode()
+        size += _RUNNING_COUNT.size + len(name)
+        if size > MAX_PAYLOAD_BYTES:
+            break
+        parts.append(_RUNNING_COUNT.pack(len(name), count) + name)
+    return b"".join(parts)
+
+
+def _decode_running_counts(reader: PayloadReader) -> RunningCounts:
+    running: dict[str, int] = {}
+    while not reader.at_end():
+        size, count = reader.unpack(_RUNNING_COUNT)
+        running[reader.bytes_of(size).decode()] = count
+    return RunningCounts(running)
+
+
+def _encode_relayed_report(frame: RelayedReport) -> bytes:
+    return _RELAYED_REPORT.pack(frame.number) + frame.body
+
+
+def _decode_relayed_report(reader: PayloadReader) -> RelayedReport:
+    (number,) = reader.unpack(_RELAYED_REPORT)
+    return RelayedReport(number, reader.rest())
+
+
+def _encode_relayed_answer(frame: RelayedAnswer) -> bytes:
+    return _RELAYED_ANSWER.pack(frame.number, frame.status) + frame.body
+
+
+def _decode_relayed_answer(reader: PayloadReader) -> RelayedAnswer:
+    number, status = reader.unpack(_RELAYED_ANSWER)
+    return RelayedAnswer(number, status, reader.rest())
+
+
+def _encode_grant_request(frame: GrantRequest) -> bytes:
+    return _GRANT_REQUEST.pack(frame.epoch, frame.incarnation, frame.number, frame.applied)
+
+
+def _encode_grant(frame: Grant) -> bytes:
+    head = _GRANT.pack(
+        frame.epoch,
+        frame.incarnation,
+        frame.number,
+        frame.length_ms,
+        frame.token_version,
+        frame.dear_excess,
+        frame.applied,
+        len(frame.shares),
+    )
+    return head + b"".join(_encode_share(share) for share in frame.shares)
+
+
+def _decode_grant(reader: PayloadReader) -> Grant:
+    epoch, incarnation, number, length_ms, token_version, dear_excess, applied, count = (
+        reader.unpack(_GRANT)
+    )
+    return Grant(
+        epoch=epoch,
+        incarnation=incarnation,
+        number=number,
+        length_ms=length_ms,
+        token_version=token_version,
+        dear_excess=bool(dear_excess),
+        applied=applied,
+        shares=tuple(_decode_share(reader) for _ in range(count)),
+    )
+
+
+def _encode_entries(frame: Entries) -> bytes:
+    head = _BATCH.pack(frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.entries))
+    return head + b"".join(_encode_entry(entry) for entry in frame.entries)
+
+
+def _decode_entries(reader: PayloadReader) -> Entries:
+    epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
+    entries = tuple(_decode_entry(reader) for _ in range(count))
+    return Entries(epoch, incarnation, before, upto, entries)
+
+
+def _encode_statuses(frame: Statuses) -> bytes:
+    head = _BATCH.pack(
+        frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.statuses)
+    )
+    return head + b"".join(_encode_status(status) for status in frame.statuses)
+
+
+def _decode_statuses(reader: PayloadReader) -> Statuses:
+    epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
+    statuses = tuple(_decode_status(reader) for _ in range(count))
+    return Statuses(epoch, incarnation, before, upto, statuses)
+
+
+def _encode_machine_requests(frame: MachineRequests) -> bytes:
+    head = _MACHINE_REQUESTS.pack(frame.epoch, frame.pool, frame.applied, len(frame.wants))
+    return head + b"".join(_encode_request(request) for request in frame.wants)
+
+
+def _decode_machine_requests(reader: PayloadReader) -> MachineRequests:
+    epoch, pool, applied, count = reader.unpack(_MACHINE_REQUESTS)
+    wants = tuple(_decode_request(reader) for _ in range(count))
+    return MachineRequests(epoch, pool, applied, wants)
+
+
+def _encode_zone_ties(frame: ZoneTies) -> bytes:
+    head = _ZONE_TIES.pack(frame.epoch, frame.pool, len(frame.zones))
+    return head + b"".join(_text(job_id) + _text(zone) for job_id, zone in frame.zones)
+
+
+def _decode_zone_ties(reader: PayloadReader) -> ZoneTies:
+    epoch, pool, count = reader.unpack(_ZONE_TIES)
+    zones = tuple((reader.text(), reader.text()) for _ in range(count))
+    return ZoneTies(epoch, pool, zones)
+
+
+CODECS = (
+    FrameCodec(
+        FrameKind.HELLO,
+        Hello,
+        lambda frame: frame.member.encode(),
+        lambda reader: Hello(reader.rest().decode()),
+    ),
+    FrameCodec(
+        FrameKind.HEARTBEAT,
+        Heartbeat,
+        _encode_heartbeat,
+        lambda reader: Heartbeat(*reader.unpack(_HEARTBEAT)),
+    ),
+    FrameCodec(
+        FrameKind.PROMISE_REQUEST,
+        PromiseRequest,
+        _encode_promise_request,
+        lambda reader: PromiseRequest(*reader.unpack(_PROMISE_REQUEST)),
+    ),
+    FrameCodec(FrameKind.PROMISE, Promise, _encode_promise, _decode_promise),
+    FrameCodec(
+        FrameKind.RUNNING_COUNTS, RunningCounts, _encode_running_counts, _decode_running_counts
+    ),
+    FrameCodec(
+        FrameKind.RELAYED_REPORT, RelayedReport, _encode_relayed_report, _decode_relayed_report
+    ),
+    FrameCodec(
+        FrameKind.RELAYED_ANSWER, RelayedAnswer, _encode_relayed_answer, _decode_relayed_answer
+    ),
+    FrameCodec(
+        FrameKind.GRANT_REQUEST,
+        GrantRequest,
+        _encode_grant_request,
+        lambda reader: GrantRequest(*reader.unpack(_GRANT_REQUEST)),
+    ),
+    FrameCodec(FrameKind.GRANT, Grant, _encode_grant, _decode_grant),
+    FrameCodec(FrameKind.ENTRIES, Entries, _encode_entries, _decode_entries),
+    FrameCodec(FrameKind.STATUSES, Statuses, _encode_statuses, _decode_statuses),
+    FrameCodec(
+        FrameKind.MACHINE_REQUESTS,
+        MachineRequests,
+        _encode_machine_requests,
+        _decode_machine_requests,
+    ),
+    FrameCodec(
+        FrameKind.JOB_CANCELLED,
+        JobCancelled,
+        lambda frame: frame.job.encode(),
+        lambda reader: JobCancelled(reader.rest().decode()),
+    ),
+    FrameCodec(FrameKind.ZONE_TIES, ZoneTies, _encode_zone_ties, _decode_zone_ties),
+)
+_BY_KIND: dict[int, FrameCodec] = {codec.kind: codec for codec in CODECS}
+_BY_TYPE = {codec.message_type: codec for codec in CODECS}
+
+
+def encode_frame(frame: Frame) -> bytes:
+    """The bytes of a frame, header included."""
+    codec = _BY_TYPE[type(frame)]
+    payload = codec.encode(frame)
+    return HEADER.pack(MAGIC, FRAME_VERSION, codec.kind, len(payload)) + payload
+
+
+def decode_payload(kind: int, payload: bytes) -> Frame:
+    """The frame of a kind with that payload; raises `FrameError` or `NewerFrameError`."""
+    codec = _BY_KIND.get(kind)
+    if codec is None:
+        raise NewerFrameError("unknown kind")
+    reader = PayloadReader(payload)
+    try:
+        frame = codec.decode(reader)
+    except (struct.error, UnicodeDecodeError) as error:
+        raise FrameError(str(error)) from error
+    reader.finish()
+    return frame
--- /dev/null
+++ b/src/copperpass/protocol/frames/messages.py
@@ -0,0 +1,245 @@
+"""The messages that controllers exchange, as plain values."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import NamedTuple
+
+# A shard's number has one byte in frames; the highest stands for none.
+NO_SHARD = 255
+MAX_SHARDS = NO_SHARD
+# In `Heartbeat.state_age_ms`: the state service has never answered.
+NEVER_ANSWERED = 0xFFFFFFFF
+
+
+class Occupancy(IntEnum):
+    """Whose tasks a machine may hold that its owner has not seen."""
+
+    EMPTY = 0
+    ANY_SHARD = 1
+    OWN_SHARD = 2
+
+
+@dataclass(frozen=True, slots=True)
+class Contact:
+    """Where a machine was heard last."""
+
+    address: str
+    session: int
+    seq: int
+
+
+@dataclass(frozen=True, slots=True)
+class Entry:
+    """A machine in the leader's table: whose it is, and under which token."""
+
+    name: str
+    type: str
+    zone: str
+    spot: bool
+    pool: int
+    base: int
+    may_hold: int = Occupancy.EMPTY
+    recorded: bool = False
+    # Its owner shall give it back if it is idle (`vacate`: in any case), to be used elsewhere.
+    back: bool = False
+    vacate: bool = False
+    failed: bool = False
+    gone: bool = False
+    contact: Contact | None = None
+    # Given back empty a moment ago under the same leader: the contact is certain, nothing is there.
+    proven: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Status:
+    """A machine in an owner's table: what its reports have shown."""
+
+    name: str
+    base: int
+    up: bool = False
+    settled: bool = False
+    idle: bool = False
+    # Given back: its owner commands it no more. `pool`: whose tasks are on it, if not the owner's.
+    given: bool = False
+    pool: int = NO_SHARD
+    # Its owner wants it deleted.
+    release: bool = False
+    used_cpus: float = 0.0
+    contact: Contact | None = None
+
+
+class WaitingTasks(NamedTuple):
+    """Tasks of a job that an owner's machines have no room for in time."""
+
+    job: str
+    tasks: int
+    # Seconds until they should start.
+    horizon: float
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """Who opened the connection."""
+
+    member: str
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """A sign of life: the highest token seen, and the age of the last answer of the state."""
+
+    token: int
+    state_age_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class PromiseRequest:
+    """A leader asks for a promise."""
+
+    token: int
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class Promise:
+    """The answer to PromiseRequest."""
+
+    token: int
+    number: int
+    granted: bool
+
+
+@dataclass(frozen=True, slots=True)
+class RunningCounts:
+    """Running tasks by job, for display on nodes that don't lead."""
+
+    running: dict[str, int] = field(default_factory=dict)
+
+
+@dataclass(frozen=True, slots=True)
+class RelayedReport:
+    """A worker's report, handed on to the member that commands its machine."""
+
+    number: int
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class RelayedAnswer:
+    """What the worker whose report was handed on is to be answered."""
+
+    number: int
+    status: int
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class GrantRequest:
+    """A member asks its leader to extend its grants."""
+
+    epoch: int
+    incarnation: int
+    number: int
+    applied: int
+
+
+@dataclass(frozen=True, slots=True)
+class Share:
+    """Who owns a pool of teams; the serial tells one ownership from the next."""
+
+    pool: int
+    member: str
+    serial: int
+    revision: int
+    # The number of the leader's table that the owner must have reached before it starts anything.
+    at: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Grant:
+    """The answer to GrantRequest: for how long, from the asking, the shares hold."""
+
+    epoch: int
+    incarnation: int
+    number: int
+    length_ms: int
+    token_version: int
+    dear_excess: bool
+    applied: int
+    shares: tuple[Share, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Entries:
+    """Part of the leader's table of machines."""
+
+    epoch: int
+    incarnation: int
+    before: int
+    upto: int
+    entries: tuple[Entry, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Statuses:
+    """Part of an owner's table of machines."""
+
+    epoch: int
+    incarnation: int
+    before: int
+    upto: int
+    statuses: tuple[Status, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class MachineRequests:
+    """Tasks of a pool that its machines have no room for in time."""
+
+    epoch: int
+    pool: int
+    applied: int
+    wants: tuple[WaitingTasks, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class JobCancelled:
+    """A job's cancellation is stored: the receiver's view may be late to see it."""
+
+    job: str
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneTies:
+    """Of the tasks that MachineRequests names: the jobs whose other tasks tie them to a zone."""
+
+    epoch: int
+    pool: int
+    zones: tuple[tuple[str, str], ...]
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownFrame:
+    """What a member of a later version has sent and this one can't read: to be skipped."""
+
+    kind: int
+    why: str
+
+
+Frame = (
+    Hello
+    | Heartbeat
+    | PromiseRequest
+    | Promise
+    | RunningCounts
+    | RelayedReport
+    | RelayedAnswer
+    | GrantRequest
+    | Grant
+    | Entries
+    | Statuses
+    | MachineRequests
+    | JobCancelled
+    | ZoneTies
+)
--- /dev/null
+++ b/src/copperpass/protocol/kvstore.py
@@ -0,0 +1,111 @@
+"""Messages between controllers and the key-value store, with its field names mapped here."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from copperpass.protocol.json_codec import encode
+
+TRANSACTION_PATH = "/multi"
+LEASES_PATH = "/leases"
+
+
+class Item(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
+    """A key of the state service."""
+
+    key: str
+    value: msgspec.Raw
+    version: int
+
+
+class Listing(msgspec.Struct, rename={"more": "truncated", "revision": "issue"}):
+    """A page of keys."""
+
+    items: list[Item]
+    revision: int
+    more: bool = False
+
+
+class Event(msgspec.Struct, rename={"delete": "remove", "version": "stamp"}):
+    """A change that a watch saw."""
+
+    version: int
+    put: str | None = None
+    delete: str | None = None
+    value: msgspec.Raw = msgspec.Raw(b"null")
+
+
+class Events(msgspec.Struct, rename={"events": "news", "revision": "issue"}):
+    """What a watch answers."""
+
+    events: list[Event]
+    revision: int
+
+
+class Applied(msgspec.Struct, rename={"revision": "issue"}):
+    """An applied transaction."""
+
+    revision: int
+
+
+class Refused(msgspec.Struct, rename={"revision": "issue"}):
+    """A transaction whose conditions failed."""
+
+    failed: list[str]
+    revision: int = 0
+
+
+class LeaseMade(msgspec.Struct, rename={"lease": "permit"}):
+    """A new lease of the state service."""
+
+    lease: int
+
+
+def transaction_body(guards: dict[str, int], writes: list[dict[str, Any]]) -> bytes:
+    """The body of a guarded transaction; writes come from `put_key` and `delete_key`."""
+    return encode(
+        {
+            "guards": [{"path": key, "stamp": version} for key, version in guards.items()],
+            "writes": writes,
+        }
+    )
+
+
+def put_key(key: str, value: Any, lease: int | None = None) -> dict[str, Any]:
+    """A write of one key."""
+    write: dict[str, Any] = {"put": key, "value": value}
+    if lease is not None:
+        write["permit"] = lease
+    return write
+
+
+def delete_key(key: str) -> dict[str, Any]:
+    """The removal of one key."""
+    return {"remove": key}
+
+
+def key_path(key: str) -> str:
+    """Where a key is read."""
+    return f"/kv/{key}"
+
+
+def list_path(prefix: str, after: str) -> str:
+    """Where keys are listed."""
+    return f"/kv?under={prefix}&most=200" + (f"&since={after}" if after else "")
+
+
+def watch_path(prefix: str, revision: int, wait_ms: int) -> str:
+    """Where changes are watched."""
+    return f"/follow?under={prefix}&since={revision}&block_ms={wait_ms}"
+
+
+def renew_lease_path(lease: int) -> str:
+    """Where a lease is renewed."""
+    return f"/leases/{lease}/extend"
+
+
+def lease_path(lease: int) -> str:
+    """Where a lease is ended."""
+    return f"/leases/{lease}"
--- /dev/null
+++ b/src/copperpass/protocol/records.py
@@ -0,0 +1,65 @@
+"""Records that controllers keep in the key-value store.
+
+Their field names are stored data: earlier versions read and write them too.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from copperpass.protocol.users import Spec
+
+
+class JobRecord(msgspec.Struct, omit_defaults=True):
+    """The one record of a job: its spec, its final state, its done tasks.
+
+    `at`: the time of day when it was submitted; 0 if that isn't known.
+    """
+
+    spec: Spec | None = None
+    at: float = 0.0
+    final: str = ""
+    done: str = ""
+    count: int = 0
+
+
+class LeadRecord(msgspec.Struct):
+    """Who leads, under which token and lease."""
+
+    member: str
+    token: int
+    lease: int
+
+
+class TokenRecord(msgspec.Struct):
+    """The token counter, and who won the last token."""
+
+    token: int
+    member: str = ""
+
+
+class PlaceRecord(msgspec.Struct, omit_defaults=True):
+    """Machines of one type, zone and kind: bookings sent, machines rented, machines seen up."""
+
+    type: str
+    zone: str
+    spot: bool
+    booked: dict[str, int] = msgspec.field(default_factory=dict)
+    fresh: list[str] = msgspec.field(default_factory=list)
+    up: list[str] = msgspec.field(default_factory=list)
+
+
+class FleetRecord(msgspec.Struct):
+    """Every machine that was rented, and the bookings whose answers are not stored."""
+
+    places: list[PlaceRecord]
+
+
+class VersionRecord(msgspec.Struct):
+    """What a member's newest process says of itself; versions without it never write one.
+
+    `format`: the highest form of records and frames that it reads.
+    """
+
+    version: str
+    format: int
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from copperpass import wire
+from copperpass.protocol.cloud import MachineType, MachineTypes
+from copperpass.protocol.json_codec import decode
 
 TYPE = {
     "name": "box",
@@ -26,9 +27,9 @@
 LIMITS = {"write_rps": 60.0, "value_kb": 32.0, "txn_ops": 16}
 
 
-def machine_types(*offer: dict[str, Any]) -> dict[str, wire.MachineType]:
+def machine_types(*offer: dict[str, Any]) -> dict[str, MachineType]:
     """An offer as the code reads it, by name."""
-    read = wire.decode(json.dumps({"racks": offer}).encode(), wire.MachineTypes)
+    read = decode(json.dumps({"racks": offer}).encode(), MachineTypes)
     assert read is not None
     return {kind.name: kind for kind in read.types}
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -12,6 +12,7 @@
 from io import BytesIO
 from pathlib import Path
 
+import msgspec
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -52,6 +53,7 @@
             self.wire = importlib.import_module(f"{PACKAGE}.wire")
             self.settings = importlib.import_module(f"{PACKAGE}.settings")
             assert Path(self.core.__file__).is_relative_to(source)
+            self._resolve_messages()
         finally:
             sys.path.remove(str(source))
             for name in [k for k in sys.modules if k.split(".")[0] == PACKAGE]:
@@ -63,6 +65,20 @@
                 continue
             setattr(self.core.Node, name, property(operator.attrgetter(former)))
 
+    def _resolve_messages(self):
+        """Have msgspec look its annotations up now, while its modules are the ones by that name."""
+        for value in vars(self.wire).values():
+            if isinstance(value, type) and issubclass(value, msgspec.Struct):
+                msgspec.json.Decoder(value)
+
+    def encode_frame(self, frame):
+        """The bytes that it sends for a frame of its own."""
+        return self.peer.pack(frame)
+
+    def frame_decoder(self):
+        """What cuts a stream of bytes into its frames."""
+        return self.peer.Unpacker()
+
     def node(self, raw, seed, now):
         """A node of that version."""
         return self.core.Node(self.settings.parse(raw), seed, now, day=1000.0)
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -11,11 +11,13 @@
 import json
 import random
 
-from copperpass import peer, wire
 from copperpass import settings as settings_module
 from copperpass.core.node.node import Node
 from copperpass.core.ports import Outcome
 from copperpass.core.scheduling.machines import UNIDENTIFIED
+from copperpass.protocol.frames.codec import encode_frame
+from copperpass.protocol.frames.stream import FrameDecoder
+from copperpass.protocol.users import JobState
 from tests.bodies import raw_settings
 from tests.deployments import TWO_TEAMS
 from tests.standins.cloud import Cloud
@@ -24,6 +26,13 @@
 from tests.standins.worker import WorkerRequest
 
 
+class CurrentFrames:
+    """Frames as this version writes and reads them."""
+
+    encode_frame = staticmethod(encode_frame)
+    frame_decoder = FrameDecoder
+
+
 class User:
     """One request and its answer."""
 
@@ -265,11 +274,11 @@
             self.check_answer(user, name)
         out.replies.clear()
         frames, out.frames = out.frames, []
-        codec = self.running[name].peer if self.running[name] else peer
+        codec = self.running[name] or CurrentFrames
         for member, frame in frames:
             # Versions meet as bytes; among equals the way there and back changes nothing.
-            sent = codec.pack(frame) if self.mixed else frame
-            self.on_output(self.now, name, "frame", member, codec.pack(frame))
+            sent = codec.encode_frame(frame) if self.mixed else frame
+            self.on_output(self.now, name, "frame", member, codec.encode_frame(frame))
             self.carry_frame(name, member, lambda m=member, f=sent: self.frame(name, m, f))
         calls, out.calls = out.calls, []
         for call in calls:
@@ -288,8 +297,8 @@
     def frame(self, sender, member, frame):
         node = self.nodes.get(member)
         if node:
-            codec = self.running[member].peer if self.running[member] else peer
-            frames = codec.Unpacker().feed(frame) if self.mixed else [frame]
+            codec = self.running[member] or CurrentFrames
+            frames = codec.frame_decoder().feed(frame) if self.mixed else [frame]
             for one in frames:
                 node.received(self.now, sender, one)
             self.drain(member)
@@ -369,7 +378,9 @@
         name = name or self.rng.choice(sorted(self.nodes))
         user = User()
         user.known = job_id if job_id in self.told else None
-        user.before = {j: s for j, s in self.told.items() if s in (wire.DONE, wire.CANCELLED)}
+        user.before = {
+            j: s for j, s in self.told.items() if s in (JobState.DONE, JobState.CANCELLED)
+        }
         action(self.nodes[name].user_api, user)
         self.drain(name)
         return user
@@ -408,16 +419,16 @@
         # Told by anybody before this was asked, or by the same node before this was answered. Of
         # two questions that overlap at two nodes, the one read first may be answered last.
         for before in (user.before.get(job_id), self.told_by[name].get(job_id)):
-            if before in (wire.DONE, wire.CANCELLED) and status != before:
+            if before in (JobState.DONE, JobState.CANCELLED) and status != before:
                 self.broken.append(f"went_back: {job_id} {before} -> {status}")
         self.told_by[name][job_id] = status
-        if status == wire.DONE:
+        if status == JobState.DONE:
             spec = self.specs[job_id]
             if any(f"{job_id}/{i}" not in self.completed for i in range(spec["pages"])):
                 self.broken.append(f"not_done: {job_id}")
-        if status == wire.CANCELLED:
+        if status == JobState.CANCELLED:
             self.cancelled.setdefault(job_id, self.now)
-        if self.told.get(job_id) not in (wire.DONE, wire.CANCELLED):
+        if self.told.get(job_id) not in (JobState.DONE, JobState.CANCELLED):
             self.told[job_id] = status
 
     def started(self, worker, task, spec):
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -6,11 +6,12 @@
 
 import pytest
 
-from copperpass import peer, wire
 from copperpass import settings as settings_module
 from copperpass.core.election.authority import Authority, Times, times_of
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
+from copperpass.protocol.frames.messages import PromiseRequest
+from copperpass.protocol.kvstore import delete_key, put_key
 from copperpass.settings import SettingsError
 from tests.bodies import raw_settings
 from tests.standins.state import State
@@ -239,7 +240,7 @@
 
 def promises(node, now, token=9):
     node.out.frames.clear()
-    node.received(now, "b", peer.PromiseRequest(token, 1))
+    node.received(now, "b", PromiseRequest(token, 1))
     ((_, answer),) = node.out.frames
     return answer.granted
 
@@ -249,10 +250,10 @@
     # have led, and the next winner would command under a token that was used before.
     model, _, _, sent = campaign_on_its_way()
     for token in (1, 2):
-        won = [wire.put("c/lead", {"member": "b", "token": token, "lease": 77})]
-        won.append(wire.put("c/token", {"token": token, "member": "b"}))
+        won = [put_key("c/lead", {"member": "b", "token": token, "lease": 77})]
+        won.append(put_key("c/token", {"token": token, "member": "b"}))
         model.state.transaction({"guards": [], "writes": won}, lambda status, body: None)
-    gone = {"guards": [], "writes": [wire.remove("c/lead")]}
+    gone = {"guards": [], "writes": [delete_key("c/lead")]}
     model.state.transaction(gone, lambda status, body: None)
     statuses = []
     model.state.handle(sent.method, sent.path, sent.body, lambda s, b: statuses.append(s))
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -4,11 +4,12 @@
 
 import msgspec
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import JobTable, make_job, pack_done
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outcome
 from copperpass.core.storage.completions import CompletionStore
+from copperpass.protocol.records import JobRecord
+from copperpass.protocol.users import Spec
 from tests import production
 from tests.bodies import job
 from tests.state_service import COMING, Service
@@ -18,7 +19,7 @@
     """Live jobs, by their numbers of tasks."""
     table = JobTable()
     for n, tasks in enumerate(sizes, 1):
-        record = wire.JobRecord(spec=msgspec.convert(job(n, tasks=tasks), wire.Spec))
+        record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), Spec))
         made = make_job(record, 1, service.now)
         table.jobs[made.spec.id] = made
     return table
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -5,11 +5,12 @@
 
 import pytest
 
-from copperpass import peer, wire
 from copperpass.core.election.authority import TOKEN, Authority, times_of
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.shards.routing import Contact
+from copperpass.protocol.frames.messages import Contact, PromiseRequest
+from copperpass.protocol.json_codec import encode
+from copperpass.protocol.workers import Report, TaskReport
 from copperpass.settings import parse
 from tests.bodies import job, raw_settings
 from tests.simulation import Simulation, User
@@ -552,8 +553,8 @@
 
 
 def said(name, tasks, token, session, seq):
-    return wire.encode(
-        wire.Report(
+    return encode(
+        Report(
             name,
             "10.0.0.8:1",
             "box",
@@ -563,7 +564,7 @@
             seq,
             token,
             None,
-            [wire.TaskReport(t, a, s, w) for t, a, s, w in tasks],
+            [TaskReport(t, a, s, w) for t, a, s, w in tasks],
         )
     )
 
@@ -667,7 +668,7 @@
 
     def promised():
         out.frames.clear()
-        core.received(51.1, "n1", peer.PromiseRequest(0, 3))
+        core.received(51.1, "n1", PromiseRequest(0, 3))
         return out.frames[0][1].granted
 
     assert not promised()
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import make_job
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.records import JobRecord
 from tests.bodies import job
 from tests.simulation import Simulation
 from tests.standins.worker import WorkerRequest
@@ -85,7 +86,7 @@
     (known,) = simulation.nodes[simulation.leader()].jobs.jobs.values()
     assert abs(known.arrived - at) < 2.0
     # A record without the time, or a clock that runs ahead, makes a job new, never one of later.
-    record = wire.decode(json.dumps({"spec": job(2)}).encode(), wire.JobRecord)
+    record = decode(json.dumps({"spec": job(2)}).encode(), JobRecord)
     assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
     record.at = 2000.0
     assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.election.authority import Authority
 from copperpass.core.node.node import Node
-from copperpass.peer import JobCancelled
+from copperpass.protocol.frames.messages import JobCancelled
 from tests.bodies import job
 from tests.simulation import Simulation
 from tests.test_end_to_end import running
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from copperpass import wire
 from copperpass.core.ports import Outcome
+from copperpass.protocol.json_codec import encode
+from copperpass.protocol.workers import CommandKind
 from tests.bodies import gang, job
 from tests.gang_stories import attempts, begun, count, done, fine, marks, present, progress, runs
 from tests.test_pool_scheduler import Bench
@@ -38,7 +39,7 @@
                 found += [attempt for _, attempt, _, _ in runs]
                 self.seq += 1
                 self.shown = self.shown + runs
-                body = wire.encode(self.message(self.shown, seq=self.seq))
+                body = encode(self.message(self.shown, seq=self.seq))
                 call.then(self.now, Outcome(200, body))
         return found
 
@@ -80,7 +81,7 @@
     assert bench.job.ending and bench.starts() == []
     bench.tell("running", f"!{why}", "running")
     answer = bench.tell("running", f"!{why}", "!mates_gone")
-    assert (wire.STOP, "0") in bench.verbs(answer)
+    assert (CommandKind.STOP, "0") in bench.verbs(answer)
     assert bench.starts() == [], "task 0 is still there"
     bench.tell("!mates_gone", f"!{why}", "!mates_gone")
     bench.now += 30.0
@@ -137,7 +138,7 @@
     report = bench.message([("req-000001/1", bench.attempt, "gathering", None)], late.base, 1, 1)
     report.machine, report.address = "m-2", "10.0.0.8:1"
     answer = bench.owner.report(bench.now, report)
-    assert bench.verbs(answer) == [(wire.STOP, "1")]
+    assert bench.verbs(answer) == [(CommandKind.STOP, "1")]
 
 
 # Guards the attempt that has started against a fourth member: it could never join the others.
@@ -147,7 +148,7 @@
     bench.tell("running", "gathering", "running")
     answer = bench.tell("running", after, "running")
     assert bench.job.ending and bench.starts() == []
-    assert {(wire.STOP, "0"), (wire.STOP, "2")} <= set(bench.verbs(answer))
+    assert {(CommandKind.STOP, "0"), (CommandKind.STOP, "2")} <= set(bench.verbs(answer))
 
 
 def test_no_attempt_begins_beside_a_second_copy_of_an_older_one():
@@ -163,7 +164,7 @@
 
     older = ("req-000001/0", bench.attempt - 1, "gathering", None)
     answer = copy(1, older)
-    assert bench.verbs(answer) == [(wire.STOP, "0")] and bench.job.ending
+    assert bench.verbs(answer) == [(CommandKind.STOP, "0")] and bench.job.ending
     bench.tell("!halted", "!halted", "!halted")
     copy(2, older)
     bench.report([])
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -2,8 +2,8 @@
 
 import random
 
-from copperpass import peer
-from copperpass.core.shards.routing import Feed, Inbox, Status, Table
+from copperpass.core.shards.routing import Feed, Inbox, Table
+from copperpass.protocol.frames.messages import Grant, Share, Status
 from tests.bodies import job
 from tests.simulation import Simulation
 
@@ -143,7 +143,7 @@
     name = owners(simulation)[0]
     grant_client = simulation.nodes[name].grant_client
     number = max(grant_client.asked)
-    stale = peer.Grant(
+    stale = Grant(
         grant_client.epoch,
         grant_client.incarnation,
         number - 2,
@@ -151,7 +151,7 @@
         1,
         True,
         0,
-        (peer.Share(1, name, 99, 1, 0),),
+        (Share(1, name, 99, 1, 0),),
     )
     until = grant_client.until
     grant_client.granted(simulation.now, grant_client.leader, stale)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,11 +5,12 @@
 
 import pytest
 
-from copperpass import wire
 from copperpass.core.jobs.job_table import make_job
 from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.objectives import Aims, Scarce, share_late, task_order
 from copperpass.core.scheduling.ranking import PlacementPolicy, Ranking
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.records import JobRecord
 from copperpass.settings import Objective
 from tests.bodies import job
 from tests.deployments import TYPE, machine_types
@@ -19,7 +20,7 @@
 
 def made(number, arrived, **more):
     body = json.dumps({"spec": job(number, **more)}).encode()
-    return make_job(wire.decode(body, wire.JobRecord), number, arrived)
+    return make_job(decode(body, JobRecord), number, arrived)
 
 
 def start_of_the_old_job(patience_s):
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -6,29 +6,58 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from copperpass import peer
-from copperpass.core.shards.routing import Contact, Entry, Status
 from copperpass.net import peers
+from copperpass.protocol.frames.codec import (
+    FRAME_VERSION,
+    HEADER,
+    MAGIC,
+    FrameError,
+    FrameKind,
+    encode_frame,
+)
+from copperpass.protocol.frames.messages import (
+    NEVER_ANSWERED,
+    Contact,
+    Entries,
+    Entry,
+    Grant,
+    GrantRequest,
+    Heartbeat,
+    Hello,
+    JobCancelled,
+    MachineRequests,
+    Promise,
+    PromiseRequest,
+    RelayedAnswer,
+    RelayedReport,
+    RunningCounts,
+    Share,
+    Status,
+    Statuses,
+    UnknownFrame,
+    ZoneTies,
+)
+from copperpass.protocol.frames.stream import FrameDecoder
 
 FRAMES = [
-    peer.JobCancelled("req-000412"),
-    peer.Hello("n1"),
-    peer.Heartbeat(7, peer.NEVER),
-    peer.PromiseRequest(7, 9),
-    peer.Promise(7, 9, True),
-    peer.Promise(7, 9, False),
-    peer.RunningCounts({"req-000001": 3, "req-000002": 1}),
-    peer.RunningCounts({}),
-    peer.RelayedReport(7, b"{}" * 30000),
-    peer.RelayedAnswer(7, 421, b""),
+    JobCancelled("req-000412"),
+    Hello("n1"),
+    Heartbeat(7, NEVER_ANSWERED),
+    PromiseRequest(7, 9),
+    Promise(7, 9, True),
+    Promise(7, 9, False),
+    RunningCounts({"req-000001": 3, "req-000002": 1}),
+    RunningCounts({}),
+    RelayedReport(7, b"{}" * 30000),
+    RelayedAnswer(7, 421, b""),
 ]
 
 
 def test_frames_survive_any_cutting():
-    data = b"".join(peer.pack(f) for f in FRAMES)
+    data = b"".join(encode_frame(f) for f in FRAMES)
     rng = random.Random(3)
     for _ in range(50):
-        unpacker, got, at = peer.Unpacker(), [], 0
+        unpacker, got, at = FrameDecoder(), [], 0
         while at < len(data):
             size = rng.randint(1, 9)
             got += unpacker.feed(data[at : at + size])
@@ -37,45 +66,45 @@
 
 
 def _framed(kind, payload):
-    return struct.pack("!2sBBI", b"cp", peer.VERSION, kind, len(payload)) + payload
+    return struct.pack("!2sBBI", b"cp", FRAME_VERSION, kind, len(payload)) + payload
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"GET / HTTP/1.1\r\n",
-        struct.pack("!2sBBI", b"cp", 9, peer.ASK, 16) + bytes(16),
+        struct.pack("!2sBBI", b"cp", 9, FrameKind.PROMISE_REQUEST, 16) + bytes(16),
         struct.pack("!2sBBI", b"cp", 2, 99, 0),
-        struct.pack("!2sBBI", b"cp", 2, peer.ASK, 3) + b"abc",
-        struct.pack("!2sBBI", b"cp", 2, peer.ASK, 17) + bytes(17),
-        struct.pack("!2sBBI", b"cp", 2, peer.PROMISE, 17) + bytes(16) + b"\x07",
-        struct.pack("!2sBBI", b"cp", 2, peer.COUNTS, 6) + b"\x09\x00\x00\x00\x01x",
-        struct.pack("!2sBBI", b"cp", 2, peer.HELLO, 1) + b"\xff",
-        struct.pack("!2sBBI", b"cp", 2, peer.HANDED, 2) + b"ab",
-        struct.pack("!2sBBI", b"cp", 2, peer.ANSWERED, 5) + b"abcde",
-        struct.pack("!2sBBI", b"cp", 2, peer.HANDED, 1 << 19),
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE_REQUEST, 3) + b"abc",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE_REQUEST, 17) + bytes(17),
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE, 17) + bytes(16) + b"\x07",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RUNNING_COUNTS, 6) + b"\x09\x00\x00\x00\x01x",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.HELLO, 1) + b"\xff",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_REPORT, 2) + b"ab",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_ANSWER, 5) + b"abcde",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_REPORT, 1 << 19),
         # The same under the version that is spoken, where it is the payload that is refused.
-        _framed(peer.ASK, b"abc"),
-        _framed(peer.PROMISE, bytes(16) + b"\x07"),
-        _framed(peer.COUNTS, b"\x09\x00\x00\x00\x01x"),
-        _framed(peer.HELLO, b"\xff"),
-        _framed(peer.HANDED, b"ab"),
-        _framed(peer.ANSWERED, b"abcde"),
-        struct.pack("!2sBBI", b"cp", peer.VERSION, peer.HANDED, 1 << 19),
+        _framed(FrameKind.PROMISE_REQUEST, b"abc"),
+        _framed(FrameKind.PROMISE, bytes(16) + b"\x07"),
+        _framed(FrameKind.RUNNING_COUNTS, b"\x09\x00\x00\x00\x01x"),
+        _framed(FrameKind.HELLO, b"\xff"),
+        _framed(FrameKind.RELAYED_REPORT, b"ab"),
+        _framed(FrameKind.RELAYED_ANSWER, b"abcde"),
+        struct.pack("!2sBBI", b"cp", FRAME_VERSION, FrameKind.RELAYED_REPORT, 1 << 19),
     ],
 )
 def test_bad_bytes_are_refused(data):
-    with pytest.raises(peer.BadFrame):
-        peer.Unpacker().feed(data)
+    with pytest.raises(FrameError):
+        FrameDecoder().feed(data)
 
 
 CONTACT = Contact("10.0.0.9:1", 3, 77)
 SHARES = [
-    peer.ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
-    peer.ZoneTies(3, 0, ()),
-    peer.GrantRequest(3, 1 << 61, 9, 12),
-    peer.Grant(3, 1 << 61, 9, 1400, 55, True, 4, (peer.Share(1, "n2", 7, 90, 12),)),
-    peer.Entries(
+    ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
+    ZoneTies(3, 0, ()),
+    GrantRequest(3, 1 << 61, 9, 12),
+    Grant(3, 1 << 61, 9, 1400, 55, True, 4, (Share(1, "n2", 7, 90, 12),)),
+    Entries(
         3,
         5,
         0,
@@ -85,45 +114,45 @@
             Entry("m-2", "box", "b", False, 255, 7, gone=True),
         ),
     ),
-    peer.Statuses(
+    Statuses(
         3,
         5,
         2,
         3,
         (Status("m-1", 1 << 45, True, True, False, True, 1, False, 4.0, CONTACT), Status("m-2", 7)),
     ),
-    peer.MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
+    MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
 ]
 
 
 def test_frames_of_shares_survive_and_cut_ones_are_refused():
     for frame in SHARES:
-        data = peer.pack(frame)
-        assert peer.Unpacker().feed(data) == [frame]
-        body = data[peer.HEADER.size :]
-        head = peer.HEADER.pack(peer.MAGIC, peer.VERSION, data[3], len(body) - 1)
-        with pytest.raises(peer.BadFrame):
-            peer.Unpacker().feed(head + body[:-1])
+        data = encode_frame(frame)
+        assert FrameDecoder().feed(data) == [frame]
+        body = data[HEADER.size :]
+        head = HEADER.pack(MAGIC, FRAME_VERSION, data[3], len(body) - 1)
+        with pytest.raises(FrameError):
+            FrameDecoder().feed(head + body[:-1])
 
 
 def test_what_a_later_version_knows_more_is_skipped_whole_and_nothing_else():
     # Guards rolling upgrades to later versions: a link that closes on their frames is opened and
     # closed in a loop. A longer frame may mean something else: none of it counts.
-    fixed = [peer.Heartbeat(7, 5), peer.PromiseRequest(7, 9), peer.Promise(7, 9, True)]
+    fixed = [Heartbeat(7, 5), PromiseRequest(7, 9), Promise(7, 9, True)]
     for frame in [*SHARES, *fixed]:
-        data = peer.pack(frame)
-        body = data[peer.HEADER.size :] + b"\0"
-        head = peer.HEADER.pack(peer.MAGIC, peer.VERSION, data[3], len(body))
-        after = peer.pack(peer.Promise(7, 9, False))
-        assert peer.Unpacker().feed(head + body + after) == [
-            peer.UnknownFrame(data[3], "longer than known"),
-            peer.Promise(7, 9, False),
+        data = encode_frame(frame)
+        body = data[HEADER.size :] + b"\0"
+        head = HEADER.pack(MAGIC, FRAME_VERSION, data[3], len(body))
+        after = encode_frame(Promise(7, 9, False))
+        assert FrameDecoder().feed(head + body + after) == [
+            UnknownFrame(data[3], "longer than known"),
+            Promise(7, 9, False),
         ]
-    unknown = peer.HEADER.pack(peer.MAGIC, peer.VERSION, 99, 3) + b"abc"
-    unpacker = peer.Unpacker()
+    unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
+    unpacker = FrameDecoder()
     assert unpacker.feed(unknown[:-1]) == []
-    assert unpacker.feed(unknown[-1:] + peer.pack(fixed[0])) == [
-        peer.UnknownFrame(99, "unknown kind"),
+    assert unpacker.feed(unknown[-1:] + encode_frame(fixed[0])) == [
+        UnknownFrame(99, "unknown kind"),
         fixed[0],
     ]
 
@@ -147,18 +176,18 @@
 
 def test_a_link_skips_unknown_frames_says_so_once_and_closes_on_malformed_bytes(caplog):
     caplog.set_level("INFO", logger="copperpass")
-    unknown = peer.HEADER.pack(peer.MAGIC, peer.VERSION, 99, 3) + b"abc"
-    heartbeat = peer.Heartbeat(7, 5)
+    unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
+    heartbeat = Heartbeat(7, 5)
     for _ in range(2):
         links = Links()
-        links.feed(peer.pack(peer.Hello("n1")))
+        links.feed(encode_frame(Hello("n1")))
         for _ in range(3):
-            links.feed(unknown + peer.pack(heartbeat))
+            links.feed(unknown + encode_frame(heartbeat))
         assert links.frames == [heartbeat] * 3 and not links.closed
     said = [r.getMessage() for r in caplog.records]
     assert said == ["unknown frame skipped"] * 2
     # Still closed: a known kind that is short, and any frame before the sender is known.
-    short = peer.HEADER.pack(peer.MAGIC, peer.VERSION, peer.ASK, 3) + b"abc"
+    short = HEADER.pack(MAGIC, FRAME_VERSION, FrameKind.PROMISE_REQUEST, 3) + b"abc"
     links.feed(short)
     assert links.closed and len(links.frames) == 3
     stranger = Links()
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -6,14 +6,16 @@
 import pytest
 
 from copperpass import settings as settings_module
-from copperpass import wire
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox, Outcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.shard_scheduler import PoolScheduler
-from copperpass.core.shards.routing import ANYBODY, Contact, Entry, base_token
+from copperpass.core.shards.routing import base_token
+from copperpass.protocol.frames.messages import Contact, Entry, Occupancy
+from copperpass.protocol.json_codec import encode
+from copperpass.protocol.workers import CommandKind, ExitCause, Report, TaskReport
 from tests.bodies import job, raw_settings
 from tests.deployments import TYPE, machine_types
 
@@ -55,7 +57,17 @@
         """Learn of a machine that an earlier commander may have used."""
         self.owner.learn(
             self.now,
-            Entry(name, "box", "a", True, 0, base_token(1, 9), ANYBODY, recorded=True, **more),
+            Entry(
+                name,
+                "box",
+                "a",
+                True,
+                0,
+                base_token(1, 9),
+                Occupancy.ANY_SHARD,
+                recorded=True,
+                **more,
+            ),
         )
         return self.owner.machines[name]
 
@@ -67,7 +79,7 @@
         return self.owner.report(self.now, self.message(tasks, token, session, seq))
 
     def message(self, tasks, token=None, session=1, seq=0):
-        return wire.Report(
+        return Report(
             "m-1",
             "10.0.0.9:1",
             "box",
@@ -77,7 +89,7 @@
             seq,
             self.token if token is None else token,
             None,
-            [wire.TaskReport(t, a, s, w) for t, a, s, w in tasks],
+            [TaskReport(t, a, s, w) for t, a, s, w in tasks],
         )
 
     def answer_state(self, status=200):
@@ -121,7 +133,7 @@
 def test_a_refused_start_is_free_at_once():
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, Outcome(409, wire.encode(bench.message([], seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(409, encode(bench.message([], seq=bench.seq + 1))))
     assert bench.job.placed == {}
 
 
@@ -133,7 +145,7 @@
     bench.owner.round(bench.now)
     assert bench.take("worker") == []
     answer = bench.report([])
-    assert [c.op for c in answer.commands] == [wire.START]
+    assert [c.op for c in answer.commands] == [CommandKind.START]
     direct = bench.message([], seq=bench.seq + 1)
     bench.owner.reports.take(bench.now, machine, direct, False)
     assert bench.job.placed == {0: "m-1"}, "an answer of /do may be older than the start"
@@ -158,9 +170,7 @@
         bench.now,
         Outcome(
             200,
-            wire.encode(
-                bench.message([("req-000001/0", attempt, "running", None)], seq=bench.seq + 1)
-            ),
+            encode(bench.message([("req-000001/0", attempt, "running", None)], seq=bench.seq + 1)),
         ),
     )
     bench.seq += 1
@@ -173,23 +183,23 @@
     answer = bench.report(ended)
     assert answer.commands == [] and answer.token > bench.token
     bench.token = answer.token
-    assert [c.op for c in bench.report(ended).commands] == [wire.FORGET]
+    assert [c.op for c in bench.report(ended).commands] == [CommandKind.FORGET]
 
 
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
     bench = Bench()
     call, attempt = bench.start()
     running = [("req-000001/0", attempt, "running", None)]
-    call.then(bench.now, Outcome(200, wire.encode(bench.message(running, seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(200, encode(bench.message(running, seq=bench.seq + 1))))
     bench.seq += 1
     gone, over = bench.jobs.saw(bench.now, "c/live/req-000001", None, 80)
     assert over
     bench.owner.job_ended(bench.now, gone)
     (kill,) = bench.take("worker")
-    assert json.loads(kill.body)["orders"][0]["verb"] == wire.STOP
+    assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.then(bench.now, Outcome(0))
     for _ in range(2):
-        assert [c.op for c in bench.report(running).commands] == [wire.STOP]
+        assert [c.op for c in bench.report(running).commands] == [CommandKind.STOP]
 
 
 def test_the_machine_is_deleted_before_its_tasks_are_free():
@@ -223,7 +233,7 @@
     bench.owner.round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
-    call.then(bench.now, Outcome(200, wire.encode(bench.message(takes, seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
     bench.seq += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
@@ -300,9 +310,9 @@
     assert (probe.address, sent["shift"], sent["orders"]) == ("10.0.0.8:1", 3, [])
 
     def answer(session, token, seq):
-        tasks = [wire.TaskReport("req-000001/0", 5, "running", None)]
-        return wire.encode(
-            wire.Report("m-9", "10.0.0.8:1", "box", "a", True, session, seq, token, None, tasks)
+        tasks = [TaskReport("req-000001/0", 5, "running", None)]
+        return encode(
+            Report("m-9", "10.0.0.8:1", "box", "a", True, session, seq, token, None, tasks)
         )
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
@@ -340,7 +350,7 @@
     bench = Bench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", why)]
-    call.then(bench.now, Outcome(200, wire.encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += 60.0
     bench.report(ended)
@@ -357,7 +367,7 @@
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
-    call.then(bench.now, Outcome(200, wire.encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += bench.owner.completions.gather_s
     bench.owner.completions.tick(bench.now)
@@ -375,7 +385,7 @@
     bench = Bench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
-    call.then(bench.now, Outcome(200, wire.encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.owner.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
     put = json.loads(write.body)["writes"][0]
@@ -446,7 +456,7 @@
     assert bench.job.waiting() == 0 and bench.job.ended()
     bench.job.stored([1])
     assert bench.job.waiting() == 0 and bench.job.placed == {0: "m-1", 1: "m-1"}
-    bench.report([("req-000001/0", 5, "exited", wire.WHY_DONE)])
+    bench.report([("req-000001/0", 5, "exited", ExitCause.DONE)])
     assert bench.job.waiting() == 0 and 0 not in bench.job.placed
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from copperpass import wire
 from copperpass.core.scheduling.reclaimable_capacity import stop_cost, worth_saving
+from copperpass.protocol.workers import TaskState
 from tests.bodies import job
 from tests.test_pool_scheduler import Bench
 
@@ -33,9 +33,9 @@
         for task in self.owner.machines["m-1"].tasks.values():
             name = f"{task.job_id}/{task.index}"
             if task.active and task.stop is None:
-                told.append((name, task.attempt, wire.TASK_RUNNING, None))
+                told.append((name, task.attempt, TaskState.RUNNING, None))
             elif task.active:
-                told.append((name, task.attempt, wire.EXITED, "halted"))
+                told.append((name, task.attempt, TaskState.EXITED, "halted"))
         self.report(told)
 
     def stopped(self):
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -2,11 +2,13 @@
 
 import json
 
-from copperpass import wire
 from copperpass.core.kvstore.transactions import GATHERED, URGENT, Op, TransactionQueue
 from copperpass.core.kvstore.watch_cache import View
 from copperpass.core.ports import Outbox, Outcome
 from copperpass.core.storage.machine_inventory import FleetStore
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.records import FleetRecord
 
 
 def test_users_writes_do_not_queue_behind_gathered_ones():
@@ -15,10 +17,10 @@
     for n in range(30):
         transactions.submit(
             0.0,
-            Op({}, [wire.put(f"g/{n}", 1)], lambda *a, n=n: order.append(f"g{n}"), 99.0, GATHERED),
+            Op({}, [put_key(f"g/{n}", 1)], lambda *a, n=n: order.append(f"g{n}"), 99.0, GATHERED),
         )
     transactions.submit(
-        0.0, Op({}, [wire.put("u/1", 1)], lambda *a: order.append("user"), 99.0, URGENT)
+        0.0, Op({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, URGENT)
     )
     now = 0.0
     while "user" not in order and now < 5.0:
@@ -49,7 +51,7 @@
     write.then(0.1, Outcome(200, b'{"issue":5}'))
     assert sent == [True]
     # A successor that finds the booking repeats it; one that finds the names needn't.
-    value = wire.decode(json.dumps(body["writes"][0]["value"]).encode(), wire.FleetRecord)
+    value = decode(json.dumps(body["writes"][0]["value"]).encode(), FleetRecord)
     successor, _ = fleet_store(5, value)
     assert successor.booked == {"b-1-1": (place, 2)}
     successor.ended(0.2, "b-1-1", ["m-1", "m-2"])
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,20 +4,26 @@
 
 import pytest
 
-from copperpass import peer
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, most_per_plan
 from copperpass.core.node.node import pools_of
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.relay import Relay
-from copperpass.core.shards.routing import (
-    MOST_HANDOVERS,
-    MOST_POOLS,
-    UNPOOLED,
+from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
+from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME, encode_frame
+from copperpass.protocol.frames.messages import (
+    MAX_SHARDS,
+    NO_SHARD,
     Contact,
+    Entries,
     Entry,
-    base_token,
+    Grant,
+    MachineRequests,
+    RunningCounts,
+    Share,
+    ZoneTies,
 )
+from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import Team, parse
 from copperpass.tuning import Tuning
 from tests.bodies import job, raw_settings
@@ -48,18 +54,16 @@
 
 
 def unpacked(frame):
-    (read,) = peer.Unpacker().feed(peer.pack(frame))
+    (read,) = FrameDecoder().feed(encode_frame(frame))
     return read
 
 
 def test_frames_hold_what_a_large_fleet_has():
-    requests = tuple((f"req-{n:018d}", 3, 1.5) for n in range(peer.MOST_REQUESTS))
+    requests = tuple((f"req-{n:018d}", 3, 1.5) for n in range(MAX_REQUESTS_PER_FRAME))
     assert len(requests) > 4000
-    frame = peer.MachineRequests(7, 0, 5, requests)
+    frame = MachineRequests(7, 0, 5, requests)
     assert unpacked(frame) == frame
-    ties = peer.ZoneTies(
-        7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests)
-    )
+    ties = ZoneTies(7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests))
     assert unpacked(ties) == ties
     entries = tuple(
         Entry(
@@ -67,8 +71,8 @@
         )
         for n in range(MACHINES)
     )
-    assert unpacked(peer.Entries(7, 1, 0, MACHINES, entries)).entries == entries
-    counts = peer.RunningCounts({f"req-{n:06d}": 1 for n in range(10_000)})
+    assert unpacked(Entries(7, 1, 0, MACHINES, entries)).entries == entries
+    counts = RunningCounts({f"req-{n:06d}": 1 for n in range(10_000)})
     assert unpacked(counts) == counts
 
 
@@ -81,9 +85,9 @@
     cluster = parse(raw_settings(deployment=LARGE)).cluster
     cluster.teams = [Team(f"team-{n}", 10_000.0, 0.0) for n in range(600)]
     pools = pools_of(cluster, Tuning())
-    assert max(pools.values()) == MOST_POOLS - 1 < UNPOOLED
-    share = peer.Share(MOST_POOLS - 1, "n0", 1, 2)
-    grant = peer.Grant(1, 2, 3, 400, 5, False, 6, (share,) * MOST_POOLS)
+    assert max(pools.values()) == MAX_SHARDS - 1 < NO_SHARD
+    share = Share(MAX_SHARDS - 1, "n0", 1, 2)
+    grant = Grant(1, 2, 3, 400, 5, False, 6, (share,) * MAX_SHARDS)
     assert unpacked(grant) == grant
 
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,8 +1,8 @@
 """The transaction queue when the state service's limits drop unannounced."""
 
-from copperpass import wire
 from copperpass.core.kvstore.transactions import APPLIED, INVALID, PLAIN, Op, TransactionQueue
 from copperpass.core.ports import Outcome
+from copperpass.protocol.kvstore import put_key
 from tests.state_service import Service
 
 
@@ -16,7 +16,7 @@
             service.now,
             Op(
                 {},
-                [wire.put(f"k/{n}", value)],
+                [put_key(f"k/{n}", value)],
                 lambda now, how, rev, n=n: ends.append((n, how)),
                 999.0,
             ),
@@ -41,7 +41,7 @@
     for n in range(150):
         transactions.submit(
             service.now,
-            Op({}, [wire.put(f"k/{n}", n)], lambda now, how, rev: ends.append(how), 999.0, PLAIN),
+            Op({}, [put_key(f"k/{n}", n)], lambda now, how, rev: ends.append(how), 999.0, PLAIN),
         )
     for _ in range(1200):
         calls, service.out.calls = service.out.calls, []
