--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -8,35 +8,65 @@
 
 import pytest
 
-from copperpass import peer, wire
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.membership.version_registry import FORMAT, VersionRegistry
 from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.shards.routing import Contact, Entry, Status
+from copperpass.protocol.cloud import MachineTypes
+from copperpass.protocol.frames.codec import encode_frame
+from copperpass.protocol.frames.messages import (
+    NEVER_ANSWERED,
+    Contact,
+    Entries,
+    Entry,
+    Grant,
+    GrantRequest,
+    Heartbeat,
+    Hello,
+    JobCancelled,
+    MachineRequests,
+    Promise,
+    PromiseRequest,
+    RelayedAnswer,
+    RelayedReport,
+    RunningCounts,
+    Share,
+    Status,
+    Statuses,
+    ZoneTies,
+)
+from copperpass.protocol.frames.stream import FrameDecoder
+from copperpass.protocol.json_codec import decode, encode
+from copperpass.protocol.records import (
+    FleetRecord,
+    JobRecord,
+    LeadRecord,
+    TokenRecord,
+    VersionRecord,
+)
 from tests import production
 
 CONTACT = Contact("10.0.0.9:1", 3, 77)
 # Frames as all earlier versions pack them.
 FRAMES = [
-    (peer.Hello("n1"), "63700301000000026e31"),
-    (peer.Heartbeat(7, peer.NEVER), "637003020000000c0000000000000007ffffffff"),
-    (peer.PromiseRequest(7, 9), "637003030000001000000000000000070000000000000009"),
-    (peer.Promise(7, 9, True), "63700304000000110000000000000007000000000000000901"),
-    (peer.RunningCounts({"req-000001": 3}), "637003050000000f0a000000037265712d303030303031"),
-    (peer.RelayedReport(7, b"{}"), "6370030600000006000000077b7d"),
-    (peer.RelayedAnswer(7, 421, b""), "63700307000000060000000701a5"),
+    (Hello("n1"), "63700301000000026e31"),
+    (Heartbeat(7, NEVER_ANSWERED), "637003020000000c0000000000000007ffffffff"),
+    (PromiseRequest(7, 9), "637003030000001000000000000000070000000000000009"),
+    (Promise(7, 9, True), "63700304000000110000000000000007000000000000000901"),
+    (RunningCounts({"req-000001": 3}), "637003050000000f0a000000037265712d303030303031"),
+    (RelayedReport(7, b"{}"), "6370030600000006000000077b7d"),
+    (RelayedAnswer(7, 421, b""), "63700307000000060000000701a5"),
     (
-        peer.GrantRequest(3, 1 << 61, 9, 12),
+        GrantRequest(3, 1 << 61, 9, 12),
         "637003080000001c0000000000000003200000000000000000000009000000000000000c",
     ),
     (
-        peer.Grant(3, 1 << 61, 9, 1400, 55, True, 4, (peer.Share(1, "n2", 7, 90, 12),)),
+        Grant(3, 1 << 61, 9, 1400, 55, True, 4, (Share(1, "n2", 7, 90, 12),)),
         "637003090000004200000000000000032000000000000000000000090000057800000000000000370100"
         "0000000000000401026e320100000007000000000000005a000000000000000c",
     ),
     (
-        peer.Entries(
+        Entries(
             3,
             5,
             0,
@@ -53,7 +83,7 @@
         "00000000004d036d2d3203626f780162ff00000000000000070020",
     ),
     (
-        peer.Statuses(
+        Statuses(
             3,
             5,
             2,
@@ -68,7 +98,7 @@
         "00004d036d2d32000000000000000700ff00000000",
     ),
     (
-        peer.MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
+        MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
         "6370030c00000026000000000000000301000000000000000c00010a7265712d30303030303100000028"
         "40200000",
     ),
@@ -76,12 +106,12 @@
 
 # Frames that 0.3.0 has added; 0.2.0 closes the link on them.
 FRAMES_0_3_0 = [
-    (peer.JobCancelled("req-000412"), "6370030d0000000a7265712d303030343132"),
+    (JobCancelled("req-000412"), "6370030d0000000a7265712d303030343132"),
     (
-        peer.ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
+        ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
         "6370030e0000002500000000000000030100020a7265712d30303030303101610a7265712d3030303431320162",
     ),
-    (peer.ZoneTies(3, 0, ()), "6370030e0000000b0000000000000003000000"),
+    (ZoneTies(3, 0, ()), "6370030e0000000b0000000000000003000000"),
 ]
 
 # Records as 0.2.0 writes them, and what reads them here.
@@ -92,20 +122,20 @@
     '"hall":"a","edition_s":null}'
 )
 RECORDS = [
-    ("c/lead", wire.LeadRecord, '{"member":"n0","token":1,"lease":1}'),
-    ("c/token", wire.TokenRecord, '{"token":1,"member":"n0"}'),
-    ("c/live/req-000002", wire.JobRecord, '{"spec":' + SPEC + ',"at":1100.1}'),
-    ("d/job/req-000002", wire.JobRecord, '{"final":"done","count":3}'),
+    ("c/lead", LeadRecord, '{"member":"n0","token":1,"lease":1}'),
+    ("c/token", TokenRecord, '{"token":1,"member":"n0"}'),
+    ("c/live/req-000002", JobRecord, '{"spec":' + SPEC + ',"at":1100.1}'),
+    ("d/job/req-000002", JobRecord, '{"final":"done","count":3}'),
     ("c/ends/0.0", dict[str, str], '{"req-000001":"Bg=="}'),
     (
         "c/types",
-        wire.MachineTypes,
+        MachineTypes,
         '{"racks":[{"name":"box","cpus":16.0,"memory_gb":64.0,"price":1.0,"startup_s":10.0,'
         '"halls":["a","b","c"],"cards":0.0,"local_gb":20.0,"fetch_gb_per_s":1.0,"low_price":0.4}]}',
     ),
     (
         "c/fleet",
-        wire.FleetRecord,
+        FleetRecord,
         '{"places":[{"type":"box","zone":"a","spot":true,"booked":{"b-1-1":1},"fresh":["m-000001",'
         '"m-000004","m-000005"]},{"type":"box","zone":"c","spot":true,"up":["m-000003"]}]}',
     ),
@@ -120,23 +150,23 @@
     '"hall":null,"edition_s":null}'
 )
 RECORDS_0_3_0 = [
-    ("c/live/req-000001", wire.JobRecord, '{"spec":' + GANG_SPEC + ',"at":1100.2}'),
+    ("c/live/req-000001", JobRecord, '{"spec":' + GANG_SPEC + ',"at":1100.2}'),
     (
         "c/fleet/0",
-        wire.FleetRecord,
+        FleetRecord,
         '{"places":[{"type":"box","zone":"a","spot":true,"up":["m-000001","m-000002"]},'
         '{"type":"box","zone":"c","spot":true,"booked":{"b-1-1":1},"fresh":["m-000005"]}]}',
     ),
     ("c/ends/0.s0", dict[str, str], '{"req-000001:0":"CAI="}'),
     ("c/ends/0.s1", dict[str, str], '{"req-000001:1179":""}'),
-    ("v/n0", wire.VersionRecord, '{"version":"0.3.0","format":1}'),
+    ("v/n0", VersionRecord, '{"version":"0.3.0","format":1}'),
 ]
 
 
 @pytest.mark.parametrize(("frame", "packed"), FRAMES + FRAMES_0_3_0, ids=lambda v: type(v).__name__)
 def test_frames_of_earlier_versions_go_both_ways(frame, packed):
-    assert peer.pack(frame).hex() == packed
-    assert peer.Unpacker().feed(bytes.fromhex(packed)) == [frame]
+    assert encode_frame(frame).hex() == packed
+    assert FrameDecoder().feed(bytes.fromhex(packed)) == [frame]
 
 
 @pytest.mark.parametrize("version", [production.VERSION_0_2_0, None], ids=["0.2.0", "0.3.0"])
@@ -162,14 +192,14 @@
     ids=[f"0.2.0-{r[0]}" for r in RECORDS] + [f"0.3.0-{r[0]}" for r in RECORDS + RECORDS_0_3_0],
 )
 def test_records_of_earlier_versions_go_both_ways(version, key, kind, raw):
-    record = wire.decode(raw.encode(), kind)
+    record = decode(raw.encode(), kind)
     assert record is not None
-    written = json.loads(wire.encode(record))
+    written = json.loads(encode(record))
     # Whatever it wrote is written back; beside it may stand only what it reads without harm.
     assert written == {**written, **json.loads(raw)}
     old = production.load(version)
     theirs = getattr(old.wire, getattr(kind, "__name__", ""), kind)
-    again = old.wire.decode(wire.encode(record), theirs)
+    again = old.wire.decode(encode(record), theirs)
     assert json.loads(old.wire.encode(again)) == json.loads(
         old.wire.encode(old.wire.decode(raw.encode(), theirs))
     )
@@ -194,7 +224,7 @@
 def test_fields_that_only_a_later_version_knows_are_ignored(kind, raw):
     later = json.dumps(with_more(json.loads(raw)))
     assert later.count("later") >= 1
-    assert wire.decode(later.encode(), kind) == wire.decode(raw.encode(), kind)
+    assert decode(later.encode(), kind) == decode(raw.encode(), kind)
 
 
 def test_an_entry_of_ends_that_only_a_later_version_knows_hides_no_other():
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -3,7 +3,7 @@
 import pytest
 
 from copperpass import settings as settings_module
-from copperpass import wire
+from copperpass.protocol.json_codec import encode
 from tests.bodies import job, raw_settings
 from tests.simulation import Simulation
 from tests.state_service import COMING
@@ -35,7 +35,7 @@
     assert simulation.state.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
     assert simulation.state.too_large == 0
     # Small enough by our count and too large by the service's own.
-    size = len(wire.encode(simulation.state.data["c/live/req-000003"][0]))
+    size = len(encode(simulation.state.data["c/live/req-000003"][0]))
     narrow = simulation.submit(job(4, master="i" * (1500 + 2048 - 10 - size)))
     simulation.run(1.0)
     assert narrow.status == 422 and simulation.state.too_large == 1
