--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -14,23 +14,23 @@
     CONFLICT,
     INVALID,
     URGENT,
-    Op,
+    Operation,
     TransactionQueue,
 )
-from copperpass.core.ports import Call, Outbox, Outcome, Reply
-from copperpass.core.scheduling.machines import type_fits
+from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
+from copperpass.core.scheduling.machines import fits_machine_type
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
-from copperpass.protocol.kvstore import Item, delete_key, key_path, put_key
+from copperpass.protocol.kvstore import KeyValue, delete_key, key_path, put_key
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import (
     JOB_ID_PATTERN,
     MAX_BODY_BYTES,
     MAX_TASKS,
     JobAnswer,
+    JobReference,
+    JobSpec,
     JobState,
-    OnlyId,
-    Spec,
     decode_spec,
 )
 from copperpass.settings import Cluster, Team
@@ -50,7 +50,7 @@
         self.status, self.why = status, why
 
 
-def check(spec: Spec, cluster: Cluster, types: dict[str, MachineType]) -> None:
+def check(spec: JobSpec, cluster: Cluster, types: dict[str, MachineType]) -> None:
     """Raise a Rejection when the job is malformed or can never run."""
     if not JOB_ID_PATTERN.match(spec.id):
         raise Rejection(400, "id: not of the form req-000000")
@@ -82,7 +82,7 @@
         for zone in machine_type.zones
         if (spec.types is None or machine_type.name in spec.types)
         and spec.zone in (None, zone)
-        and type_fits(spec, machine_type)
+        and fits_machine_type(spec, machine_type)
     }
     if not zones:
         raise Rejection(422, "a task fits no allowed machine type")
@@ -90,7 +90,7 @@
         _check_gang(spec, team, zones)
 
 
-def _check_gang(spec: Spec, team: Team, zones: set[str]) -> None:
+def _check_gang(spec: JobSpec, team: Team, zones: set[str]) -> None:
     """Raise a Rejection when a gang, whose tasks all run at once, can never run."""
     if not fits(spec.cpus * spec.tasks, team.cpus_limit) or not fits(
         spec.gpus * spec.tasks, team.gpus_limit
@@ -100,9 +100,9 @@
         raise Rejection(422, "a gang can't be both in one zone and spread")
 
 
-def _read(outcome: Outcome) -> tuple[JobRecord, int] | None:
+def _read(outcome: CallOutcome) -> tuple[JobRecord, int] | None:
     """The record and version that a read brought."""
-    item = decode(outcome.body, Item) if outcome.status == 200 else None
+    item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
     record = decode(bytes(item.value), JobRecord) if item else None
     return None if item is None or record is None else (record, item.version)
 
@@ -142,7 +142,7 @@
         try:
             spec = decode_spec(body)
         except DECODE_ERRORS as error:
-            known = decode(body, OnlyId)
+            known = decode(body, JobReference)
             refusal = Rejection(400, str(error))
             if known is None or not JOB_ID_PATTERN.match(known.id):
                 self._answer(request, 400, error_body(refusal.why))
@@ -178,7 +178,7 @@
             else:
                 self._submitted(n, how, request, spec.id)
 
-        op = Op(
+        op = Operation(
             {LIVE + spec.id: 0, OVER + spec.id: 0},
             [put_key(LIVE + spec.id, record)],
             stored,
@@ -226,7 +226,7 @@
 
             self.transactions.submit(
                 n,
-                Op(
+                Operation(
                     {LIVE + job_id: version},
                     [delete_key(LIVE + job_id), put_key(OVER + job_id, final)],
                     stored,
@@ -248,7 +248,7 @@
             found(now, final, 0)
             return
 
-        def live(n: float, outcome: Outcome) -> None:
+        def live(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 404:
                 self._get(OVER + job_id, over)
                 return
@@ -264,7 +264,7 @@
             else:
                 found(n, *read)
 
-        def over(n: float, outcome: Outcome) -> None:
+        def over(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 404:
                 found(n, None, 0)
                 return
@@ -289,7 +289,7 @@
         while len(self.finals) > self.most_finals:
             self.finals.popitem(last=False)
 
-    def _get(self, key: str, then: Callable[[float, Outcome], None]) -> None:
+    def _get(self, key: str, then: Callable[[float, CallOutcome], None]) -> None:
         self.out.calls.append(Call("state", "GET", key_path(key), then, b"", self.read_timeout / 2))
 
     # -- answers --------------------------------------------------------------
--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core.autoscaling.state import ManagedMachine, Pool
+from copperpass.core.autoscaling.state import ManagedMachine, Shard
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling import allocation
 from copperpass.settings import Cluster
@@ -61,7 +61,7 @@
 
 
 def fullness(
-    pool: Pool,
+    pool: Shard,
     serving: list[ManagedMachine],
     remaining: dict[str, Remaining],
     allocated: allocation.Allocation,
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, Rentals
+from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
-from copperpass.core.ports import Call, Outcome
+from copperpass.core.ports import Call, CallOutcome
 from copperpass.protocol.cloud import ListedMachine, MachineList, machines_path
 from copperpass.protocol.frames.messages import NO_SHARD, Occupancy
 from copperpass.protocol.json_codec import decode
@@ -20,7 +20,7 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: Rentals,
+        rentals: InstanceRequests,
     ) -> None:
         self.state, self.records, self.rentals = state, records, rentals
         self.out, self.cloud = context.out, context.cluster.cloud
@@ -38,7 +38,7 @@
     def _read_page(self, now: float, after: str) -> None:
         """Ask for the machines whose names come after one."""
 
-        def then(n: float, outcome: Outcome) -> None:
+        def then(n: float, outcome: CallOutcome) -> None:
             page = decode(outcome.body, MachineList) if outcome.status == 200 else None
             if page is None or not self.state.ready:
                 self.listing = False
@@ -59,7 +59,7 @@
             return
         machine = state.machines.get(item.id)
         if machine is None:
-            place = Place(item.type, item.zone, item.spot)
+            place = MachineGroup(item.type, item.zone, item.spot)
             machine = records.add(now, item.id, place, NO_SHARD, Occupancy.EMPTY)
             machine.rented_at = now - item.age_s
             state.fleet_store.rented(now, item.id, place)
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -5,22 +5,22 @@
 from collections.abc import Iterable
 
 from copperpass.core.autoscaling.cloud_listing import CloudListing
-from copperpass.core.autoscaling.instance_requests import Rentals
+from copperpass.core.autoscaling.instance_requests import InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.machine_tracking import Machines
+from copperpass.core.autoscaling.machine_tracking import MachineTracker
 from copperpass.core.autoscaling.planner import Planner
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
-from copperpass.core.shards.grants import Grants
-from copperpass.core.storage.machine_inventory import FLEET, StoredFleet, page_number
+from copperpass.core.shards.grants import ShardGrants
+from copperpass.core.storage.machine_inventory import FLEET, StoredInventory, page_number
 from copperpass.protocol.frames.messages import (
+    CapacityRequests,
     Grant,
     GrantRequest,
-    MachineRequests,
-    Share,
-    Status,
-    ZoneTies,
+    MachineStatus,
+    ShardAssignment,
+    ZoneAffinities,
 )
-from copperpass.protocol.workers import Report
+from copperpass.protocol.workers import WorkerHeartbeat
 
 __all__ = ["UNKNOWN_REVISION", "ClusterManager", "ManagerContext"]
 
@@ -39,10 +39,10 @@
         self.table, self.machines = state.table, state.machines
         self.pools, self.grantees = state.pools, state.grantees
         self.records = MachineRecords(context, state)
-        self.rentals = Rentals(context, state, self.records)
+        self.rentals = InstanceRequests(context, state, self.records)
         self.listing = CloudListing(context, state, self.records, self.rentals)
-        self.following = Machines(context, state, self.records, self.rentals)
-        self.grants = Grants(context, state, self.records)
+        self.following = MachineTracker(context, state, self.records, self.rentals)
+        self.grants = ShardGrants(context, state, self.records)
         self.planner = Planner(context, state, self.records, self.rentals)
         self.fleet_store = state.fleet_store
         self.saw_fleet(context.fleet)
@@ -74,7 +74,7 @@
         """The version of the token counter that guards this term's writes."""
         return self.state.token_version()
 
-    def shares(self) -> tuple[Share, ...]:
+    def shares(self) -> tuple[ShardAssignment, ...]:
         """Who owns what."""
         return self.grants.shares()
 
@@ -87,7 +87,7 @@
         self.rentals.resume(now)
         self.fleet_store.begin(now)
 
-    def saw_fleet(self, fleet: StoredFleet, key: str = FLEET, version: int = 0) -> None:
+    def saw_fleet(self, fleet: StoredInventory, key: str = FLEET, version: int = 0) -> None:
         """The watch brings a change of the fleet's records.
 
         Until this term begins it may be a late write of an earlier leader's; afterwards only this
@@ -111,21 +111,21 @@
         """A member asks to have its grants extended."""
         return self.grants.pulled(now, sender, pull)
 
-    def told(self, now: float, sender: str, statuses: Iterable[Status]) -> None:
+    def told(self, now: float, sender: str, statuses: Iterable[MachineStatus]) -> None:
         """An owner's table has news."""
         self.following.told(now, sender, statuses)
 
-    def tied(self, frame: ZoneTies) -> None:
+    def tied(self, frame: ZoneAffinities) -> None:
         """An owner says in which zone jobs must find room; older owners don't."""
         pool = self.pools.get(frame.pool)
         if pool is not None:
             pool.ties = dict(frame.zones)
 
-    def asked(self, now: float, wants: MachineRequests) -> None:
+    def asked(self, now: float, wants: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         self.planner.asked(now, wants)
 
-    def unowned(self, now: float, report: Report) -> None:
+    def unowned(self, now: float, report: WorkerHeartbeat) -> None:
         """A machine reports that is in nobody's pool: find out whose it is."""
         self.following.unowned(now, report)
 
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -36,15 +36,17 @@
     def __init__(self, context: ManagerContext, state: ManagerState) -> None:
         tuning = context.tuning
         self.state, self.cluster, self.jobs = state, context.cluster, context.jobs
-        self.aims = objectives.Aims(context.cluster.objectives, tuning.patience_s)
-        self.scarce = objectives.Scarce(context.types, tuning.keep_scarce_s)
+        self.aims = objectives.ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
+        self.scarce = objectives.ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
-        self.peak = provisioning.Peak(warm_s)
-        self.cheap_peak = provisioning.Peak(tuning.cheap_window_boots * state.boot_s)
+        self.peak = provisioning.SlidingMaximum(warm_s)
+        self.cheap_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
         window = POOL_WINDOW * tuning.warm_window_boots * state.boot_s
-        self.peaks = {number: provisioning.Peak(window) for number in state.pools}
+        self.peaks = {number: provisioning.SlidingMaximum(window) for number in state.pools}
         # Urgent work that may use ordinary machines only.
-        self.ordinary_peaks = {number: provisioning.Peak(warm_s) for number in state.pools}
+        self.ordinary_peaks = {
+            number: provisioning.SlidingMaximum(warm_s) for number in state.pools
+        }
 
     def measure(self, now: float) -> Demand:
         """Sum up the work that is left; judges on the way which jobs are guaranteed."""
@@ -81,9 +83,9 @@
         """Take a measure into one pool's peak, between plans."""
         self.peaks[number].add(now, demand.urgent[number])
 
-    def warm(self) -> provisioning.Warm:
+    def warm(self) -> provisioning.WarmTargets:
         """The room to keep up for urgent work."""
-        return provisioning.Warm(self.peak.value(), self.cheap_peak.value())
+        return provisioning.WarmTargets(self.peak.value(), self.cheap_peak.value())
 
     def scarce_types(self) -> set[str]:
         """The types that are kept for work that fits no other."""
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -3,14 +3,19 @@
 from __future__ import annotations
 
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import Place
-from copperpass.core.autoscaling.state import Booking, ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.kvstore.transactions import Budget
-from copperpass.core.ports import NO_ANSWER, Call, Outcome
+from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.state import (
+    InstanceRequest,
+    ManagedMachine,
+    ManagerContext,
+    ManagerState,
+)
+from copperpass.core.kvstore.transactions import TokenBucket
+from copperpass.core.ports import NO_ANSWER, Call, CallOutcome
 from copperpass.protocol.cloud import (
     INSTANCES_PATH,
     RELEASE_PATH,
-    Rented,
+    InstanceAnswer,
     instance_request_body,
     release_body,
 )
@@ -28,7 +33,7 @@
 RELEASES_PER_CALL = 100
 
 
-class Rentals:
+class InstanceRequests:
     """Books machines and returns them.
 
     A booking is stored in the fleet's record before the cloud is asked, under a name that no other
@@ -41,22 +46,22 @@
         self.state, self.records, self.fleet_store = state, records, state.fleet_store
         self.out, self.authority = context.out, context.authority
         rps = context.cluster.cloud.rps
-        self.calls = Budget(RATE_PART * rps, max(BURST_S * rps, 2.0))
+        self.calls = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
         self.booking = 0
 
     def resume(self, now: float) -> None:
         """Ask again for the bookings of terms before: they may have been carried out."""
         for request, (stored, count) in list(self.fleet_store.booked.items()):
-            booking = Booking(Place(*stored), count, self.state.neediest_pool())
+            booking = InstanceRequest(MachineGroup(*stored), count, self.state.neediest_pool())
             self.state.renting[request] = booking
             self._book(now, booking, request, TRIES)
 
-    def rent(self, now: float, place: Place, count: int, pool: int) -> None:
+    def rent(self, now: float, place: MachineGroup, count: int, pool: int) -> None:
         """Book machines for a pool."""
         self.booking += 1
         # The token is this authority's alone, so the name is never used again by any node.
         request = f"b-{self.state.epoch}-{self.booking}"
-        booking = Booking(place, count, pool)
+        booking = InstanceRequest(place, count, pool)
         self.state.renting[request] = booking
 
         def stored(n: float, ok: bool) -> None:
@@ -68,11 +73,11 @@
 
         self.fleet_store.book(now, request, place, count, stored)
 
-    def _book(self, now: float, booking: Booking, request: str, tries: int) -> None:
+    def _book(self, now: float, booking: InstanceRequest, request: str, tries: int) -> None:
         """Ask the cloud for a booking's machines."""
         place = booking.place
 
-        def then(n: float, outcome: Outcome) -> None:
+        def then(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
                 self._rented(n, booking, request, outcome.body)
                 return
@@ -87,12 +92,12 @@
         body = instance_request_body(request, place.type, place.zone, place.spot, booking.machines)
         self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, then, body, CALL_TIMEOUT_S))
 
-    def _rented(self, now: float, booking: Booking, request: str, body: bytes) -> None:
+    def _rented(self, now: float, booking: InstanceRequest, request: str, body: bytes) -> None:
         """The cloud has carried out a booking, in full or in part."""
         state, place = self.state, booking.place
         known = state.renting.pop(request, None)
         pool = known.pool if known is not None else state.neediest_pool()
-        rented = decode(body, Rented)
+        rented = decode(body, InstanceAnswer)
         names = rented.machines if rented else []
         if len(names) < booking.machines:
             state.refusals.refused(place, now, state.boot_s / 2)
@@ -120,7 +125,7 @@
         for machine in waiting:
             machine.release_sent = now
 
-        def then(n: float, outcome: Outcome) -> None:
+        def then(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
                 for machine in waiting:
                     self.records.mark_gone(n, machine)
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -4,10 +4,16 @@
 
 from dataclasses import replace
 
-from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
-from copperpass.protocol.frames.messages import NO_SHARD, Contact, Entry, Occupancy, Status
+from copperpass.protocol.frames.messages import (
+    NO_SHARD,
+    MachineContact,
+    MachineRoute,
+    MachineStatus,
+    Occupancy,
+)
 
 # Handovers left beside one for each machine when a term gives up its authority.
 HANDOVERS_KEPT = 1000
@@ -43,16 +49,16 @@
         self,
         now: float,
         name: str,
-        place: Place,
+        place: MachineGroup,
         pool: int,
         may_hold: int,
-        contact: Contact | None = None,
+        contact: MachineContact | None = None,
     ) -> ManagedMachine:
         """Take up a machine; one that the fleet's record lacks has never been up."""
         state = self.state
         recorded = name in self.fleet_store.stored
         base = self.next_base()
-        entry = Entry(
+        entry = MachineRoute(
             name,
             place.type,
             place.zone,
@@ -63,7 +69,7 @@
             recorded,
             contact=contact,
         )
-        machine = ManagedMachine(entry, state.types[place.type], now, Status(name, base))
+        machine = ManagedMachine(entry, state.types[place.type], now, MachineStatus(name, base))
         state.machines[name] = machine
         state.table.put(entry)
         state.added[pool] = state.table.seq
@@ -72,7 +78,7 @@
     def restore(self, now: float) -> None:
         """Take up the machines that the fleet's record names, as the term before knew them."""
         for name, stored in self.fleet_store.places.items():
-            place = Place(*stored)
+            place = MachineGroup(*stored)
             if place.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
                 known = hint is not None and not hint.gone
@@ -91,21 +97,21 @@
         """Where a machine answers; kept for whoever commands it next."""
         known = machine.entry.contact
         if known is None or (known.address, known.session) != (address, session):
-            self.update(machine, contact=Contact(address, session, 0))
+            self.update(machine, contact=MachineContact(address, session, 0))
 
     def rebase(
         self,
         machine: ManagedMachine,
         pool: int,
         may_hold: int,
-        status: Status | None = None,
+        status: MachineStatus | None = None,
     ) -> None:
         """Change who commands a machine, under a higher token."""
         base = self.next_base()
         machine.back_for, machine.back_until = None, 0.0
         proven = status is not None and may_hold == Occupancy.EMPTY and status.contact is not None
         contact = status.contact if status is not None and proven else machine.entry.contact
-        machine.status = Status(machine.entry.name, base, up=machine.status.up)
+        machine.status = MachineStatus(machine.entry.name, base, up=machine.status.up)
         self.update(
             machine,
             pool=pool,
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -5,19 +5,19 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, Rentals
+from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.jobs.job_table import JobTable
-from copperpass.protocol.frames.messages import NO_SHARD, Occupancy, Status
-from copperpass.protocol.workers import Report
+from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus, Occupancy
+from copperpass.protocol.workers import WorkerHeartbeat
 
 # A machine that hasn't come up after so many boot times is returned.
 BOOTS_TO_COME_UP = 5
 
 
-class Machines:
+class MachineTracker:
     """Follows each machine from its first report until it is given back or returned."""
 
     def __init__(
@@ -25,7 +25,7 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: Rentals,
+        rentals: InstanceRequests,
     ) -> None:
         self.state, self.records, self.rentals = state, records, rentals
         self.jobs: JobTable = context.jobs
@@ -34,7 +34,7 @@
 
     # -- what owners tell -----------------------------------------------------------------
 
-    def told(self, now: float, sender: str, statuses: Iterable[Status]) -> None:
+    def told(self, now: float, sender: str, statuses: Iterable[MachineStatus]) -> None:
         """An owner's table has news."""
         for status in statuses:
             machine = self.state.machines.get(status.name)
@@ -44,7 +44,7 @@
                 continue
             self._take(now, machine, status)
 
-    def _take(self, now: float, machine: ManagedMachine, status: Status) -> None:
+    def _take(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
         """Take in a machine's new status."""
         records = self.records
         status = self._note_changes(now, machine, status)
@@ -64,7 +64,9 @@
         if status.release and not machine.releasing:
             self.rentals.release(now, [machine])
 
-    def _note_changes(self, now: float, machine: ManagedMachine, status: Status) -> Status:
+    def _note_changes(
+        self, now: float, machine: ManagedMachine, status: MachineStatus
+    ) -> MachineStatus:
         """Note since when a machine is up and idle; returns the status to keep."""
         if machine.status.up and not status.up:
             # A new owner has not heard it yet; that doesn't make it one that never came up, which
@@ -77,7 +79,7 @@
             machine.idle_since = now
         return status
 
-    def _given(self, now: float, machine: ManagedMachine, status: Status) -> None:
+    def _given(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
         """An owner has given a machine back: nobody commands it now."""
         if status.pool != NO_SHARD:
             # It holds tasks of another pool.
@@ -90,7 +92,7 @@
 
     # -- machines that nobody owns ----------------------------------------------------------
 
-    def unowned(self, now: float, report: Report) -> None:
+    def unowned(self, now: float, report: WorkerHeartbeat) -> None:
         """A machine reports that is in nobody's pool: find out whose it is."""
         state = self.state
         machine = state.machines.get(report.machine)
@@ -99,13 +101,13 @@
                 return
             # Unexpected: rented by a request that was carried out late, or a late copy about a
             # machine that is gone. Whoever owns it will see whether answers reach it.
-            place = Place(report.type, report.zone, report.spot)
+            place = MachineGroup(report.type, report.zone, report.spot)
             machine = self.records.add(now, report.machine, place, NO_SHARD, Occupancy.EMPTY)
         if machine.entry.pool != NO_SHARD or machine.releasing:
             return
         self.records.rebase(machine, self._pool_of(report), machine.entry.may_hold)
 
-    def _pool_of(self, report: Report) -> int:
+    def _pool_of(self, report: WorkerHeartbeat) -> int:
         """The pool with the most tasks in a report; the neediest if it has none."""
         counts: dict[int, int] = {}
         for task in report.tasks:
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -7,19 +7,19 @@
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.demand import DemandTracker
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.rebalancing import Lending
-from copperpass.core.autoscaling.scale_out_plan import RentalPlan
+from copperpass.core.autoscaling.rebalancing import Rebalancer
+from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import (
-    MachineRequest,
+    CapacityRequest,
     ManagedMachine,
     ManagerContext,
     ManagerState,
-    Pool,
+    Shard,
 )
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling import objectives
 from copperpass.protocol.frames.messages import NO_SHARD
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 
 # Requests older than this many reports' time are no longer true.
 REQUEST_REPORTS = 2
@@ -29,17 +29,17 @@
 class PoolOffer:
     """What there is for one pool while its requests are served; each request takes its part."""
 
-    pool: Pool
+    pool: Shard
     serving: list[ManagedMachine]
     # Machines on their way to the pool.
-    rooms: list[provisioning.Room]
+    rooms: list[provisioning.FreeCapacity]
     # Idle machines of other pools, the cheapest first.
     spare: list[ManagedMachine]
-    cover: provisioning.Cover
+    cover: provisioning.CoverageRatio
     # About what the pool's own machines have left; None until a gang asks.
-    own_rooms: list[provisioning.Room] | None = None
+    own_rooms: list[provisioning.FreeCapacity] | None = None
 
-    def own(self) -> list[provisioning.Room]:
+    def own(self) -> list[provisioning.FreeCapacity]:
         """The room that is left on the pool's own machines."""
         if self.own_rooms is None:
             self.own_rooms = [
@@ -56,7 +56,7 @@
 
     job: Job
     # The job's shape, with the zone that it is tied to.
-    spec: Spec
+    spec: JobSpec
     # Tasks that have found no room so far.
     left: int
     horizon: float
@@ -77,14 +77,14 @@
         state: ManagerState,
         records: MachineRecords,
         tracker: DemandTracker,
-        lending: Lending,
+        lending: Rebalancer,
     ) -> None:
         self.state, self.records, self.lending = state, records, lending
         self.cluster, self.tuning = context.cluster, context.tuning
         self.scarce, self.fleet_store = tracker.scarce, state.fleet_store
 
     def serve(
-        self, now: float, pool: Pool, serving: list[ManagedMachine], plan: RentalPlan | None
+        self, now: float, pool: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
     ) -> None:
         """Serve a pool's requests, each with what those before it have left.
 
@@ -106,7 +106,7 @@
                 self._take_kept(now, offer, search)
                 self._reclaim_guarantee(now, offer, search)
 
-    def _offer(self, pool: Pool, serving: list[ManagedMachine]) -> PoolOffer:
+    def _offer(self, pool: Shard, serving: list[ManagedMachine]) -> PoolOffer:
         """Gather what is on its way to a pool and what others could lend."""
         rooms = [
             provisioning.new_room(self.state.types[place.type], place)
@@ -130,7 +130,7 @@
         spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
         return PoolOffer(pool, serving, rooms, spare, self.lending.cover(serving))
 
-    def _begin(self, now: float, offer: PoolOffer, request: MachineRequest) -> Search:
+    def _begin(self, now: float, offer: PoolOffer, request: CapacityRequest) -> Search:
         """Start a request's search with the room that is on its way."""
         job, count, horizon = request
         tied_to = offer.pool.ties.get(job.spec.id)
@@ -154,9 +154,9 @@
     def _gang_zone(
         self,
         now: float,
-        spec: Spec,
+        spec: JobSpec,
         count: int,
-        rooms: list[provisioning.Room],
+        rooms: list[provisioning.FreeCapacity],
         spare: list[ManagedMachine],
     ) -> str | None:
         """The zone where most of a gang's tasks find room already and the rest can be rented."""
@@ -199,7 +199,7 @@
                 offer.spare.remove(machine)
                 self.lending.let_go(now, machine, number)
 
-    def _rent(self, now: float, offer: PoolOffer, search: Search, plan: RentalPlan) -> None:
+    def _rent(self, now: float, offer: PoolOffer, search: Search, plan: ScaleOutPlan) -> None:
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -5,21 +5,25 @@
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.allocation_plan import allocate, fullness, remaining_by_team
 from copperpass.core.autoscaling.demand import Demand, DemandTracker
-from copperpass.core.autoscaling.instance_requests import Rentals
+from copperpass.core.autoscaling.instance_requests import InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.placement_plan import PlacementPlanner
-from copperpass.core.autoscaling.rebalancing import Lending
-from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, RentalPlan, most_per_plan
+from copperpass.core.autoscaling.rebalancing import Rebalancer
+from copperpass.core.autoscaling.scale_out_plan import (
+    MACHINES_PER_CALL,
+    ScaleOutPlan,
+    most_per_plan,
+)
 from copperpass.core.autoscaling.state import (
-    MachineRequest,
+    CapacityRequest,
     ManagedMachine,
     ManagerContext,
     ManagerState,
-    Pool,
+    Shard,
 )
-from copperpass.core.autoscaling.warm_capacity import WarmRoom
+from copperpass.core.autoscaling.warm_capacity import WarmCapacity
 from copperpass.core.scheduling import allocation
-from copperpass.protocol.frames.messages import MachineRequests, Occupancy
+from copperpass.protocol.frames.messages import CapacityRequests, Occupancy
 
 # The part of patient work's room that doesn't count as warm room for work that can't wait.
 PATIENT_PART = 1.0
@@ -35,14 +39,14 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: Rentals,
+        rentals: InstanceRequests,
     ) -> None:
         self.state, self.rentals = state, rentals
         self.cluster, self.jobs, self.out = context.cluster, context.jobs, context.out
         self.tracker = DemandTracker(context, state)
-        self.lending = Lending(state, records, self.tracker)
+        self.lending = Rebalancer(state, records, self.tracker)
         self.placement = PlacementPlanner(context, state, records, self.tracker, self.lending)
-        self.warm_room = WarmRoom(context, state, self.tracker, self.lending)
+        self.warm_room = WarmCapacity(context, state, self.tracker, self.lending)
         self.next_plan = self.next_summary = state.won_at
         cloud_rps = context.cluster.cloud.rps
         self.plan_s = max(state.report_s / 4, 2.0 / cloud_rps)
@@ -55,7 +59,7 @@
         self.next_plan = now + self.plan_s
         return True
 
-    def asked(self, now: float, frame: MachineRequests) -> None:
+    def asked(self, now: float, frame: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         state = self.state
         pool = state.pools.get(frame.pool)
@@ -63,7 +67,7 @@
             return
         jobs = self.jobs.jobs
         pool.wants = [
-            MachineRequest(jobs[job_id], count, horizon)
+            CapacityRequest(jobs[job_id], count, horizon)
             for job_id, count, horizon in frame.wants
             if job_id in jobs
         ]
@@ -109,13 +113,13 @@
     def _change(
         self,
         now: float,
-        order: list[Pool],
+        order: list[Shard],
         serving: list[ManagedMachine],
-        warm: provisioning.Warm,
+        warm: provisioning.WarmTargets,
         taken: float,
     ) -> None:
         """Serve the pools in their order, keep warm room, rent what was planned."""
-        plan = RentalPlan.beside(serving, self.most_per_plan)
+        plan = ScaleOutPlan.beside(serving, self.most_per_plan)
         for pool in order:
             self.placement.serve(now, pool, serving, plan)
         self.warm_room.keep(now, warm, serving, taken, plan)
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.machines import Machine, allows, type_fits
-from copperpass.core.scheduling.objectives import Aims, price_of, remaining
+from copperpass.core.scheduling.machines import Machine, allows, fits_machine_type
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives, price_of, remaining
 from copperpass.protocol.cloud import MachineType
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
 
 
-class Place(NamedTuple):
+class MachineGroup(NamedTuple):
     """What can be rented: a type of machine in a zone, of the cheap kind or the ordinary one."""
 
     type: str
@@ -31,28 +31,28 @@
 
 
 @dataclass(slots=True)
-class Refusals:
+class CapacityBackoff:
     """Places where the cloud had nothing, and when to ask again."""
 
-    until: dict[Place, float] = field(default_factory=dict)
-    wait: dict[Place, float] = field(default_factory=dict)
+    until: dict[MachineGroup, float] = field(default_factory=dict)
+    wait: dict[MachineGroup, float] = field(default_factory=dict)
 
-    def refused(self, place: Place, now: float, base: float) -> None:
+    def refused(self, place: MachineGroup, now: float, base: float) -> None:
         """Back off, longer each time."""
         wait = min(self.wait.get(place, base / 2) * 2, base * 4)
         self.wait[place] = wait
         self.until[place] = now + wait
 
-    def granted(self, place: Place) -> None:
+    def granted(self, place: MachineGroup) -> None:
         """Something was there: start over."""
         self.wait.pop(place, None)
 
-    def open(self, place: Place, now: float) -> bool:
+    def open(self, place: MachineGroup, now: float) -> bool:
         """Whether to ask there."""
         return now >= self.until.get(place, 0.0)
 
 
-class Peak:
+class SlidingMaximum:
     """The highest value over a sliding window."""
 
     def __init__(self, window: float) -> None:
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Warm:
+class WarmTargets:
     """CPUs to keep up for demand that can't wait for a boot.
 
     Room on cheap machines is kept for longer than room on dear ones.
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Cover:
+class CoverageRatio:
     """How far the CPUs that pools have cover what they need at their peaks."""
 
     have: dict[int, float]
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """What a machine offers to tasks that wait, now or within their horizon."""
 
     type: MachineType
@@ -125,7 +125,7 @@
     def __post_init__(self) -> None:
         self.most = self.cpus + sum(free[1] for free in self.frees)
 
-    def slots(self, spec: Spec, count: int, horizon: float) -> int:
+    def slots(self, spec: JobSpec, count: int, horizon: float) -> int:
         """For how many tasks, up to `count`, that may start within the horizon there is room."""
         if count <= 0 or spec.cpus > self.most + 1e-6:
             return 0
@@ -141,7 +141,7 @@
                 slots = min(slots, int((have + 1e-6) / need))
         return max(0, slots)
 
-    def take(self, spec: Spec, count: int, horizon: float) -> int:
+    def take(self, spec: JobSpec, count: int, horizon: float) -> int:
         """Give room to up to `count` tasks that may start within the horizon."""
         slots = self.slots(spec, count, horizon)
         if slots <= 0:
@@ -153,15 +153,17 @@
         return slots
 
 
-def fill_gang(rooms: list[Room], spec: Spec, count: int, horizon: float, closed: set[str]) -> int:
+def fill_gang(
+    rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
+) -> int:
     """Give room to a gang's tasks, to all of them or to none; returns how many are left."""
-    zones: dict[str, list[Room]] = {}
+    zones: dict[str, list[FreeCapacity]] = {}
     for room in rooms:
         if room.type.name not in closed and allows(spec, room.type, room.zone, room.spot):
             zones.setdefault(room.zone if spec.one_zone else "", []).append(room)
     most = (spec.tasks + 1) // 2 if spec.spread else count
     for zone in sorted(zones):
-        offers: list[tuple[Room, int]] = []
+        offers: list[tuple[FreeCapacity, int]] = []
         taken: dict[str, int] = {}
         left = count
         for room in zones[zone]:
@@ -177,7 +179,7 @@
     return count
 
 
-def slots_on_new(machine_type: MachineType, spec: Spec, count: int) -> int:
+def slots_on_new(machine_type: MachineType, spec: JobSpec, count: int) -> int:
     """For how many of a job's tasks, up to `count`, an empty machine of a type has room."""
     per = [
         have / need
@@ -192,25 +194,27 @@
 
 
 def choose_place(
-    spec: Spec | None,
+    spec: JobSpec | None,
     count: int,
     types: dict[str, MachineType],
     zones: dict[str, int],
-    refusals: Refusals,
+    refusals: CapacityBackoff,
     now: float,
     spot_only: bool,
     closed: set[str],
     within: str | None = None,
     dear_only: bool = False,
-) -> Place | None:
+) -> MachineGroup | None:
     """The cheapest place for tasks of a shape, spread over zones; or `within` one of them.
 
     The price counts per task that finds room there; without a shape, per CPU.
     """
-    best: Place | None = None
+    best: MachineGroup | None = None
     best_score: tuple[float, int, str] | None = None
     for machine_type in types.values():
-        if machine_type.name in closed or (spec is not None and not type_fits(spec, machine_type)):
+        if machine_type.name in closed or (
+            spec is not None and not fits_machine_type(spec, machine_type)
+        ):
             continue
         slots = machine_type.cpus if spec is None else slots_on_new(machine_type, spec, count)
         for spot in (True, False):
@@ -223,7 +227,7 @@
                     continue
                 if spec is not None and not allows(spec, machine_type, zone, spot):
                     continue
-                place = Place(machine_type.name, zone, spot)
+                place = MachineGroup(machine_type.name, zone, spot)
                 if not refusals.open(place, now):
                     continue
                 score = (price / max(slots, 1e-6), zones.get(zone, 0), zone)
@@ -232,7 +236,7 @@
     return best
 
 
-def rooms_of(machines: Iterable[Machine], now: float, silence: float) -> list[Room]:
+def rooms_of(machines: Iterable[Machine], now: float, silence: float) -> list[FreeCapacity]:
     """What the machines that serve, or will soon, have to offer."""
     rooms = []
     for m in machines:
@@ -247,11 +251,11 @@
             for p in m.tasks.values()
             if p.active and p.state != TaskState.GATHERING
         ]
-        rooms.append(Room(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
+        rooms.append(FreeCapacity(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
     return rooms
 
 
-def cannot_wait(job: Job, aims: Aims, boot_s: float) -> bool:
+def cannot_wait(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
     """Whether a job must start before a machine could boot for it.
 
     By its class's objective, or as a guaranteed job by the objective for guarantees.
@@ -262,15 +266,15 @@
     return aims.guarantee is not None and aims.guarantee < boot_s and job.guaranteed
 
 
-def needs_ordinary(job: Job, aims: Aims, boot_s: float) -> bool:
+def needs_ordinary(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
     """Whether a job may use ordinary machines only and can't wait for one to boot."""
     return not job.spec.spot and cannot_wait(job, aims, boot_s)
 
 
-def left_room(machine_type: MachineType, place: Place, used_cpus: float) -> Room:
+def left_room(machine_type: MachineType, place: MachineGroup, used_cpus: float) -> FreeCapacity:
     """About what a machine offers beside what runs there; its memory is taken to be as full."""
     part = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
-    return Room(
+    return FreeCapacity(
         machine_type,
         place.zone,
         place.spot,
@@ -281,9 +285,9 @@
     )
 
 
-def new_room(machine_type: MachineType, place: Place) -> Room:
+def new_room(machine_type: MachineType, place: MachineGroup) -> FreeCapacity:
     """What an empty machine offers."""
-    return Room(
+    return FreeCapacity(
         machine_type,
         place.zone,
         place.spot,
@@ -294,7 +298,7 @@
     )
 
 
-def tied(spec: Spec, zones: Iterable[str]) -> Spec:
+def tied(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
     """A job as it may still be placed: in one zone for all, where its other tasks are.
 
     Counted and rented elsewhere, room is of no use to it: machines came up, idled and went back.
@@ -305,12 +309,14 @@
     return spec if zone is None else msgspec.structs.replace(spec, zone=zone)
 
 
-def without_exhausted(rooms: list[Room], least_cpus: float) -> list[Room]:
+def without_exhausted(rooms: list[FreeCapacity], least_cpus: float) -> list[FreeCapacity]:
     """The rooms in which the smallest task that waits may still find a place at some time."""
     return [room for room in rooms if room.most + 1e-6 >= least_cpus]
 
 
-def fill(rooms: list[Room], spec: Spec, count: int, horizon: float, closed: set[str]) -> int:
+def fill(
+    rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
+) -> int:
     """Give room to tasks that may start within the horizon; returns how many are left."""
     for room in rooms:
         if count <= 0:
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -8,7 +8,7 @@
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerState
 
 
-class Lending:
+class Rebalancer:
     """Moves machines between pools, and returns them, without leaving a pool short.
 
     Holds, from one plan to the next, the ordinary CPUs of each pool that aren't asked back.
@@ -44,7 +44,7 @@
             self.ordinary_cpus[number] -= machine.type.cpus
         self.records.ask_back(now, machine, pool)
 
-    def cover(self, serving: list[ManagedMachine]) -> provisioning.Cover:
+    def cover(self, serving: list[ManagedMachine]) -> provisioning.CoverageRatio:
         """How far each pool's machines, with those on their way, cover its urgent peak."""
         state = self.state
         have = dict.fromkeys(state.pools, 0.0)
@@ -57,4 +57,4 @@
         for place, count, number in state.renting.values():
             have[number] += state.types[place.type].cpus * count
         need = {number: peak.value() for number, peak in self.tracker.peaks.items()}
-        return provisioning.Cover(have, need)
+        return provisioning.CoverageRatio(have, need)
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine
 
 # The most machines that one call to the cloud may rent, by the protocol.
@@ -22,12 +22,12 @@
 class Destination(NamedTuple):
     """Where to rent machines, and for which pool."""
 
-    place: Place
+    place: MachineGroup
     pool: int
 
 
 @dataclass(slots=True)
-class RentalPlan:
+class ScaleOutPlan:
     """Machines to rent, in the order in which they were asked for."""
 
     counts: dict[Destination, int] = field(default_factory=dict)
@@ -37,7 +37,7 @@
     most: int = MACHINES_PER_CALL
 
     @classmethod
-    def beside(cls, serving: list[ManagedMachine], most: int) -> RentalPlan:
+    def beside(cls, serving: list[ManagedMachine], most: int) -> ScaleOutPlan:
         """An empty plan beside the machines that serve, for at most so many new ones."""
         plan = cls(most=most)
         for machine in serving:
@@ -49,7 +49,7 @@
         """Whether the plan takes no more machines."""
         return sum(self.counts.values()) >= self.most
 
-    def add(self, place: Place, pool: int) -> None:
+    def add(self, place: MachineGroup, pool: int) -> None:
         """One more machine."""
         destination = Destination(place, pool)
         self.zones[place.zone] = self.zones.get(place.zone, 0) + 1
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -7,15 +7,15 @@
 from typing import NamedTuple
 
 from copperpass.core.autoscaling import provisioning
-from copperpass.core.autoscaling.provisioning import Place
+from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.election.authority import GRANT_PER_TTL, Authority, certain_lease_s
 from copperpass.core.jobs.job_table import Job, JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
-from copperpass.core.shards.routing import Feed, Inbox, Table
-from copperpass.core.storage.machine_inventory import FleetStore, StoredFleet
+from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
+from copperpass.core.storage.machine_inventory import MachineInventoryStore, StoredInventory
 from copperpass.protocol.cloud import MachineType
-from copperpass.protocol.frames.messages import Entry, Status
+from copperpass.protocol.frames.messages import MachineRoute, MachineStatus
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -27,10 +27,10 @@
 class ManagedMachine:
     """A rented machine, as the leader sees it."""
 
-    entry: Entry
+    entry: MachineRoute
     type: MachineType
     rented_at: float
-    status: Status
+    status: MachineStatus
     up_at: float = 0.0
     idle_since: float = 0.0
     used_cpus: float = 0.0
@@ -42,9 +42,9 @@
     back_until: float = 0.0
 
     @property
-    def place(self) -> Place:
+    def place(self) -> MachineGroup:
         """What it was rented as."""
-        return Place(self.entry.type, self.entry.zone, self.entry.spot)
+        return MachineGroup(self.entry.type, self.entry.zone, self.entry.spot)
 
     @property
     def spare(self) -> bool:
@@ -58,7 +58,7 @@
         )
 
 
-class MachineRequest(NamedTuple):
+class CapacityRequest(NamedTuple):
     """Tasks of a job that an owner's machines have no room for in time."""
 
     job: Job
@@ -67,16 +67,16 @@
     horizon: float
 
 
-class Booking(NamedTuple):
+class InstanceRequest(NamedTuple):
     """Machines asked of the cloud, without an answer so far."""
 
-    place: Place
+    place: MachineGroup
     machines: int
     pool: int
 
 
 @dataclass(slots=True)
-class Pool:
+class Shard:
     """Teams that share an owner and its machines."""
 
     number: int
@@ -88,7 +88,7 @@
     at: int = 0
     reading: bool = False
     free_at: float = 0.0
-    wants: list[MachineRequest] = field(default_factory=list)
+    wants: list[CapacityRequest] = field(default_factory=list)
     wants_at: float = float("-inf")
     # The zones that jobs in it are tied to, as the owner says.
     ties: dict[str, str] = field(default_factory=dict)
@@ -103,8 +103,8 @@
     since: float = float("inf")
     heard: float = float("-inf")
     granted_until: float = float("-inf")
-    feed: Feed[Entry] | None = None
-    inbox: Inbox = field(default_factory=Inbox)
+    feed: ReplicationSender[MachineRoute] | None = None
+    inbox: ReplicationReceiver = field(default_factory=ReplicationReceiver)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -123,10 +123,10 @@
     authority: Authority
     jobs: JobTable
     types: dict[str, MachineType]
-    fleet: StoredFleet
+    fleet: StoredInventory
     # The pool of each team.
     pools: dict[str, int]
-    hints: dict[str, Entry]
+    hints: dict[str, MachineRoute]
     owners: dict[int, str]
     incarnation: int
     # Whether a member's heartbeats come in at a moment.
@@ -152,7 +152,7 @@
         self.report_s = context.cluster.workers.report_s
         self.lease_s = certain_lease_s(context.cluster)
         self.boot_s = provisioning.longest_boot(context.types)
-        self.table: Table[Entry] = Table()
+        self.table: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
         # When each deleted machine was confirmed as gone.
         self.gone: dict[str, float] = {}
@@ -161,15 +161,15 @@
         self.grantees: dict[str, Grantee] = {}
         self.grantees[self.member] = Grantee(context.incarnation, now, now, float("inf"))
         self.pool_of = context.pools
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, Shard] = {}
         for team, number in context.pools.items():
-            self.pools.setdefault(number, Pool(number, [])).teams.append(team)
-        self.renting: dict[str, Booking] = {}
-        self.refusals = provisioning.Refusals()
+            self.pools.setdefault(number, Shard(number, [])).teams.append(team)
+        self.renting: dict[str, InstanceRequest] = {}
+        self.refusals = provisioning.CapacityBackoff()
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
         self.dear_excess = True
         state = context.cluster.state
-        self.fleet_store = FleetStore(
+        self.fleet_store = MachineInventoryStore(
             context.transactions,
             self.token_version,
             state.value_kb * 1024,
@@ -201,7 +201,7 @@
     def neediest_pool(self) -> int:
         """The pool whose tasks have the least room for their number."""
 
-        def pressure(pool: Pool) -> tuple[float, int]:
+        def pressure(pool: Shard) -> tuple[float, int]:
             want = sum(request.tasks * request.job.spec.cpus for request in pool.wants)
             return (-want, pool.number)
 
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -6,14 +6,14 @@
 
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.demand import DemandTracker
-from copperpass.core.autoscaling.provisioning import Place
-from copperpass.core.autoscaling.rebalancing import Lending
-from copperpass.core.autoscaling.scale_out_plan import RentalPlan
+from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.rebalancing import Rebalancer
+from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.scheduling import objectives
 
 
-class WarmRoom:
+class WarmCapacity:
     """Keeps room for urgent work that may come: rents it, spreads it over pools, returns the rest.
 
     `taken` is everywhere the CPUs in use by work that can wait: they don't count as room.
@@ -24,7 +24,7 @@
         context: ManagerContext,
         state: ManagerState,
         tracker: DemandTracker,
-        lending: Lending,
+        lending: Rebalancer,
     ) -> None:
         self.state, self.tracker, self.lending = state, tracker, lending
         self.fleet_store, self.tuning = state.fleet_store, context.tuning
@@ -32,10 +32,10 @@
     def keep(
         self,
         now: float,
-        warm: provisioning.Warm,
+        warm: provisioning.WarmTargets,
         serving: list[ManagedMachine],
         taken: float,
-        plan: RentalPlan,
+        plan: ScaleOutPlan,
     ) -> None:
         """Plan machines until there is the warm room, for the pools that are covered least."""
         types, refusals = self.state.types, self.state.refusals
@@ -64,7 +64,7 @@
         number: int,
         serving: list[ManagedMachine],
         closed: set[str],
-        plan: RentalPlan,
+        plan: ScaleOutPlan,
     ) -> None:
         """Plan ordinary room for a pool's urgent work that may use no other.
 
@@ -75,7 +75,7 @@
         zones = self._ordinary_by_zone(number, serving, plan)
         while sum(zones.values()) < need and not plan.full and not self.fleet_store.full():
             most = max(sorted(zones), key=lambda zone: zones[zone], default=None)
-            found: Place | None = None
+            found: MachineGroup | None = None
             for within in dict.fromkeys((most, None)):
                 found = found or self._ordinary_place(now, closed, within)
             if found is None:
@@ -84,7 +84,7 @@
             plan.add(found, number)
 
     def _ordinary_by_zone(
-        self, number: int, serving: list[ManagedMachine], plan: RentalPlan
+        self, number: int, serving: list[ManagedMachine], plan: ScaleOutPlan
     ) -> dict[str, float]:
         """The ordinary CPUs that a pool has or will have, by zone."""
         zones: dict[str, float] = {}
@@ -98,7 +98,7 @@
                 zones[place.zone] = zones.get(place.zone, 0.0) + cpus
         return zones
 
-    def _coming(self, number: int, plan: RentalPlan) -> Iterator[tuple[Place, int]]:
+    def _coming(self, number: int, plan: ScaleOutPlan) -> Iterator[tuple[MachineGroup, int]]:
         """The machines booked or planned for a pool."""
         for booking in self.state.renting.values():
             if booking.pool == number:
@@ -107,7 +107,9 @@
             if destination.pool == number:
                 yield destination.place, count
 
-    def _ordinary_place(self, now: float, closed: set[str], within: str | None) -> Place | None:
+    def _ordinary_place(
+        self, now: float, closed: set[str], within: str | None
+    ) -> MachineGroup | None:
         """The cheapest place for an ordinary machine, in one zone or in any."""
         state = self.state
         return provisioning.choose_place(
@@ -132,7 +134,7 @@
                 cover.move(own, short, machine.type.cpus)
                 self.lending.let_go(now, machine, short)
 
-    def return_idle(self, now: float, warm: provisioning.Warm, taken: float) -> None:
+    def return_idle(self, now: float, warm: provisioning.WarmTargets, taken: float) -> None:
         """Ask back the dearest idle machines beyond the warm room."""
         serving = self.state.serving()
         total = sum(machine.type.cpus for machine in serving) - taken
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -26,20 +26,20 @@
     CONFLICT,
     UNKNOWN,
     URGENT,
-    Op,
+    Operation,
     TransactionQueue,
 )
-from copperpass.core.ports import Call, Outbox, Outcome
-from copperpass.protocol.frames.messages import Frame, Promise, PromiseRequest
+from copperpass.core.ports import Call, CallOutcome, Outbox
+from copperpass.protocol.frames.messages import Frame, LeaseExtensionRequest, LeaseExtensionVote
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import (
     LEASES_PATH,
-    LeaseMade,
+    LeaseCreated,
     lease_path,
     put_key,
     renew_lease_path,
 )
-from copperpass.protocol.records import LeadRecord, TokenRecord
+from copperpass.protocol.records import FencingTokenRecord, LeaderRecord
 from copperpass.settings import Cluster, SettingsError
 
 DRIFT = 0.0005
@@ -108,7 +108,7 @@
         self.on_change = on_change
         # What was confirmed before this moment is known here.
         self.fresh_at = fresh_at
-        self.lead: LeadRecord | None = None
+        self.lead: LeaderRecord | None = None
         self.lead_version = 0
         self.counter = 0
         self.counter_version = 0
@@ -157,7 +157,7 @@
             if version < self.lead_version and raw is not None:
                 return
             had = self.lead
-            self.lead = decode(raw, LeadRecord) if raw is not None else None
+            self.lead = decode(raw, LeaderRecord) if raw is not None else None
             self.lead_version = version if raw is not None else 0
             if self.lead is None:
                 if had is not None:
@@ -177,7 +177,7 @@
                 # Our own earlier run still holds the key: that process is gone, so end its lease.
                 self._end_key(now, self.lead.lease)
         elif key == TOKEN and raw is not None and version > self.counter_version:
-            record = decode(raw, TokenRecord)
+            record = decode(raw, FencingTokenRecord)
             # Every campaign is guarded by the counter's version: an older one can't win any more.
             self.doubtful.clear()
             if record:
@@ -260,7 +260,7 @@
             self.ending = lease
 
     def _drop(self, lease: int) -> None:
-        def then(now: float, outcome: Outcome) -> None:
+        def then(now: float, outcome: CallOutcome) -> None:
             if outcome.status in (200, 404):
                 # A late write of the key is refused from now on.
                 self.doubtful.discard(lease)
@@ -271,13 +271,13 @@
 
     def received(self, now: float, sender: str, frame: Frame) -> None:
         """Take a frame of the election."""
-        if isinstance(frame, PromiseRequest):
+        if isinstance(frame, LeaseExtensionRequest):
             granted = self._may_promise(frame.token)
             if granted:
                 self.promise_until = now + self.times.promise
                 self.highest = max(self.highest, frame.token)
-            self.out.send(sender, Promise(frame.token, frame.number, granted))
-        elif isinstance(frame, Promise):
+            self.out.send(sender, LeaseExtensionVote(frame.token, frame.number, granted))
+        elif isinstance(frame, LeaseExtensionVote):
             sent = self.asked.get(frame.number)
             if frame.granted and sent is not None and frame.token == self.token and self.leading:
                 until = sent + self.times.promise * (1 - 2 * DRIFT)
@@ -305,7 +305,7 @@
         for old in [n for n, at in self.asked.items() if now - at > self.times.promise]:
             del self.asked[old]
         for other in self.others:
-            self.out.send(other, PromiseRequest(self.token, self.number))
+            self.out.send(other, LeaseExtensionRequest(self.token, self.number))
 
     # -- campaign -----------------------------------------------------------------
 
@@ -318,8 +318,8 @@
         body = encode({"ttl_ms": int(self.ttl * 1000)})
         self.out.calls.append(Call("state", "POST", LEASES_PATH, self._leased, body, self.ttl / 3))
 
-    def _leased(self, now: float, outcome: Outcome) -> None:
-        made = decode(outcome.body, LeaseMade) if outcome.status == 200 else None
+    def _leased(self, now: float, outcome: CallOutcome) -> None:
+        made = decode(outcome.body, LeaseCreated) if outcome.status == 200 else None
         if made is None or self.lead is not None:
             if made is not None:
                 self._drop(made.lease)
@@ -327,10 +327,10 @@
             return
         self.new_lease = made.lease
         token = self.counter + 1
-        record = LeadRecord(self.member, token, made.lease)
+        record = LeaderRecord(self.member, token, made.lease)
         self.transactions.submit(
             now,
-            Op(
+            Operation(
                 {LEAD: 0, TOKEN: self.counter_version},
                 [
                     put_key(LEAD, msgspec.to_builtins(record), made.lease),
@@ -350,7 +350,7 @@
             self.campaigning = False
             self.leading = True
             self.token, self.win_revision, self.lease = token, revision, lease
-            self.lead = LeadRecord(self.member, token, lease)
+            self.lead = LeaderRecord(self.member, token, lease)
             self.lead_version = revision
             self.counter, self.counter_version = token, revision
             self.counter_holder = self.member
@@ -397,7 +397,7 @@
             )
         )
 
-    def _renewed(self, now: float, outcome: Outcome, lease: int, sent: float) -> None:
+    def _renewed(self, now: float, outcome: CallOutcome, lease: int, sent: float) -> None:
         self.renewing = False
         if not self.leading or lease != self.lease:
             return
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -10,7 +10,7 @@
 
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 
 LIVE, OVER, COMPLETIONS = "c/live/", "d/job/", "c/ends/"
 EPS = 1e-6
@@ -56,7 +56,7 @@
 class Job:
     """A job and what this controller knows of its tasks."""
 
-    spec: Spec
+    spec: JobSpec
     version: int
     arrived: float
     created: int
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -7,9 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, Outbox, Outcome
+from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import TRANSACTION_PATH, Applied, Refused, transaction_body
+from copperpass.protocol.kvstore import (
+    TRANSACTION_PATH,
+    TransactionApplied,
+    TransactionConflict,
+    transaction_body,
+)
 from copperpass.protocol.users import MAX_BODY_BYTES
 
 APPLIED, CONFLICT, UNAVAILABLE, UNKNOWN, INVALID = (
@@ -19,11 +24,11 @@
     "unknown",
     "invalid",
 )
-OpThen = Callable[[float, str, int], None]
+OnOperationDone = Callable[[float, str, int], None]
 
 
 @dataclass(slots=True)
-class Split:
+class RefusedBatch:
     """A batch that was refused as a whole; its operations go one by one to learn why."""
 
     left: int
@@ -32,17 +37,17 @@
 
 
 @dataclass(slots=True)
-class Op:
+class Operation:
     """One all-or-nothing group of writes and the versions that it depends on."""
 
     guards: dict[str, int]
     writes: list[dict[str, Any]]
-    then: OpThen
+    then: OnOperationDone
     deadline: float
     rank: int = 1
     size: int = 0
     # The refused batch that it was part of: it now goes by itself.
-    split: Split | None = None
+    split: RefusedBatch | None = None
 
 
 # Users and the election come first; then what frees room or ends jobs; then what can be gathered.
@@ -62,7 +67,7 @@
 NO_LEASE = b"no such lease"
 
 
-class Budget:
+class TokenBucket:
     """A token bucket over the steady clock."""
 
     def __init__(self, rate: float, burst: float) -> None:
@@ -103,15 +108,15 @@
 
     def __init__(self, out: Outbox, write_rps: float, txn_ops: int, timeout: float) -> None:
         self.out = out
-        self.queues: tuple[deque[Op], ...] = (deque(), deque(), deque())
+        self.queues: tuple[deque[Operation], ...] = (deque(), deque(), deque())
         self.in_flight = 0
-        self.budget = Budget(write_rps * 0.9, max(write_rps * 0.9, 2.0))
+        self.budget = TokenBucket(write_rps * 0.9, max(write_rps * 0.9, 2.0))
         self.txn_ops = txn_ops
         self.timeout = timeout
         self.paused_until = 0.0
         self.pause = PAUSE_S
 
-    def submit(self, now: float, op: Op) -> None:
+    def submit(self, now: float, op: Operation) -> None:
         """Queue an operation; its `then` is always called once."""
         op.size = len(transaction_body(op.guards, op.writes))
         self.queues[op.rank].append(op)
@@ -129,9 +134,9 @@
                 return
             self._send(batch)
 
-    def _batch(self, now: float) -> list[Op]:
+    def _batch(self, now: float) -> list[Operation]:
         """The operations that go together, those of the first rank in front."""
-        batch: list[Op] = []
+        batch: list[Operation] = []
         guards: dict[str, int] = {}
         written: set[str] = set()
         writes = size = 0
@@ -160,11 +165,11 @@
                 size += op.size
         return batch
 
-    def _again(self, ops: list[Op]) -> None:
+    def _again(self, ops: list[Operation]) -> None:
         for op in reversed(ops):
             self.queues[op.rank].appendleft(op)
 
-    def _send(self, batch: list[Op]) -> None:
+    def _send(self, batch: list[Operation]) -> None:
         guards: dict[str, int] = {}
         writes: list[dict[str, Any]] = []
         for op in batch:
@@ -182,16 +187,16 @@
             )
         )
 
-    def _done(self, now: float, batch: list[Op], outcome: Outcome) -> None:
+    def _done(self, now: float, batch: list[Operation], outcome: CallOutcome) -> None:
         self.in_flight -= 1
         status = outcome.status
         if status == 200:
-            applied = decode(outcome.body, Applied)
+            applied = decode(outcome.body, TransactionApplied)
             self.pause = PAUSE_S
             for op in batch:
                 self._end(now, op, APPLIED, applied.revision if applied else 0)
         elif status == 409:
-            refused = decode(outcome.body, Refused)
+            refused = decode(outcome.body, TransactionConflict)
             failed = set(refused.failed) if refused else set()
             again = [op for op in batch if failed and not failed & set(op.guards)]
             for op in batch:
@@ -211,7 +216,7 @@
             # A bad operation must not take its neighbours down, and the limits may have dropped:
             # each goes by itself, in its turn and out of the budget like any other.
             writes = sum(len(op.writes) for op in batch)
-            split = Split(len(batch), writes, NO_LEASE in outcome.body)
+            split = RefusedBatch(len(batch), writes, NO_LEASE in outcome.body)
             for op in batch:
                 op.split = split
             self._again(batch)
@@ -219,7 +224,7 @@
             self._end(now, batch[0], INVALID)
         self.pump(now)
 
-    def _end(self, now: float, op: Op, how: str, revision: int = 0) -> None:
+    def _end(self, now: float, op: Operation, how: str, revision: int = 0) -> None:
         """An operation is over; with the last of a refused batch it shows what was wrong."""
         split, op.split = op.split, None
         if split is not None:
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Callable
 
-from copperpass.core.ports import Call, Outbox, Outcome
+from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import Events, Listing, list_path, watch_path
+from copperpass.protocol.kvstore import KeyPage, WatchAnswer, list_path, watch_path
 
 PREFIX = "c/"
-Saw = Callable[[float, str, bytes | None, int], None]
+OnWatchChange = Callable[[float, str, bytes | None, int], None]
 
 
-class View:
+class WatchCache:
     """Lists the keys, then follows their changes; lists again when it has fallen behind."""
 
-    def __init__(self, out: Outbox, saw: Saw, wait_s: float, timeout: float) -> None:
+    def __init__(self, out: Outbox, saw: OnWatchChange, wait_s: float, timeout: float) -> None:
         self.out, self.saw, self.wait_s, self.timeout = out, saw, wait_s, timeout
         self.revision = 0
         self.listed = False
@@ -46,8 +46,8 @@
             Call("state", "GET", list_path(PREFIX, after), self._page, b"", self.timeout)
         )
 
-    def _page(self, now: float, outcome: Outcome) -> None:
-        page = decode(outcome.body, Listing) if outcome.status == 200 else None
+    def _page(self, now: float, outcome: CallOutcome) -> None:
+        page = decode(outcome.body, KeyPage) if outcome.status == 200 else None
         if page is None:
             self._fail(now)
             return
@@ -75,12 +75,12 @@
             Call("state", "GET", path, self._news, b"", self.wait_s + self.timeout)
         )
 
-    def _news(self, now: float, outcome: Outcome) -> None:
+    def _news(self, now: float, outcome: CallOutcome) -> None:
         if outcome.status == 410:
             self.listed, self.busy = False, False
             self.tick(now)
             return
-        news = decode(outcome.body, Events) if outcome.status == 200 else None
+        news = decode(outcome.body, WatchAnswer) if outcome.status == 200 else None
         if news is None:
             self._fail(now)
             return
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -9,10 +9,10 @@
 from __future__ import annotations
 
 from copperpass import __version__
-from copperpass.core.kvstore.transactions import APPLIED, PLAIN, Op, TransactionQueue
-from copperpass.core.ports import Call, Outbox, Outcome
+from copperpass.core.kvstore.transactions import APPLIED, PLAIN, Operation, TransactionQueue
+from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import Item, key_path, put_key
+from copperpass.protocol.kvstore import KeyValue, key_path, put_key
 from copperpass.protocol.records import VersionRecord
 
 # Outside the prefix that all versions list and watch.
@@ -58,9 +58,9 @@
     def _read(self, member: str) -> None:
         self.busy.add(member)
 
-        def then(now: float, outcome: Outcome) -> None:
+        def then(now: float, outcome: CallOutcome) -> None:
             self.busy.discard(member)
-            item = decode(outcome.body, Item) if outcome.status == 200 else None
+            item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
             record = decode(bytes(item.value), VersionRecord) if item else None
             if member != self.member:
                 if record is not None and record.format >= FORMAT:
@@ -86,5 +86,5 @@
 
         value = {"version": __version__, "format": FORMAT}
         self.transactions.submit(
-            now, Op({key: version}, [put_key(key, value)], then, now + self.gap_s, PLAIN)
+            now, Operation({key: version}, [put_key(key, value)], then, now + self.gap_s, PLAIN)
         )
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -11,36 +11,36 @@
 from copperpass.core.autoscaling.provisioning import longest_boot
 from copperpass.core.election.authority import GRANT_PER_TTL, LEAD, TOKEN, Authority, times_of
 from copperpass.core.jobs.job_table import COMPLETIONS, LEAST_KNOWN_CANCELLED, LIVE, JobTable
-from copperpass.core.kvstore.transactions import GATHERED, INVALID, Op, TransactionQueue
-from copperpass.core.kvstore.watch_cache import View
+from copperpass.core.kvstore.transactions import GATHERED, INVALID, Operation, TransactionQueue
+from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.membership.version_registry import VersionRegistry
-from copperpass.core.ports import Call, Outbox, Outcome, Reply
+from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.shard_scheduler import PoolScheduler
+from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.grant_client import BATCH, GrantClient
-from copperpass.core.shards.relay import Relay
-from copperpass.core.storage.machine_inventory import StoredFleet
+from copperpass.core.shards.relay import HeartbeatRelay
+from copperpass.core.storage.machine_inventory import StoredInventory
 from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
 from copperpass.protocol.frames.messages import (
     MAX_SHARDS,
     NEVER_ANSWERED,
-    Entries,
+    CapacityRequests,
     Frame,
     Grant,
     GrantRequest,
-    Heartbeat,
     JobCancelled,
-    MachineRequests,
+    MachineStatusUpdates,
+    MemberHeartbeat,
     RelayedAnswer,
-    RelayedReport,
+    RelayedHeartbeat,
+    RouteUpdates,
     RunningCounts,
-    Share,
-    Statuses,
-    ZoneTies,
+    ShardAssignment,
+    ZoneAffinities,
 )
 from copperpass.protocol.json_codec import decode, encode, error_body
 from copperpass.protocol.kvstore import put_key
-from copperpass.protocol.workers import Report, redirect_body
+from copperpass.protocol.workers import WorkerHeartbeat, redirect_body
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
 
@@ -88,7 +88,7 @@
         self.user_api.announce_cancelled = self._announce_cancelled
         cancelled = max(LEAST_KNOWN_CANCELLED, cluster.changes_per_cancellation_span)
         self.jobs = JobTable(day=day, most_cancelled=cancelled)
-        self.fleet = StoredFleet()
+        self.fleet = StoredInventory()
         # Of the records of ends.
         self.versions: dict[str, int] = {}
         self.pools = pools_of(cluster, self.tuning)
@@ -113,8 +113,8 @@
             self.ttl,
             timeout,
         )
-        self.relay = Relay(self.out, cluster.workers.lease_s, cluster.workers.report_s)
-        self.view = View(self.out, self._saw, self.ttl / 2, timeout)
+        self.relay = HeartbeatRelay(self.out, cluster.workers.lease_s, cluster.workers.report_s)
+        self.view = WatchCache(self.out, self._saw, self.ttl / 2, timeout)
         self.now = now
         # How fresh the views of the others are, by their beats.
         self.peer_state: dict[str, float] = {}
@@ -193,7 +193,7 @@
                 before, upto, entries = feed.next(BATCH)
                 self.out.send(
                     member,
-                    Entries(
+                    RouteUpdates(
                         cluster_manager.epoch, grantee.incarnation, before, upto, tuple(entries)
                     ),
                 )
@@ -201,17 +201,17 @@
     def received(self, now: float, sender: str, frame: Frame) -> None:
         """A frame from another controller."""
         self.peer_heard[sender] = now
-        if isinstance(frame, Heartbeat):
+        if isinstance(frame, MemberHeartbeat):
             if frame.state_age_ms != NEVER_ANSWERED:
                 self.peer_state[sender] = now - frame.state_age_ms / 1000
         elif isinstance(frame, RunningCounts):
             self.peer_counts[sender] = frame.running
-        elif isinstance(frame, RelayedReport):
-            report = decode(frame.body, Report)
+        elif isinstance(frame, RelayedHeartbeat):
+            report = decode(frame.body, WorkerHeartbeat)
             if report is not None:
                 status, body = self._answer(now, report, True)
                 self.out.send(sender, RelayedAnswer(frame.number, status, body))
-        elif isinstance(frame, ZoneTies):
+        elif isinstance(frame, ZoneAffinities):
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
                 self.cluster_manager.tied(frame)
         elif isinstance(frame, JobCancelled):
@@ -226,11 +226,11 @@
                 self.out.send(sender, grant)
         elif isinstance(frame, Grant):
             self.grant_client.granted(now, sender, frame)
-        elif isinstance(frame, Entries):
+        elif isinstance(frame, RouteUpdates):
             self.grant_client.entries(now, sender, frame)
-        elif isinstance(frame, Statuses):
+        elif isinstance(frame, MachineStatusUpdates):
             self._told(now, sender, frame)
-        elif isinstance(frame, MachineRequests):
+        elif isinstance(frame, CapacityRequests):
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
                 self.cluster_manager.asked(now, frame)
         else:
@@ -238,7 +238,7 @@
 
     def report(self, now: float, request: object, body: bytes) -> None:
         """POST /v1/report."""
-        report = decode(body, Report)
+        report = decode(body, WorkerHeartbeat)
         if report is None:
             self.out.replies.append(Reply(request, 400, error_body("malformed report")))
             return
@@ -267,7 +267,7 @@
         """Whether a member's beats, four in a promise's length, come in."""
         return now - self.peer_heard.get(member, float("-inf")) < self.times.promise
 
-    def _unowned(self, now: float, report: Report) -> str | None:
+    def _unowned(self, now: float, report: WorkerHeartbeat) -> str | None:
         """Where a machine should go that nobody is known to command."""
         if self.cluster_manager is not None:
             if not self.cluster_manager.ready or not self.authority.entitled(now):
@@ -278,7 +278,7 @@
         leader = self.authority.leader_name()
         return leader if leader != self.settings.name else None
 
-    def _answer(self, now: float, report: Report, handed: bool) -> tuple[int, bytes]:
+    def _answer(self, now: float, report: WorkerHeartbeat, handed: bool) -> tuple[int, bytes]:
         """What this node itself answers a report with."""
         entry = self.grant_client.directory.get(report.machine)
         owner = self.grant_client.schedulers.get(entry.pool) if entry is not None else None
@@ -291,7 +291,7 @@
             return 503, error_body("not commanded here")
         return 200, encode(answer)
 
-    def _told(self, now: float, sender: str, frame: Statuses) -> None:
+    def _told(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
         cluster_manager = self.cluster_manager
         if cluster_manager is None or frame.epoch != cluster_manager.epoch:
             return
@@ -302,7 +302,7 @@
             cluster_manager.told(now, sender, frame.statuses)
 
     @property
-    def schedulers(self) -> list[PoolScheduler]:
+    def schedulers(self) -> list[ShardScheduler]:
         """The pools that this node owns."""
         return list(self.grant_client.schedulers.values())
 
@@ -418,7 +418,7 @@
             self.cluster_manager.wait_out(before)
         grant_client.lead(self.cluster_manager)
 
-    def _make_owner(self, share: Share) -> PoolScheduler:
+    def _make_owner(self, share: ShardAssignment) -> ShardScheduler:
         grant_client = self.grant_client
         context = SchedulerContext(
             cluster=self.cluster,
@@ -437,7 +437,7 @@
             images=grant_client.images,
             fresh_at=lambda: self.view.fresh_at,
         )
-        return PoolScheduler(context, revision=share.revision, now=self.now)
+        return ShardScheduler(context, revision=share.revision, now=self.now)
 
     def _mind_isolation(self, now: float, cluster_manager: ClusterManager) -> None:
         """Step down when neither workers nor other controllers can be heard.
@@ -469,7 +469,7 @@
             return min(NEVER_ANSWERED - 1, int((now - at) * 1000)) if at > 0 else NEVER_ANSWERED
 
         # How fresh the view is: every answered request would say less of what this node can see.
-        beat = Heartbeat(self.authority.counter, age(self.view.fresh_at))
+        beat = MemberHeartbeat(self.authority.counter, age(self.view.fresh_at))
         for other in self.authority.others:
             self.out.send(other, beat)
         if self.schedulers and now >= self.next_counts:
@@ -485,7 +485,7 @@
     def _fetch_types(self, now: float) -> None:
         self.fetching_types = True
 
-        def then(n: float, outcome: Outcome) -> None:
+        def then(n: float, outcome: CallOutcome) -> None:
             self.fetching_types = False
             offer = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
             if offer is None:
@@ -520,7 +520,7 @@
         self.transactions.submit(
             now,
             # Written once: a late copy must not bring an older offer back.
-            Op(
+            Operation(
                 {TOKEN: self.authority.win_revision, TYPES: 0},
                 [put_key(TYPES, msgspec.to_builtins(offer))],
                 then,
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class CallOutcome:
     """How a call ended: an HTTP status, `NO_ANSWER` or `NOT_SENT`."""
 
     status: int
     body: bytes = b""
 
 
-Then = Callable[[float, Outcome], None]
+OnCallDone = Callable[[float, CallOutcome], None]
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     service: str
     method: str
     path: str
-    then: Then
+    then: OnCallDone
     body: bytes = b""
     timeout: float = 1.0
     address: str = ""
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 
 from copperpass.core.jobs.job_table import task_id
-from copperpass.core.ports import Call, Outcome
+from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import (
     COMMANDS_PATH,
     Command,
     CommandKind,
-    Direct,
-    Report,
+    DirectCommands,
     TaskState,
+    WorkerHeartbeat,
 )
 
 # The part of all connections that direct commands of all pools together may take, and the least
@@ -26,7 +26,7 @@
 
 # Takes the answer to a direct command: now, outcome, machine, the starts that were sent, and
 # whether any command was sent.
-DirectAnswer = Callable[[float, Outcome, Machine, list[Placement], bool], None]
+DirectAnswer = Callable[[float, CallOutcome, Machine, list[Placement], bool], None]
 
 
 class Commands:
@@ -37,7 +37,7 @@
 
     on_answer: DirectAnswer
 
-    def __init__(self, context: SchedulerContext, state: PoolState) -> None:
+    def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.context, self.state = context, state
         self.timing = state.timing
         # Commands that are being sent straight to workers, and how many may be at once.
@@ -58,7 +58,7 @@
             machine.deaf_since = now
             self.context.out.log("debug", "machine may be deaf", machine=machine.name)
 
-    def for_report(self, now: float, machine: Machine, report: Report) -> list[Command]:
+    def for_report(self, now: float, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
         """What the answer to a report tells the worker to do."""
         if not self.context.entitled(now):
             return []
@@ -84,7 +84,9 @@
             commands += self._starts_for_report(now, machine, report)
         return commands
 
-    def _starts_for_report(self, now: float, machine: Machine, report: Report) -> list[Command]:
+    def _starts_for_report(
+        self, now: float, machine: Machine, report: WorkerHeartbeat
+    ) -> list[Command]:
         commands = []
         for placement in machine.starts:
             placement.sent_seq, placement.direct, placement.sent_at = report.seq, False, now
@@ -136,10 +138,10 @@
         self.directs += 1
         ordered = bool(commands)
 
-        def then(at: float, outcome: Outcome) -> None:
+        def then(at: float, outcome: CallOutcome) -> None:
             self._answered(at, outcome, machine, starts, ordered)
 
-        body = encode(Direct(machine.token, max(1, machine.session), commands))
+        body = encode(DirectCommands(machine.token, max(1, machine.session), commands))
         timeout = self.timing.report_s / 2 + 0.25
         self.context.out.calls.append(
             Call("worker", "POST", COMMANDS_PATH, then, body, timeout, machine.address)
@@ -148,7 +150,7 @@
     def _answered(
         self,
         now: float,
-        outcome: Outcome,
+        outcome: CallOutcome,
         machine: Machine,
         starts: list[Placement],
         ordered: bool,
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -6,11 +6,11 @@
 from copperpass.core.jobs.job_table import EPS, Job
 from copperpass.core.scheduling import allocation, objectives
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import allows, type_fits
+from copperpass.core.scheduling.machines import allows, fits_machine_type
 from copperpass.core.scheduling.reservations import Reservations
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
-from copperpass.protocol.frames.messages import WaitingTasks
+from copperpass.protocol.frames.messages import PendingTasks
 
 # The least weight of a team in the allocation.
 LEAST_WEIGHT = 1e-3
@@ -22,7 +22,7 @@
     """Answers what jobs may start, what teams take, and which tasks need machines."""
 
     def __init__(
-        self, context: SchedulerContext, state: PoolState, reservations: Reservations
+        self, context: SchedulerContext, state: ShardState, reservations: Reservations
     ) -> None:
         self.state, self.reservations = state, reservations
         self.types, self.machines = context.types, state.machines
@@ -30,7 +30,7 @@
         # Jobs in need of machines that may only run in the zone where others of their tasks are.
         self.ties: dict[str, str] = {}
 
-    def wants(self, now: float) -> list[WaitingTasks]:
+    def wants(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no room for in time, the most urgent first."""
         state, timing = self.state, self.state.timing
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
@@ -61,7 +61,7 @@
             closed = self.reservations.scarce.closed_to(spec)
             left = fill(rooms, spec, count, horizon, closed)
             if left > 0:
-                unmet.append(WaitingTasks(spec.id, left, horizon))
+                unmet.append(PendingTasks(spec.id, left, horizon))
                 # Without it each job that waits would look at each full machine.
                 rooms = provisioning.without_exhausted(rooms, least_cpus)
         return unmet
@@ -115,7 +115,10 @@
         types = self.types
         return not any(
             kind not in types
-            or (allows(job.spec, types[kind], zone, spot) and type_fits(job.spec, types[kind]))
+            or (
+                allows(job.spec, types[kind], zone, spot)
+                and fits_machine_type(job.spec, types[kind])
+            )
             for kind, zone, spot in (self.unseen() if unseen is None else unseen)
         )
 
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -19,7 +19,7 @@
 from copperpass.core.scheduling.ranking import Ranking
 from copperpass.core.scheduling.reclaimable_capacity import machine_to_hold
 from copperpass.core.scheduling.reservations import Reservations
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
 # The part of a pool's room that overdue work gets before work that can still be in time.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         context: SchedulerContext,
-        state: PoolState,
+        state: ShardState,
         commands: Commands,
         tasks: TaskLifecycle,
         reservations: Reservations,
--- a/src/copperpass/core/scheduling/gang_planning.py
+++ b/src/copperpass/core/scheduling/gang_planning.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from copperpass.core.jobs.job_table import EPS, Job
-from copperpass.core.scheduling.machines import Machine, allows, type_fits
+from copperpass.core.scheduling.machines import Machine, allows, fits_machine_type
 from copperpass.core.scheduling.objectives import remaining
 from copperpass.core.scheduling.ranking import Ranking
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GangHold:
+class GangReservation:
     """The machines where a gang finds room soonest, when, and whether for all of its tasks."""
 
     machines: list[Machine]
@@ -32,7 +32,7 @@
 Offer = tuple[float, bool, str, Machine]
 
 
-def _slots(spec: Spec, room: tuple[float, float, float], most: int) -> int:
+def _slots(spec: JobSpec, room: tuple[float, float, float], most: int) -> int:
     """How many tasks fit into a room, up to `most`."""
     count = most
     for need, have in zip((spec.cpus, spec.gpus, spec.memory_gb), room, strict=True):
@@ -49,7 +49,7 @@
     return [{zone} for zone in sorted(zones) if taken <= {zone}]
 
 
-def _most_per_zone(spec: Spec) -> int:
+def _most_per_zone(spec: JobSpec) -> int:
     """How many tasks of a gang one zone may take."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
@@ -123,7 +123,7 @@
     machines: dict[str, Machine],
     now: float,
     kept: frozenset[str],
-) -> GangHold | None:
+) -> GangReservation | None:
     """Where a gang will find room soonest.
 
     If nowhere for all, then where there is room for most: the rest is to be rented there.
@@ -133,7 +133,7 @@
         machine
         for machine in usable
         if allows(spec, machine.type, machine.zone, machine.spot)
-        and type_fits(spec, machine.type)
+        and fits_machine_type(spec, machine.type)
         and not machine.held_from(spec.id, now)
     ]
     best: tuple[tuple[int, float, int], list[Machine]] | None = None
@@ -152,10 +152,12 @@
     if best is None:
         return None
     (short, last, _), hold = best
-    return GangHold(hold, now + last, short == 0)
+    return GangReservation(hold, now + last, short == 0)
 
 
-def _offers(spec: Spec, machine: Machine, need: int, now: float, free_to_all: bool) -> list[Offer]:
+def _offers(
+    spec: JobSpec, machine: Machine, need: int, now: float, free_to_all: bool
+) -> list[Offer]:
     """A machine's free places, one after the other, by when they are there."""
     offers: list[Offer] = []
     room, had = list(machine.room()), 0
@@ -175,7 +177,7 @@
     return offers
 
 
-def _choose(spec: Spec, offers: list[Offer], need: int) -> list[tuple[float, Machine]]:
+def _choose(spec: JobSpec, offers: list[Offer], need: int) -> list[tuple[float, Machine]]:
     """The first places, up to `need`, that don't put too many tasks into one zone."""
     most = _most_per_zone(spec)
     counts: dict[str, int] = {}
--- a/src/copperpass/core/scheduling/gangs.py
+++ b/src/copperpass/core/scheduling/gangs.py
@@ -7,7 +7,7 @@
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.ranking import Ranking
 from copperpass.core.scheduling.reservations import Reservations
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.workers import ExitCause, TaskState
 
@@ -15,7 +15,7 @@
 class GangMonitor:
     """Judges the attempts of gangs by what is reported of their tasks."""
 
-    def __init__(self, state: PoolState, tasks: TaskLifecycle) -> None:
+    def __init__(self, state: ShardState, tasks: TaskLifecycle) -> None:
         self.state, self.tasks = state, tasks
 
     def seen(self, now: float, job: Job, placement: Placement) -> None:
@@ -67,7 +67,7 @@
 class GangPlacer:
     """Starts gangs whole, and holds the room where one can start soonest."""
 
-    def __init__(self, state: PoolState, tasks: TaskLifecycle, reservations: Reservations) -> None:
+    def __init__(self, state: ShardState, tasks: TaskLifecycle, reservations: Reservations) -> None:
         self.state, self.tasks, self.reservations = state, tasks, reservations
         self.machines = state.machines
 
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
 # A zone that is silent as a whole is waited for as many leases before its machines are deleted.
@@ -38,10 +38,10 @@
         return silent * 2 > known and silent > 2
 
 
-class SilenceScan:
+class HeartbeatTimeoutScan:
     """Ends leases, and asks the leader to delete machines that are lost."""
 
-    def __init__(self, context: SchedulerContext, state: PoolState, tasks: TaskLifecycle) -> None:
+    def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
         self.out, self.state, self.tasks = context.out, state, tasks
 
     def scan(self, now: float) -> None:
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -3,27 +3,29 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job_table import Job, parse_task
-from copperpass.core.ports import NOT_SENT, Outcome
+from copperpass.core.ports import NOT_SENT, CallOutcome
 from copperpass.core.scheduling import objectives
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gangs import GangMonitor
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
-from copperpass.core.scheduling.state import PoolState
-from copperpass.core.scheduling.task_statuses import TaskReports
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.shards.routing import HANDOVER_SHIFT
-from copperpass.protocol.frames.messages import NO_SHARD, Status
+from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.users import PRIORITY_LEVELS
-from copperpass.protocol.workers import Report, ReportAnswer
+from copperpass.protocol.workers import HeartbeatAnswer, WorkerHeartbeat
 
 # A task is moved off a machine that goes if it will still run for longer than this multiple of the
 # time that is left: estimates are rough.
 NOTICE_MARGIN = 1.5
 
 
-def proves_gone(machine: Machine, placement: Placement, report: Report, full: bool) -> bool:
+def proves_gone(
+    machine: Machine, placement: Placement, report: WorkerHeartbeat, full: bool
+) -> bool:
     """Whether a report without the task proves that it is not, and will not be, there."""
     if placement.seen:
         return True
@@ -38,24 +40,26 @@
     return False
 
 
-class Reports:
+class HeartbeatHandler:
     """Takes reports, and the answers to direct commands, which say the same."""
 
     def __init__(
         self,
         context: SchedulerContext,
-        state: PoolState,
+        state: ShardState,
         commands: Commands,
         tasks: TaskLifecycle,
         gangs: GangMonitor,
-        task_reports: TaskReports,
+        task_reports: TaskStatusHandler,
     ) -> None:
         self.context, self.state, self.commands = context, state, commands
         self.tasks, self.gangs, self.task_reports = tasks, gangs, task_reports
         self.jobs, self.timing = context.jobs, state.timing
         self.machines, self.tally = state.machines, state.tally
 
-    def report(self, now: float, report: Report, handed: bool = False) -> ReportAnswer | None:
+    def report(
+        self, now: float, report: WorkerHeartbeat, handed: bool = False
+    ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
@@ -68,7 +72,7 @@
             # could renew was sent before the newest message that we know of came in.
             newest = max(machine.last_report, machine.last_message)
             machine.last_answer = max(machine.last_answer, newest)
-            return ReportAnswer(machine.token, [])
+            return HeartbeatAnswer(machine.token, [])
         # A worker that has found its way here can be told directly again: a new machine's first
         # report often comes to another controller.
         machine.handed_until = now + 2 * self.timing.report_s if handed else float("-inf")
@@ -80,9 +84,9 @@
             self.state.last_report = now
         machine.last_answer = max(machine.last_answer, now)
         commands = self.commands.for_report(now, machine, report)
-        return ReportAnswer(machine.token, commands)
+        return HeartbeatAnswer(machine.token, commands)
 
-    def take(self, now: float, machine: Machine, report: Report, full: bool) -> None:
+    def take(self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool) -> None:
         """Bring what we know of a machine up to a newer report.
 
         `full`: the worker has sent it by itself; else it is the answer to a direct command.
@@ -100,7 +104,9 @@
             if machine.vacating and not machine.starts:
                 self.state.give_back_if_empty(machine)
 
-    def _take_session(self, now: float, machine: Machine, report: Report, full: bool) -> None:
+    def _take_session(
+        self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool
+    ) -> None:
         """Note the session, and when the machine was heard."""
         if report.session != machine.session:
             if machine.session:
@@ -122,7 +128,7 @@
             machine.up, machine.up_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
-    def _take_proofs(self, now: float, machine: Machine, report: Report) -> None:
+    def _take_proofs(self, now: float, machine: Machine, report: WorkerHeartbeat) -> None:
         """Note the cloud's notice, and what the token proves."""
         if report.notice_s is not None and machine.notice_until is None:
             until = machine.notice_until = now + report.notice_s
@@ -134,7 +140,9 @@
             self.state.unsettled.discard(machine.name)
             self.state.dirty = True
 
-    def _take_tasks(self, now: float, machine: Machine, report: Report, full: bool) -> None:
+    def _take_tasks(
+        self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool
+    ) -> None:
         """Bring the machine's tasks up to those that are listed."""
         listed = set()
         for task in report.tasks:
@@ -164,7 +172,7 @@
         if len(foreign) == len(machine.tasks) and not machine.do_in_flight:
             pool = next((p.pool for p in foreign if p.pool != NO_SHARD), NO_SHARD)
             if pool != NO_SHARD:
-                last = Status(machine.name, machine.base, up=True, given=True, pool=pool)
+                last = MachineStatus(machine.name, machine.base, up=True, given=True, pool=pool)
                 self.state.part_with(machine, last)
                 return
         for placement in foreign:
@@ -271,7 +279,7 @@
     def direct_answer(
         self,
         now: float,
-        outcome: Outcome,
+        outcome: CallOutcome,
         machine: Machine,
         starts: list[Placement],
         ordered: bool,
@@ -279,7 +287,7 @@
         """A direct request was answered, or not: what has become of its starts."""
         report = None
         if outcome.status in (200, 409):
-            report = decode(outcome.body, Report)
+            report = decode(outcome.body, WorkerHeartbeat)
         mine = [p for p in starts if machine.tasks.get(p.key) is p and not p.seen]
         if outcome.status == NOT_SENT and ordered:
             # No connection: whatever is there can't be reached, so it gets nothing new for now.
@@ -305,7 +313,7 @@
         self.state.dirty = True
         self.commands.send(now, machine)
 
-    def _take_direct(self, now: float, machine: Machine, report: Report) -> None:
+    def _take_direct(self, now: float, machine: Machine, report: WorkerHeartbeat) -> None:
         """Take what an answer reports, if it is newer than what is known."""
         if (report.session, report.seq) <= (machine.session, machine.seq):
             return
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job_table import LIVE, OVER, Job
-from copperpass.core.kvstore.transactions import APPLIED, Op
+from copperpass.core.kvstore.transactions import APPLIED, Operation
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import StopReason
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
 from copperpass.protocol.kvstore import delete_key, put_key
@@ -21,7 +21,7 @@
 class JobResults:
     """Stores ends; the last end of a job makes it done."""
 
-    def __init__(self, context: SchedulerContext, state: PoolState, tasks: TaskLifecycle) -> None:
+    def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
         self.context, self.state, self.tasks = context, state, tasks
         cluster, limits = context.cluster, context.cluster.state
         self.completions = CompletionStore(
@@ -59,7 +59,7 @@
 
         writes = [delete_key(key), put_key(OVER + job.spec.id, final)]
         deadline = now + 2 * self.state.timing.lease_s
-        operation = Op({key: job.version}, writes, then, deadline)
+        operation = Operation({key: job.version}, writes, then, deadline)
         self.context.transactions.submit(now, operation)
 
     def store_outstanding(self, now: float) -> None:
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -13,8 +13,8 @@
 
 from copperpass.core.jobs.job_table import Job, fits
 from copperpass.protocol.cloud import MachineType
-from copperpass.protocol.frames.messages import Status
-from copperpass.protocol.users import Spec
+from copperpass.protocol.frames.messages import MachineStatus
+from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
 
 Key = tuple[str, int, int]
@@ -148,7 +148,7 @@
     # Tasks have come or ended since the last recount.
     stale: bool = False
     # What the leader was told last, and of which session.
-    told: Status | None = None
+    told: MachineStatus | None = None
     told_session: int = 0
     # When to ask it again what it holds, after it was taken over.
     next_probe: float = 0.0
@@ -187,7 +187,7 @@
             self.type.memory_gb - self.used_memory,
         )
 
-    def has_room(self, spec: Spec) -> bool:
+    def has_room(self, spec: JobSpec) -> bool:
         """Whether a task fits now."""
         kind = self.type
         return (
@@ -196,7 +196,7 @@
             and fits(spec.gpus, kind.gpus - self.used_gpus)
         )
 
-    def fetch_s(self, spec: Spec) -> float:
+    def fetch_s(self, spec: JobSpec) -> float:
         """Seconds until the machine has a job's image."""
         if spec.image in self.images:
             return 0.0
@@ -233,7 +233,7 @@
         )
 
 
-def allows(spec: Spec, machine_type: MachineType, zone: str, spot: bool) -> bool:
+def allows(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
     """Whether a job allows a type, a zone and a kind of machine."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
@@ -242,7 +242,7 @@
     return spec.spot or not spot
 
 
-def type_fits(spec: Spec, machine_type: MachineType) -> bool:
+def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether one task fits an empty machine of a type."""
     return (
         fits(spec.cpus, machine_type.cpus)
@@ -265,7 +265,7 @@
     return not spec.spread or counts.get(zone, 0) + 1 <= (spec.tasks + 1) // 2
 
 
-class Tally:
+class QuotaUsage:
     """What each team's tasks take on an owner's machines: sums kept up machine by machine."""
 
     def __init__(self) -> None:
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable
 
 from copperpass.core.jobs.job_table import Job, fits
-from copperpass.core.scheduling.machines import Placement, type_fits
+from copperpass.core.scheduling.machines import Placement, fits_machine_type
 from copperpass.protocol.cloud import MachineType
-from copperpass.protocol.users import PRIORITY_LEVELS, Spec
+from copperpass.protocol.users import PRIORITY_LEVELS, JobSpec
 from copperpass.settings import Objective
 
 LATE = 1e6
 
 
-class Aims:
+class ServiceLevelObjectives:
     """The users' aims, by class."""
 
     def __init__(self, objectives: Iterable[Objective], patience_s: float = 1e6) -> None:
@@ -75,7 +75,9 @@
         return now > job.arrived + self.patience_s and self.due(job, now) < now
 
 
-def share_late(queue: list[Job], aims: Aims, now: float, used: float, quota: float) -> None:
+def share_late(
+    queue: list[Job], aims: ServiceLevelObjectives, now: float, used: float, quota: float
+) -> None:
     """Put overdue work, which comes first, behind the rest while it has its part of the room.
 
     Without a bound on its part, work that has no aim, or none left, would take all room from work
@@ -104,7 +106,9 @@
         taken[spec.team] = total
 
 
-def task_order(jobs: Iterable[Job], aims: Aims, now: float, bonus_s: float = 0.0) -> list[Job]:
+def task_order(
+    jobs: Iterable[Job], aims: ServiceLevelObjectives, now: float, bonus_s: float = 0.0
+) -> list[Job]:
     """Jobs by the nearest aim that can still be met; a higher priority counts as `bonus_s` sooner.
 
     Production goes first in any case. Work whose aims have all passed is due after a bounded wait,
@@ -126,7 +130,7 @@
     return machine_type.price
 
 
-class Scarce:
+class ReservedTypes:
     """Types that large tasks depend on, because they fit no other.
 
     Small tasks that fit elsewhere would take each gap on them, and a large task then waits for all
@@ -135,15 +139,15 @@
 
     def __init__(self, types: dict[str, MachineType], keep_s: float) -> None:
         self.types, self.keep_s = types, keep_s
-        self.seen: dict[frozenset[str], tuple[float, Spec]] = {}
+        self.seen: dict[frozenset[str], tuple[float, JobSpec]] = {}
         self.cache: dict[tuple[float, float, float], set[str]] = {}
         # The smallest of the tasks that are about now and that a type is kept for, by type.
-        self.smallest: dict[str, Spec] = {}
+        self.smallest: dict[str, JobSpec] = {}
 
     def note(self, now: float, jobs: Iterable[Job]) -> None:
         """Take in the jobs that are about."""
         before = set(self.seen)
-        shapes: dict[tuple[float, float, float], Spec] = {}
+        shapes: dict[tuple[float, float, float], JobSpec] = {}
         for job in jobs:
             spec = job.spec
             shapes.setdefault((spec.cpus, spec.gpus, spec.memory_gb), spec)
@@ -157,17 +161,17 @@
         if set(self.seen) != before:
             self.cache.clear()
 
-    def _note_smallest(self, types: Iterable[str], spec: Spec) -> None:
+    def _note_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
         for name in types:
             smallest = self.smallest.get(name)
             if smallest is None or spec.cpus < smallest.cpus:
                 self.smallest[name] = spec
 
-    def fitting(self, spec: Spec) -> frozenset[str]:
+    def fitting(self, spec: JobSpec) -> frozenset[str]:
         """The types that one task fits."""
-        return frozenset(t.name for t in self.types.values() if type_fits(spec, t))
+        return frozenset(t.name for t in self.types.values() if fits_machine_type(spec, t))
 
-    def closed_to(self, spec: Spec) -> set[str]:
+    def closed_to(self, spec: JobSpec) -> set[str]:
         """The types that are kept from a job's tasks."""
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
         closed = self.cache.get(shape)
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -5,9 +5,14 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, StopReason
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.protocol.frames.messages import Contact, Entry, Occupancy, Status
+from copperpass.protocol.frames.messages import (
+    MachineContact,
+    MachineRoute,
+    MachineStatus,
+    Occupancy,
+)
 
 
 class Ownership:
@@ -16,14 +21,14 @@
     def __init__(
         self,
         context: SchedulerContext,
-        state: PoolState,
+        state: ShardState,
         commands: Commands,
         tasks: TaskLifecycle,
     ) -> None:
         self.context, self.state, self.commands, self.tasks = context, state, commands, tasks
         self.machines = state.machines
 
-    def learn(self, now: float, entry: Entry) -> None:
+    def learn(self, now: float, entry: MachineRoute) -> None:
         """The leader's table has an entry for a machine."""
         state, name = self.state, entry.name
         machine = self.machines.get(name)
@@ -51,7 +56,7 @@
         if entry.back:
             self._give_back(now, machine, entry.vacate)
 
-    def _learn_not_ours(self, now: float, entry: Entry, machine: Machine | None) -> None:
+    def _learn_not_ours(self, now: float, entry: MachineRoute, machine: Machine | None) -> None:
         """The machine is another pool's, or gone."""
         if entry.gone and machine is not None:
             self._gone(now, machine)
@@ -72,7 +77,7 @@
         self.state.unsettled.discard(machine.name)
         del self.machines[machine.name]
 
-    def _add(self, now: float, entry: Entry) -> Machine | None:
+    def _add(self, now: float, entry: MachineRoute) -> Machine | None:
         machine_type = self.context.types.get(entry.type)
         if machine_type is None:
             return None
@@ -117,7 +122,7 @@
         self.machines.pop(machine.name, None)
         self.context.images.pop(machine.name, None)
 
-    def statuses(self, now: float) -> list[Status]:
+    def statuses(self, now: float) -> list[MachineStatus]:
         """What the leader should know of the machines and has not been told."""
         told = list(self.state.given.values())
         for machine in self.machines.values():
@@ -147,9 +152,9 @@
         )
 
     @staticmethod
-    def _status(machine: Machine, idle: bool, settled: bool) -> Status:
+    def _status(machine: Machine, idle: bool, settled: bool) -> MachineStatus:
         known = machine.address and machine.up
-        return Status(
+        return MachineStatus(
             machine.name,
             machine.base,
             machine.up,
@@ -157,5 +162,5 @@
             idle,
             release=machine.releasing,
             used_cpus=machine.used_cpus,
-            contact=Contact(machine.address, machine.session, 0) if known else None,
+            contact=MachineContact(machine.address, machine.session, 0) if known else None,
         )
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -16,7 +16,7 @@
     zone_allows,
 )
 from copperpass.core.scheduling.reclaimable_capacity import stop_cost, victims, worth_saving
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.users import PRIORITY_LEVELS
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         context: SchedulerContext,
-        state: PoolState,
+        state: ShardState,
         commands: Commands,
         tasks: TaskLifecycle,
     ) -> None:
--- a/src/copperpass/core/scheduling/ranking.py
+++ b/src/copperpass/core/scheduling/ranking.py
@@ -9,7 +9,7 @@
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.machines import Machine, allows, zone_allows
 from copperpass.core.scheduling.objectives import price_of, remaining
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 
 # Tasks are taken to run for so many times their estimate when they use what others leave.
 BACKFILL_MARGIN = 1.0
@@ -22,7 +22,7 @@
     # Types that are reserved for larger tasks.
     closed_types: Set[str] = frozenset()
     # The smallest of the tasks that each of these types is reserved for.
-    reserved_for: Mapping[str, Spec] = field(default_factory=dict)
+    reserved_for: Mapping[str, JobSpec] = field(default_factory=dict)
     # Only spot machines: the job can wait for one.
     spot_only: bool = False
     # Time is short: an image that is there already counts for more than a low price.
--- a/src/copperpass/core/scheduling/reclaimable_capacity.py
+++ b/src/copperpass/core/scheduling/reclaimable_capacity.py
@@ -3,12 +3,18 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job_table import EPS, Job, fits
-from copperpass.core.scheduling.machines import Machine, Placement, allows, type_fits, zone_allows
+from copperpass.core.scheduling.machines import (
+    Machine,
+    Placement,
+    allows,
+    fits_machine_type,
+    zone_allows,
+)
 from copperpass.core.scheduling.objectives import remaining
-from copperpass.protocol.users import PRIORITY_LEVELS, Spec
+from copperpass.protocol.users import PRIORITY_LEVELS, JobSpec
 
 
-def unsaved_work(placement: Placement, spec: Spec | None, now: float) -> float:
+def unsaved_work(placement: Placement, spec: JobSpec | None, now: float) -> float:
     """The work since a task's last checkpoint, about: all of it where it never saves."""
     if not placement.running_at:
         return 0.0
@@ -16,13 +22,13 @@
     return ran % spec.checkpoint_s if spec is not None and spec.checkpoint_s > 0 else ran
 
 
-def stop_cost(placement: Placement, spec: Spec | None, now: float) -> float:
+def stop_cost(placement: Placement, spec: JobSpec | None, now: float) -> float:
     """The seconds of work that stopping a task costs: lost, or spent on saving if that is less."""
     lost = unsaved_work(placement, spec, now)
     return min(lost, spec.save_s) if spec is not None and spec.checkpoint_s > 0 else lost
 
 
-def worth_saving(placement: Placement, spec: Spec, slack_s: float, now: float) -> bool:
+def worth_saving(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
     """Whether a task that is stopped to make room should save first.
 
     Not where saving takes longer than the work since its last checkpoint did, nor where the room
@@ -40,7 +46,9 @@
     for machine in usable:
         if not allows(spec, machine.type, machine.zone, machine.spot):
             continue
-        if not type_fits(spec, machine.type) or not zone_allows(job, machine.zone, machines):
+        if not fits_machine_type(spec, machine.type) or not zone_allows(
+            job, machine.zone, machines
+        ):
             continue
         if machine.held_from(spec.id, now):
             continue
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -8,7 +8,7 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.ranking import PlacementPolicy
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 
 # The part of its patience after which a job none of whose tasks has started finds any room.
 LEFT_OUT_PART = 0.6
@@ -17,12 +17,14 @@
 class Reservations:
     """What is reserved from whom, and the policy for a job's placement that follows from it."""
 
-    def __init__(self, context: SchedulerContext, state: PoolState) -> None:
+    def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.state, self.tuning = state, context.tuning
-        self.scarce = objectives.Scarce(context.types, self.tuning.keep_scarce_s)
+        self.scarce = objectives.ReservedTypes(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
         self.kept: frozenset[str] = frozenset()
-        self.ordinary_peak = provisioning.Peak(self.tuning.warm_window_boots * state.timing.boot_s)
+        self.ordinary_peak = provisioning.SlidingMaximum(
+            self.tuning.warm_window_boots * state.timing.boot_s
+        )
 
     def left_out(self, job: Job, now: float) -> bool:
         """Whether none of a job's tasks has had a place for so long that nothing is kept from it.
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -12,37 +12,37 @@
 from copperpass.core.scheduling.demand import Demand
 from copperpass.core.scheduling.dispatch_round import Dispatcher
 from copperpass.core.scheduling.gangs import GangMonitor, GangPlacer
-from copperpass.core.scheduling.heartbeat_timeouts import SilenceScan
-from copperpass.core.scheduling.heartbeats import Reports
+from copperpass.core.scheduling.heartbeat_timeouts import HeartbeatTimeoutScan
+from copperpass.core.scheduling.heartbeats import HeartbeatHandler
 from copperpass.core.scheduling.job_results import JobResults
-from copperpass.core.scheduling.machines import Machine, Tally
+from copperpass.core.scheduling.machines import Machine, QuotaUsage
 from copperpass.core.scheduling.ownership import Ownership
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.reservations import Reservations
-from copperpass.core.scheduling.state import PoolState
-from copperpass.core.scheduling.task_statuses import TaskReports
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
-from copperpass.protocol.frames.messages import Entry, Status, WaitingTasks
-from copperpass.protocol.workers import Report, ReportAnswer
+from copperpass.protocol.frames.messages import MachineRoute, MachineStatus, PendingTasks
+from copperpass.protocol.workers import HeartbeatAnswer, WorkerHeartbeat
 from copperpass.settings import Team
 
 
-class PoolScheduler:
+class ShardScheduler:
     """Commands the machines of one pool of teams; a new one is made for each ownership."""
 
     def __init__(self, context: SchedulerContext, *, revision: int, now: float) -> None:
         self.context = context
-        state = self.state = PoolState(context, revision, now)
+        state = self.state = ShardState(context, revision, now)
         self.commands = Commands(context, state)
         tasks = TaskLifecycle(context, state, self.commands)
         self.results = JobResults(context, state, tasks)
         gangs = GangMonitor(state, tasks)
-        task_reports = TaskReports(context, state, tasks, gangs, self.results)
-        self.reports = Reports(context, state, self.commands, tasks, gangs, task_reports)
+        task_reports = TaskStatusHandler(context, state, tasks, gangs, self.results)
+        self.reports = HeartbeatHandler(context, state, self.commands, tasks, gangs, task_reports)
         self.commands.on_answer = self.reports.direct_answer
         self.ownership = Ownership(context, state, self.commands, tasks)
-        self.silence_scan = SilenceScan(context, state, tasks)
+        self.silence_scan = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
         self.dispatcher = Dispatcher(
@@ -61,7 +61,7 @@
         self.pool, self.serial, self.entitled = context.pool, context.serial, context.entitled
         self.machines: dict[str, Machine] = state.machines
         self.unsettled: set[str] = state.unsettled
-        self.tally: Tally = state.tally
+        self.tally: QuotaUsage = state.tally
         self.by_team: dict[str, Team] = state.by_team
         self.timing: Timing = state.timing
         self.ties: dict[str, str] = self.demand.ties
@@ -77,11 +77,13 @@
         self.reports.match_jobs()
         self.state.dirty = True
 
-    def learn(self, now: float, entry: Entry) -> None:
+    def learn(self, now: float, entry: MachineRoute) -> None:
         """The leader's table has an entry for a machine."""
         self.ownership.learn(now, entry)
 
-    def report(self, now: float, report: Report, handed: bool = False) -> ReportAnswer | None:
+    def report(
+        self, now: float, report: WorkerHeartbeat, handed: bool = False
+    ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
@@ -123,11 +125,11 @@
 
     # -- what the leader is told -------------------------------------------------------
 
-    def statuses(self, now: float) -> list[Status]:
+    def statuses(self, now: float) -> list[MachineStatus]:
         """What the leader should know of the machines and has not been told."""
         return self.ownership.statuses(now)
 
-    def wants(self, now: float) -> list[WaitingTasks]:
+    def wants(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no room for in time: job, count, seconds left."""
         return self.demand.wants(now)
 
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -6,16 +6,16 @@
 
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.context import SchedulerContext, Timing
-from copperpass.core.scheduling.machines import Machine, Placement, Tally
-from copperpass.core.scheduling.objectives import Aims
-from copperpass.protocol.frames.messages import Contact, Status
+from copperpass.core.scheduling.machines import Machine, Placement, QuotaUsage
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.protocol.frames.messages import MachineContact, MachineStatus
 from copperpass.settings import Team
 
 # How many of a team's latest tasks tell what its next ones will ask for.
 RECENT_TASKS = 64
 
 
-class PoolState:
+class ShardState:
     """Machines, tasks and flags of one ownership.
 
     The containers are never replaced, so that the parts may hold on to them.
@@ -41,16 +41,16 @@
         # Whether dear machines could go back: else they stay up, and any work may use them.
         self.dear_excess = True
         self.machines: dict[str, Machine] = {}
-        self.tally = Tally()
+        self.tally = QuotaUsage()
         # Machines taken over that may hold tasks which haven't been reported yet.
         self.unsettled: set[str] = set()
         # Machines of other pools where tasks of this pool may be, by the leader's word.
         self.elsewhere: dict[str, tuple[str, str, bool]] = {}
         # Machines given back: their last status is told until the leader has moved them.
-        self.given: dict[str, Status] = {}
+        self.given: dict[str, MachineStatus] = {}
         # The machines where a job has or had tasks.
         self.where: dict[str, set[str]] = {}
-        self.aims = Aims(cluster.objectives, context.tuning.patience_s)
+        self.aims = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
         # CPUs, GPUs and memory of the latest tasks started, by team.
         self.recent: dict[str, deque[tuple[float, float, float]]] = {
             team.name: deque(maxlen=RECENT_TASKS) for team in self.teams
@@ -70,7 +70,7 @@
         """
         return self.ready or self.context.fresh_at() > placement.sent_at
 
-    def part_with(self, machine: Machine, last: Status) -> None:
+    def part_with(self, machine: Machine, last: MachineStatus) -> None:
         """Command a machine no more; its last status is told until the leader has moved it."""
         del self.machines[machine.name]
         self.tally.drop(machine)
@@ -82,10 +82,10 @@
         """Give a machine back to the leader if it is proven empty; returns whether it was."""
         if not (machine.empty() and machine.settled and machine.deaf_since is None):
             return False
-        contact = Contact(machine.address, machine.session, machine.seq)
+        contact = MachineContact(machine.address, machine.session, machine.seq)
         self.part_with(
             machine,
-            Status(
+            MachineStatus(
                 machine.name,
                 machine.base,
                 up=True,
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -7,9 +7,9 @@
 from copperpass.core.scheduling.gangs import GangMonitor
 from copperpass.core.scheduling.job_results import JobResults
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle, runs_alone
-from copperpass.protocol.workers import ExitCause, TaskReport, TaskState
+from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
 # A job that has failed on as many machines has probably a mistake of its own.
 FAILED_MACHINES = 3
@@ -19,13 +19,13 @@
 MOST_DOUBLINGS = 6
 
 
-class TaskReports:
+class TaskStatusHandler:
     """Brings placements and jobs up to what reports say of their tasks."""
 
     def __init__(
         self,
         context: SchedulerContext,
-        state: PoolState,
+        state: ShardState,
         tasks: TaskLifecycle,
         gangs: GangMonitor,
         results: JobResults,
@@ -33,7 +33,7 @@
         self.state, self.tasks, self.gangs, self.results = state, tasks, gangs, results
         self.out, self.jobs = context.out, context.jobs
 
-    def update(self, now: float, machine: Machine, placement: Placement, task: TaskReport) -> None:
+    def update(self, now: float, machine: Machine, placement: Placement, task: TaskStatus) -> None:
         """A task is reported as being on a machine."""
         was_active = placement.active
         placement.seen = True
@@ -49,7 +49,7 @@
             self._is_active(now, placement, task, job)
 
     def _is_active(
-        self, now: float, placement: Placement, task: TaskReport, job: Job | None
+        self, now: float, placement: Placement, task: TaskStatus, job: Job | None
     ) -> None:
         if task.state in (TaskState.RUNNING, TaskState.SAVING) and not placement.running_at:
             placement.running_at = now
@@ -64,7 +64,7 @@
         now: float,
         machine: Machine,
         placement: Placement,
-        task: TaskReport,
+        task: TaskStatus,
         job: Job | None,
     ) -> None:
         """A task that was active is reported as ended."""
@@ -84,7 +84,7 @@
             self._ended_undone(now, machine, placement, job)
 
     def _log_end(
-        self, now: float, machine: Machine, placement: Placement, task: TaskReport
+        self, now: float, machine: Machine, placement: Placement, task: TaskStatus
     ) -> None:
         self.out.log(
             "debug",
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -6,7 +6,7 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
-from copperpass.core.scheduling.state import PoolState
+from copperpass.core.scheduling.state import ShardState
 from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Attempts are told apart by term, then by ownership within the term, then counted.
@@ -32,7 +32,7 @@
 class TaskLifecycle:
     """Places tasks on machines and takes them off; of a gang, all tasks of an attempt together."""
 
-    def __init__(self, context: SchedulerContext, state: PoolState, commands: Commands) -> None:
+    def __init__(self, context: SchedulerContext, state: ShardState, commands: Commands) -> None:
         self.context, self.state, self.commands = context, state, commands
         self.machines, self.where, self.tally = state.machines, state.where, state.tally
         self.jobs = context.jobs
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -9,26 +9,26 @@
 from copperpass.core.election.authority import DRIFT, GRANT_PER_TTL
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
-from copperpass.core.scheduling.shard_scheduler import PoolScheduler
-from copperpass.core.shards.routing import Feed, Inbox, Table
+from copperpass.core.scheduling.shard_scheduler import ShardScheduler
+from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
 from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME
 from copperpass.protocol.frames.messages import (
-    Entries,
-    Entry,
+    CapacityRequests,
     Grant,
     GrantRequest,
-    MachineRequests,
-    Share,
-    Status,
-    Statuses,
-    WaitingTasks,
-    ZoneTies,
+    MachineRoute,
+    MachineStatus,
+    MachineStatusUpdates,
+    PendingTasks,
+    RouteUpdates,
+    ShardAssignment,
+    ZoneAffinities,
 )
 
 # Entries to a frame: some 70 bytes each.
 BATCH = 200
 PULLS_PER_GRANT = 6
-MakeOwner = Callable[[Share], PoolScheduler]
+MakeScheduler = Callable[[ShardAssignment], ShardScheduler]
 
 
 class GrantClient:
@@ -41,7 +41,7 @@
         ttl: float,
         plan_s: float,
         out: Outbox,
-        make: MakeOwner,
+        make: MakeScheduler,
         fresh_until: Callable[[], float] = lambda: float("inf"),
         proven: Callable[[str], bool] = lambda member: False,
     ) -> None:
@@ -54,12 +54,12 @@
         self.epoch = 0
         self.leader = ""
         self.cluster_manager: ClusterManager | None = None
-        self.local: Feed[Entry] | None = None
-        self.schedulers: dict[int, PoolScheduler] = {}
-        self.shares: dict[int, Share] = {}
-        self.directory: dict[str, Entry] = {}
+        self.local: ReplicationSender[MachineRoute] | None = None
+        self.schedulers: dict[int, ShardScheduler] = {}
+        self.shares: dict[int, ShardAssignment] = {}
+        self.directory: dict[str, MachineRoute] = {}
         # What the terms before knew; kept until a later term has said better.
-        self.hints: dict[str, Entry] = {}
+        self.hints: dict[str, MachineRoute] = {}
         self.owned_before: dict[int, str] = {}
         self.images: Images = {}
         self.token_version = 0
@@ -74,9 +74,9 @@
         for owner in self.schedulers.values():
             owner.over = True
         self.schedulers, self.shares, self.directory = {}, {}, {}
-        self.inbox = Inbox()
-        self.table: Table[Status] = Table()
-        self.feed = Feed(self.table)
+        self.inbox = ReplicationReceiver()
+        self.table: ReplicationLog[MachineStatus] = ReplicationLog()
+        self.feed = ReplicationSender(self.table)
         self.until = float("-inf")
         self.number = self.latest = 0
         self.asked: OrderedDict[int, float] = OrderedDict()
@@ -93,7 +93,7 @@
     def lead(self, cluster_manager: ClusterManager) -> None:
         """The member leads by itself."""
         self._begin(cluster_manager.epoch, self.member)
-        self.cluster_manager, self.local = cluster_manager, Feed(cluster_manager.table)
+        self.cluster_manager, self.local = cluster_manager, ReplicationSender(cluster_manager.table)
 
     def leave(self) -> None:
         """Nobody is followed: all pools end."""
@@ -144,7 +144,7 @@
                 if owner.ready:
                     wants = tuple(owner.wants(now)[:MAX_REQUESTS_PER_FRAME])
                     self._tell_ties(number, owner, wants)
-                    self._send(now, MachineRequests(self.epoch, number, self.inbox.applied, wants))
+                    self._send(now, CapacityRequests(self.epoch, number, self.inbox.applied, wants))
 
     def refresh(self, now: float) -> None:
         """A leader's own table has changed and is needed at once."""
@@ -161,10 +161,10 @@
         self._share(now, cluster_manager.shares())
 
     def _tell_ties(
-        self, number: int, owner: PoolScheduler, wants: tuple[WaitingTasks, ...]
+        self, number: int, owner: ShardScheduler, wants: tuple[PendingTasks, ...]
     ) -> None:
         """Say in which zones the jobs that want machines must have them."""
-        frame = ZoneTies(
+        frame = ZoneAffinities(
             self.epoch,
             number,
             tuple((job, owner.ties[job]) for job, _, _ in wants if job in owner.ties),
@@ -174,10 +174,10 @@
         elif self.proven(self.leader):
             self.out.send(self.leader, frame)
 
-    def _send(self, now: float, frame: MachineRequests | Statuses) -> None:
+    def _send(self, now: float, frame: CapacityRequests | MachineStatusUpdates) -> None:
         if self.cluster_manager is None:
             self.out.send(self.leader, frame)
-        elif isinstance(frame, MachineRequests):
+        elif isinstance(frame, CapacityRequests):
             self.cluster_manager.asked(now, frame)
         else:
             self.cluster_manager.told(now, self.member, frame.statuses)
@@ -189,7 +189,10 @@
                 self.table.put(status)
         while self.feed.sent < self.table.seq:
             before, upto, statuses = self.feed.next(BATCH)
-            self._send(now, Statuses(self.epoch, self.incarnation, before, upto, tuple(statuses)))
+            self._send(
+                now,
+                MachineStatusUpdates(self.epoch, self.incarnation, before, upto, tuple(statuses)),
+            )
         if self.cluster_manager is not None:
             self.feed.acknowledged(self.feed.sent)
             self._local(now, self.cluster_manager)
@@ -210,7 +213,7 @@
         self.feed.acknowledged(grant.applied)
         self._share(now, grant.shares)
 
-    def entries(self, now: float, sender: str, part: Entries) -> None:
+    def entries(self, now: float, sender: str, part: RouteUpdates) -> None:
         """Part of the leader's table."""
         mine = sender == self.leader and part.epoch == self.epoch
         if (
@@ -220,7 +223,7 @@
         ):
             self._learn(now, part.entries)
 
-    def _learn(self, now: float, entries: Iterable[Entry]) -> None:
+    def _learn(self, now: float, entries: Iterable[MachineRoute]) -> None:
         for entry in entries:
             if entry.gone:
                 self.directory.pop(entry.name, None)
@@ -231,7 +234,7 @@
             for owner in self.schedulers.values():
                 owner.learn(now, entry)
 
-    def _share(self, now: float, shares: Iterable[Share]) -> None:
+    def _share(self, now: float, shares: Iterable[ShardAssignment]) -> None:
         self.shares = {share.pool: share for share in shares}
         for number, owner in list(self.schedulers.items()):
             share = self.shares.get(number)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -8,14 +8,20 @@
     Grantee,
     ManagerContext,
     ManagerState,
-    Pool,
+    Shard,
 )
 from copperpass.core.election.authority import DRIFT, TOKEN
-from copperpass.core.ports import Call, Outcome
-from copperpass.core.shards.routing import Feed, Inbox
-from copperpass.protocol.frames.messages import Entry, Grant, GrantRequest, Occupancy, Share
+from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
+from copperpass.protocol.frames.messages import (
+    Grant,
+    GrantRequest,
+    MachineRoute,
+    Occupancy,
+    ShardAssignment,
+)
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import TRANSACTION_PATH, Applied, transaction_body
+from copperpass.protocol.kvstore import TRANSACTION_PATH, TransactionApplied, transaction_body
 
 # A member counts as live for this part of a grant's length after its last request.
 LIVE_PER_GRANT = 0.75
@@ -23,11 +29,11 @@
 EARLY_PER_GRANT = 0.5
 
 
-class Grants:
+class ShardGrants:
     """Gives each pool to one live member at a time.
 
     A pool without an owner is given again only when every grant to the last one has certainly
-    ended (`Pool.free_at`), and no grant outlasts the authority behind it.
+    ended (`Shard.free_at`), and no grant outlasts the authority behind it.
     """
 
     def __init__(
@@ -67,7 +73,7 @@
 
     def _restarted(
         self, now: float, sender: str, grantee: Grantee, incarnation: int
-    ) -> Feed[Entry]:
+    ) -> ReplicationSender[MachineRoute]:
         """A member has just started, or has just come under this term: it holds nothing."""
         if grantee.incarnation not in (0, incarnation):
             # Its old grants are waited out all the same: a pull held back on an old connection
@@ -76,8 +82,8 @@
                 if pool.owner == sender:
                     self.disown(now, pool, grantee.granted_until)
         grantee.incarnation, grantee.since = incarnation, now
-        grantee.inbox = Inbox()
-        feed = grantee.feed = Feed(self.state.table)
+        grantee.inbox = ReplicationReceiver()
+        feed = grantee.feed = ReplicationSender(self.state.table)
         return feed
 
     def _extend(self, now: float, grantee: Grantee) -> float:
@@ -92,15 +98,15 @@
             self.authority.granted_until = granted
         return length
 
-    def shares(self) -> tuple[Share, ...]:
+    def shares(self) -> tuple[ShardAssignment, ...]:
         """Who owns what."""
         return tuple(
-            Share(pool.number, pool.owner, pool.serial, pool.revision, pool.at)
+            ShardAssignment(pool.number, pool.owner, pool.serial, pool.revision, pool.at)
             for pool in self.state.pools.values()
             if pool.owner
         )
 
-    def disown(self, now: float, pool: Pool, free_at: float) -> None:
+    def disown(self, now: float, pool: Shard, free_at: float) -> None:
         """A pool has lost its owner: every machine of it needs a higher token."""
         self.out.log("info", "pool without owner", pool=pool.number, owner=pool.owner)
         pool.owner, pool.revision, pool.free_at = "", UNKNOWN_REVISION, free_at
@@ -150,7 +156,7 @@
                 continue
             self._give(now, pool, self._choose_owner(pool, live))
 
-    def _choose_owner(self, pool: Pool, live: list[str]) -> str:
+    def _choose_owner(self, pool: Shard, live: list[str]) -> str:
         """The live member with the fewest pools: others before the leader, the last owner first."""
         state = self.state
         if len(state.pools) == 1:
@@ -164,7 +170,7 @@
             key=lambda member: (loads[member], member == state.member, member != before, member),
         )
 
-    def _give(self, now: float, pool: Pool, owner: str) -> None:
+    def _give(self, now: float, pool: Shard, owner: str) -> None:
         """Give a pool to a member."""
         state = self.state
         self.serial += 1
@@ -218,14 +224,14 @@
             self.passed_at = now
             self.disown(now, mine[0], now)
 
-    def _read_revision(self, now: float, pool: Pool) -> None:
+    def _read_revision(self, now: float, pool: Shard) -> None:
         """Learn a revision that is certainly after all that the last owner can have seen."""
         if pool.reading:
             return
         pool.reading, serial = True, pool.serial
 
-        def then(n: float, outcome: Outcome) -> None:
-            applied = decode(outcome.body, Applied) if outcome.status == 200 else None
+        def then(n: float, outcome: CallOutcome) -> None:
+            applied = decode(outcome.body, TransactionApplied) if outcome.status == 200 else None
             if pool.serial == serial:
                 pool.reading = False
                 if applied is not None:
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from copperpass.core.ports import Outbox, Reply
-from copperpass.protocol.frames.messages import RelayedAnswer, RelayedReport
+from copperpass.protocol.frames.messages import RelayedAnswer, RelayedHeartbeat
 from copperpass.protocol.json_codec import error_body
 
 # Workers that can't reach their owner have their reports relayed for so many leases.
@@ -30,7 +30,7 @@
     stuck_until: float = 0.0
 
 
-class Relay:
+class HeartbeatRelay:
     """Hands reports on, and answers them with what comes back."""
 
     def __init__(self, out: Outbox, lease_s: float, wait_s: float) -> None:
@@ -60,7 +60,7 @@
         """Send a report on."""
         self.number = (self.number + 1) & 0xFFFFFFFF
         self.pending[self.number] = (now + self.wait_s, request)
-        self.out.send(member, RelayedReport(self.number, body))
+        self.out.send(member, RelayedHeartbeat(self.number, body))
 
     def answered(self, frame: RelayedAnswer) -> None:
         """Pass an answer back; one that comes too late finds nobody waiting."""
--- a/src/copperpass/core/shards/routing.py
+++ b/src/copperpass/core/shards/routing.py
@@ -19,7 +19,7 @@
     return (epoch << EPOCH_SHIFT) + (handover << HANDOVER_SHIFT)
 
 
-class Named(Protocol):
+class HasName(Protocol):
     """Whatever is told apart by a machine's name."""
 
     @property
@@ -27,10 +27,10 @@
         """The machine's name."""
 
 
-T = TypeVar("T", bound=Named)
+T = TypeVar("T", bound=HasName)
 
 
-class Table(Generic[T]):
+class ReplicationLog(Generic[T]):
     """The sender's side: numbered entries, the newest for each machine."""
 
     def __init__(self) -> None:
@@ -61,10 +61,10 @@
         return [entry for _, entry in newer[:most]], max(seq, upto)
 
 
-class Feed(Generic[T]):
+class ReplicationSender(Generic[T]):
     """How far a receiver is known to have come, and what to send it."""
 
-    def __init__(self, table: Table[T], patience: int = 3) -> None:
+    def __init__(self, table: ReplicationLog[T], patience: int = 3) -> None:
         self.table, self.patience = table, patience
         self.acked = self.sent = 0
         self.idle = 0
@@ -86,7 +86,7 @@
         return before, upto, entries
 
 
-class Inbox:
+class ReplicationReceiver:
     """The receiver's side: takes batches in order, without gaps."""
 
     def __init__(self) -> None:
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -28,7 +28,13 @@
     segment_key,
     split_segment,
 )
-from copperpass.core.kvstore.transactions import APPLIED, GATHERED, INVALID, Op, TransactionQueue
+from copperpass.core.kvstore.transactions import (
+    APPLIED,
+    GATHERED,
+    INVALID,
+    Operation,
+    TransactionQueue,
+)
 from copperpass.protocol.kvstore import put_key
 
 # What marks the key of a page that holds a segment.
@@ -40,7 +46,7 @@
     return len(job.spec.id) + 8 + (job.spec.tasks + 5) // 6 + 4
 
 
-class Page:
+class CompletionPage:
     """One record of ends."""
 
     def __init__(self, key: str) -> None:
@@ -54,7 +60,7 @@
         # stored yet: until they are, this page is not written.
         self.leaving: dict[str, set[str]] = {}
         # Where such jobs have gone, until this page is written without them.
-        self.gone: dict[str, list[Page]] = {}
+        self.gone: dict[str, list[CompletionPage]] = {}
         # Jobs that are on their way here: only what is stored elsewhere may be said of them.
         self.coming: set[str] = set()
         # The part of the mask, if it holds a segment.
@@ -80,11 +86,11 @@
         self.room, self.gather_s, self.deadline_s = room, gather_s, deadline_s
         # What a page may hold at most until the service says otherwise.
         self.most_room = room if most_room is None else max(room, most_room)
-        self.pages: dict[str, Page] = {}
-        self.page_of: dict[str, Page] = {}
+        self.pages: dict[str, CompletionPage] = {}
+        self.page_of: dict[str, CompletionPage] = {}
         # Pages of segments, by job; those that were found, by job and offset; those whose job is
         # over.
-        self.segments: dict[str, list[Page]] = {}
+        self.segments: dict[str, list[CompletionPage]] = {}
         self.found: dict[str, dict[int, str]] = {}
         self.free: list[str] = []
         # Versions as the watch saw them; shared with the node, which keeps them up.
@@ -94,7 +100,7 @@
 
     def _load(self) -> None:
         """Take over the pages that are stored, and break up those that are too large."""
-        twice: list[tuple[str, Page]] = []
+        twice: list[tuple[str, CompletionPage]] = []
         for key, held in sorted(self.jobs.pages.items()):
             if not key.startswith(self.prefix):
                 continue
@@ -126,7 +132,7 @@
                 return
         self.free.append(key)
 
-    def _relieve(self, page: Page) -> None:
+    def _relieve(self, page: CompletionPage) -> None:
         """Move jobs away until the page has a size that will always be allowed."""
         for job_id, job in list(page.jobs.items()):
             if page.size <= self.room or len(page.jobs) == 1:
@@ -136,12 +142,12 @@
             self._put(job, target)
             self._leave(job_id, page, [target])
 
-    def _take_off(self, job: Job, page: Page) -> None:
+    def _take_off(self, job: Job, page: CompletionPage) -> None:
         del page.jobs[job.spec.id]
         del self.page_of[job.spec.id]
         page.size -= _size(job)
 
-    def _leave(self, job_id: str, page: Page, targets: list[Page]) -> None:
+    def _leave(self, job_id: str, page: CompletionPage, targets: list[CompletionPage]) -> None:
         """A page's job belongs to others from here on, and so does what was on its way here."""
         page.coming.discard(job_id)
         for other in [page, *self.pages.values()]:
@@ -153,13 +159,13 @@
             target.coming.add(job_id)
             target.since = 0.0
 
-    def _page(self, key: str) -> Page:
+    def _page(self, key: str) -> CompletionPage:
         page = self.pages.get(key)
         if page is None:
-            page = self.pages[key] = Page(key)
+            page = self.pages[key] = CompletionPage(key)
         return page
 
-    def _choose(self, job: Job) -> Page:
+    def _choose(self, job: Job) -> CompletionPage:
         """A page with room for a job, or a new one."""
         for page in self.pages.values():
             if page.size + _size(job) <= self.room and not page.leaving:
@@ -169,7 +175,7 @@
             number += 1
         return self._page(f"{self.prefix}{number}")
 
-    def _put(self, job: Job, page: Page) -> None:
+    def _put(self, job: Job, page: CompletionPage) -> None:
         page.jobs[job.spec.id] = job
         page.size += _size(job)
         self.page_of[job.spec.id] = page
@@ -226,7 +232,9 @@
         found = self.found.get(job_id, {})
         pages = self.segments[job_id] = []
         for offset in range(0, len(job.done), step):
-            page = Page(found.get(offset) or (self.free.pop() if self.free else self._new_key()))
+            page = CompletionPage(
+                found.get(offset) or (self.free.pop() if self.free else self._new_key())
+            )
             page.jobs[job_id] = job
             page.part = slice(offset, offset + step)
             if any(job.done[page.part]):
@@ -240,7 +248,7 @@
         keys = (f"{self.prefix}{SEGMENT}{n}" for n in itertools.count())
         return next(key for key in keys if key not in taken and key not in self.jobs.pages)
 
-    def _avoid(self, page: Page) -> None:
+    def _avoid(self, page: CompletionPage) -> None:
         """Give a segment another key if an earlier owner has stored another job's part there."""
         for entry in self.jobs.pages.get(page.key, ()):
             job_id, offset = split_segment(entry)
@@ -249,7 +257,7 @@
                 page.key, page.version = self._new_key(), 0
                 return
 
-    def _resize(self, page: Page) -> None:
+    def _resize(self, page: CompletionPage) -> None:
         """A page was refused for its size."""
         self.most_room = self.room
         self._relieve(page)
@@ -262,12 +270,12 @@
 
     # -- writing ---------------------------------------------------------------------------
 
-    def _mask(self, page: Page, job: Job) -> bytearray:
+    def _mask(self, page: CompletionPage, job: Job) -> bytearray:
         """What a page says of a job."""
         mask = bytearray(job.done) if job.spec.id in page.coming else job.mask()
         return mask if page.part is None else mask[page.part]
 
-    def _value(self, page: Page) -> dict[str, str]:
+    def _value(self, page: CompletionPage) -> dict[str, str]:
         if page.part is not None:
             return {
                 segment_key(job_id, page.part.start): pack_done(self._mask(page, job))
@@ -279,7 +287,7 @@
             if job.done_count or job.finished
         }
 
-    def _noted(self, page: Page) -> dict[str, tuple[Job, set[int]]]:
+    def _noted(self, page: CompletionPage) -> dict[str, tuple[Job, set[int]]]:
         """The ends that a write of a page makes certain."""
         noted: dict[str, tuple[Job, set[int]]] = {}
         for job_id, job in page.jobs.items():
@@ -291,7 +299,7 @@
             noted[job_id] = (job, ends)
         return noted
 
-    def _take_late(self, now: float, page: Page) -> None:
+    def _take_late(self, now: float, page: CompletionPage) -> None:
         """Keep ends that an earlier owner stored here and the view brought after our beginning.
 
         A record written without them would lose them, although their machines may have been told
@@ -313,7 +321,7 @@
             segments = self.segments.get(job_id)
             self._leave(job_id, page, segments or [self.page_of[job_id]])
 
-    def _write(self, now: float, page: Page) -> None:
+    def _write(self, now: float, page: CompletionPage) -> None:
         self._take_late(now, page)
         if page.leaving:
             return
@@ -340,7 +348,7 @@
 
         self.transactions.submit(
             now,
-            Op(
+            Operation(
                 {TOKEN: self.token_version(), page.key: version},
                 [put_key(page.key, self._value(page))],
                 then,
@@ -349,7 +357,7 @@
             ),
         )
 
-    def _arrived(self, page: Page, jobs: set[str]) -> None:
+    def _arrived(self, page: CompletionPage, jobs: set[str]) -> None:
         """A page with these jobs is stored: where they were before may be written without them."""
         for other in self.pages.values():
             for job_id in jobs & set(other.leaving):
@@ -357,7 +365,9 @@
                 if not other.leaving[job_id]:
                     del other.leaving[job_id]
 
-    def _left(self, now: float, page: Page, gone: dict[str, list[Page]]) -> None:
+    def _left(
+        self, now: float, page: CompletionPage, gone: dict[str, list[CompletionPage]]
+    ) -> None:
         """A page is stored without these jobs: their new pages may say all that is known."""
         for job_id, targets in gone.items():
             page.gone.pop(job_id, None)
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -32,18 +32,18 @@
     INVALID,
     PLAIN,
     UNKNOWN,
-    Budget,
-    Op,
+    Operation,
+    TokenBucket,
     TransactionQueue,
 )
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import delete_key, put_key
-from copperpass.protocol.records import FleetRecord, PlaceRecord
+from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
 from copperpass.protocol.users import MAX_BODY_BYTES
 
 FLEET = "c/fleet"
 PAGES = "c/fleet/"
-Place = tuple[str, str, bool]
+MachineGroup = tuple[str, str, bool]
 Wait = Callable[[float, bool], None]
 # The part of the smallest allowed value that a page fills: the service may count a value's bytes
 # in another notation than ours.
@@ -65,20 +65,20 @@
 
 
 @dataclass(slots=True)
-class StoredFleet:
+class StoredInventory:
     """What the view holds of the fleet's records; kept up by the watch."""
 
-    record: FleetRecord | None = None
+    record: InventoryRecord | None = None
     # 0: there is no such record.
     version: int = 0
-    pages: dict[int, tuple[FleetRecord | None, int]] = field(default_factory=dict)
+    pages: dict[int, tuple[InventoryRecord | None, int]] = field(default_factory=dict)
 
     def saw(self, key: str, raw: bytes | None, version: int) -> bool:
         """Take in a change; returns whether it concerns the fleet."""
         number = page_number(key)
         if key != FLEET and number is None:
             return False
-        record = decode(raw, FleetRecord) if raw is not None else None
+        record = decode(raw, InventoryRecord) if raw is not None else None
         if number is None:
             self.record, self.version = record, version if raw is not None else 0
         elif raw is None:
@@ -88,15 +88,15 @@
         return True
 
 
-class Page:
+class InventoryPage:
     """One page of the fleet: machines and bookings by name, each with its place."""
 
     def __init__(self, number: int, version: int) -> None:
         self.number, self.version = number, version
-        self.items: dict[str, Place] = {}
+        self.items: dict[str, MachineGroup] = {}
         # What has moved to other pages, and stays here until it is stored there.
-        self.leaving: dict[str, Place] = {}
-        self.places: dict[Place, int] = {}
+        self.leaving: dict[str, MachineGroup] = {}
+        self.places: dict[MachineGroup, int] = {}
         self.size = len('{"places":[]}')
         # When it must be written at the latest; None: nothing has changed.
         self.due: float | None = None
@@ -107,11 +107,11 @@
         """Where it is stored."""
         return f"{PAGES}{self.number}"
 
-    def cost(self, place: Place, item: int) -> int:
+    def cost(self, place: MachineGroup, item: int) -> int:
         """How much larger an item of that many bytes makes the page."""
         return item + (0 if place in self.places else _place_bytes(place))
 
-    def add(self, name: str, place: Place, item: int) -> None:
+    def add(self, name: str, place: MachineGroup, item: int) -> None:
         """Take an item in."""
         self.size += self.cost(place, item)
         self.items[name] = place
@@ -131,11 +131,11 @@
         self.due = due if self.due is None else min(self.due, due)
 
 
-def _place_bytes(place: Place) -> int:
+def _place_bytes(place: MachineGroup) -> int:
     return PLACE_BYTES + len(place[0].encode()) + len(place[1].encode())
 
 
-class FleetStore:
+class MachineInventoryStore:
     """The writer of the fleet's records; one a leader."""
 
     def __init__(
@@ -158,22 +158,22 @@
         self.gap_s, self.deadline_s = gap_s, deadline_s
         # A page a gap in the long run. A fleet at rest saves up for one transaction, so that a
         # booking or a mark needn't wait when it comes.
-        self.budget = Budget(1 / gap_s, float(txn_ops))
+        self.budget = TokenBucket(1 / gap_s, float(txn_ops))
         self.proven, self.limits_drop = proven, limits_drop
         # The version of `c/fleet`; 0: there is none.
         self.version = 0
         self.paged = self.moving = self.begun = False
-        self.pages: dict[int, Page] = {}
-        self.page_of: dict[str, Page] = {}
+        self.pages: dict[int, InventoryPage] = {}
+        self.page_of: dict[str, InventoryPage] = {}
         # Pages of an interrupted move, with their versions.
         self.leftover: dict[int, int] = {}
         self.removing = False
         # Under this version of the token a creation of `c/fleet` has had no answer.
         self.unsure_at = -1
-        self.booked: dict[str, tuple[Place, int]] = {}
+        self.booked: dict[str, tuple[MachineGroup, int]] = {}
         # Bookings that were answered, with the names that are not stored yet.
         self.answered: dict[str, set[str]] = {}
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, MachineGroup] = {}
         self.up: set[str] = set()
         # Machines whose mark as up is in the state service.
         self.stored: set[str] = set()
@@ -190,9 +190,9 @@
 
     def load(
         self,
-        record: FleetRecord | None,
+        record: InventoryRecord | None,
         version: int,
-        pages: dict[int, tuple[FleetRecord | None, int]] | None = None,
+        pages: dict[int, tuple[InventoryRecord | None, int]] | None = None,
     ) -> None:
         """Take over what an earlier authority has stored."""
         self.version = version
@@ -210,7 +210,7 @@
                 self._take(record)
             return
         for number, (held, at) in sorted((pages or {}).items()):
-            page = self.pages[number] = Page(number, at)
+            page = self.pages[number] = InventoryPage(number, at)
             for name, place in self._take(held).items() if held is not None else ():
                 if name in self.page_of:
                     # It was being moved between pages: either may be the newer, so the copy here
@@ -222,9 +222,9 @@
         for page in list(self.pages.values()):
             self._relieve(page)
 
-    def _take(self, record: FleetRecord) -> dict[str, Place]:
+    def _take(self, record: InventoryRecord) -> dict[str, MachineGroup]:
         """Take a record's machines and bookings over; returns their places."""
-        found: dict[str, Place] = {}
+        found: dict[str, MachineGroup] = {}
         for at in record.places:
             place = (at.type, at.zone, at.spot)
             machines = dict.fromkeys([*at.fresh, *at.up], place)
@@ -236,7 +236,7 @@
             found.update(dict.fromkeys(at.booked, place))
         return found
 
-    def _relieve(self, page: Page) -> None:
+    def _relieve(self, page: InventoryPage) -> None:
         """Break a page up that was stored when values could be larger.
 
         What moves stays on it until it is stored elsewhere, and only then is it written smaller.
@@ -289,7 +289,7 @@
         """Whether the one record has no room for more machines; there are always more pages."""
         return not self.paged and not self.moving and self.size > 0.85 * self.room
 
-    def book(self, now: float, request: str, place: Place, count: int, then: Wait) -> None:
+    def book(self, now: float, request: str, place: MachineGroup, count: int, then: Wait) -> None:
         """Store a booking; `then` is told whether it may be sent."""
         self.booked[request] = (place, count)
         page = self._file(request, place)
@@ -329,13 +329,13 @@
             del self.booked[request]
         self._touch(now, page, lazy=True)
 
-    def rented(self, now: float, name: str, place: Place) -> None:
+    def rented(self, now: float, name: str, place: MachineGroup) -> None:
         """A machine is known that no booking has named."""
         if name not in self.places:
             self.places[name] = place
             self._touch(now, self._file(name, place), lazy=True)
 
-    def came_up(self, now: float, name: str, place: Place) -> None:
+    def came_up(self, now: float, name: str, place: MachineGroup) -> None:
         """A machine reports; `on_stored` names it once its mark is stored."""
         if name not in self.up:
             self.places.setdefault(name, place)
@@ -356,7 +356,7 @@
                     other.touch(now)
             self._touch(now, page, lazy=True)
 
-    def _touch(self, now: float, page: Page | None, lazy: bool = False) -> None:
+    def _touch(self, now: float, page: InventoryPage | None, lazy: bool = False) -> None:
         if page is None:
             self.dirty = True
         else:
@@ -373,7 +373,7 @@
             return own
         return max(own + COUNT_BYTES, held[1] * (NAME_BYTES + ITEM_BYTES))
 
-    def _file(self, name: str, place: Place) -> Page | None:
+    def _file(self, name: str, place: MachineGroup) -> InventoryPage | None:
         """Give a new machine or booking its page; None while one record holds all."""
         if not self.paged and not self.moving:
             return None
@@ -381,11 +381,13 @@
         self._put(page, name, place)
         return page
 
-    def _put(self, page: Page, name: str, place: Place) -> None:
+    def _put(self, page: InventoryPage, name: str, place: MachineGroup) -> None:
         page.add(name, place, self._item(name))
         self.page_of[name] = page
 
-    def _choose(self, place: Place, item: int, but: Page | None = None) -> Page:
+    def _choose(
+        self, place: MachineGroup, item: int, but: InventoryPage | None = None
+    ) -> InventoryPage:
         """The page for a new item: first one that will be written anyway."""
         fitting = [
             p
@@ -395,7 +397,7 @@
         if fitting:
             return max(fitting, key=lambda p: (p.due is not None, place in p.places, p.size))
         number = next(n for n in range(len(self.pages) + 1) if n not in self.pages)
-        page = self.pages[number] = Page(number, self.leftover.pop(number, 0))
+        page = self.pages[number] = InventoryPage(number, self.leftover.pop(number, 0))
         return page
 
     # -- the move ------------------------------------------------------------------------------
@@ -449,7 +451,9 @@
 
         self.writing = self.removing = True
         guards = {TOKEN: self.token_version(), FLEET: self.version}
-        self._submit(now, Op(guards, [delete_key(FLEET)], then, now + self.deadline_s, PLAIN))
+        self._submit(
+            now, Operation(guards, [delete_key(FLEET)], then, now + self.deadline_s, PLAIN)
+        )
 
     def _remove_leftover(self, now: float) -> None:
         """Pages of an interrupted move that are not in use: no truth, but keys for ever."""
@@ -467,7 +471,7 @@
 
         self.writing = True
         writes = [delete_key(f"{PAGES}{n}") for n in numbers]
-        self._submit(now, Op(guards, writes, then, now + self.deadline_s, PLAIN))
+        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, PLAIN))
         self.next_write = now + len(numbers) * self.gap_s
 
     # -- writing ---------------------------------------------------------------------------------
@@ -499,20 +503,20 @@
             else:
                 self._remove_record(now)
 
-    def _submit(self, now: float, op: Op) -> None:
+    def _submit(self, now: float, op: Operation) -> None:
         self.next_write = now + self.gap_s
         self.transactions.submit(now, op)
 
-    def _record(self, items: dict[str, Place]) -> FleetRecord:
+    def _record(self, items: dict[str, MachineGroup]) -> InventoryRecord:
         """The record of some machines and bookings."""
-        held = {place: PlaceRecord(*place) for place in set(items.values())}
+        held = {place: MachineGroupRecord(*place) for place in set(items.values())}
         for name in sorted(items):
             record = held[items[name]]
             if name in self.booked:
                 record.booked[name] = self.booked[name][1]
             else:
                 (record.up if name in self.up else record.fresh).append(name)
-        return FleetRecord([held[place] for place in sorted(held)])
+        return InventoryRecord([held[place] for place in sorted(held)])
 
     def _mark(self, now: float, marked: set[str]) -> None:
         """Marks as up that are certainly stored."""
@@ -534,7 +538,7 @@
                 self.unsure_at = token
             self._written(n, how, revision, waits, marked)
 
-        op = Op(
+        op = Operation(
             {TOKEN: token, FLEET: version},
             [put_key(FLEET, value)],
             then,
@@ -571,8 +575,8 @@
         for then in waits:
             then(now, how == APPLIED)
 
-    def _write_pages(self, now: float, due: list[Page]) -> None:
-        pages: list[tuple[Page, list[Wait], set[str]]] = []
+    def _write_pages(self, now: float, due: list[InventoryPage]) -> None:
+        pages: list[tuple[InventoryPage, list[Wait], set[str]]] = []
         guards = {TOKEN: self.token_version()}
         if not self.moving:
             # Pages count only without it: no write of theirs may come to stand beside it.
@@ -611,9 +615,9 @@
 
         self.writing = True
         marked = set(self.up)
-        self._submit(now, Op(guards, writes, then, now + self.deadline_s, PLAIN))
+        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, PLAIN))
 
-    def _refused(self, page: Page, size: int, count: int) -> bool:
+    def _refused(self, page: InventoryPage, size: int, count: int) -> bool:
         """The state service has refused pages as invalid; returns whether that taught anything.
 
         Either its limits have dropped without notice, or the write can never be stored. Several
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -10,7 +10,7 @@
 
 from copperpass import __version__
 from copperpass.core.node.node import Node
-from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, Outcome
+from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome
 from copperpass.log import LEVELS
 from copperpass.net.client import Client
 from copperpass.net.peers import Peers
@@ -165,7 +165,7 @@
             try:
                 if status == NOT_SENT and call.service != "worker":
                     status = NO_ANSWER
-                call.then(self.now(), Outcome(status, body))
+                call.then(self.now(), CallOutcome(status, body))
             except Exception:
                 logger.exception("an answer could not be handled")
             self._drain()
--- a/src/copperpass/protocol/cloud.py
+++ b/src/copperpass/protocol/cloud.py
@@ -69,7 +69,7 @@
     more: bool = False
 
 
-class Rented(msgspec.Struct, rename={"machines": "presses"}):
+class InstanceAnswer(msgspec.Struct, rename={"machines": "presses"}):
     """The machines that a rental request brought."""
 
     machines: list[str]
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -9,26 +9,26 @@
 from typing import Any
 
 from copperpass.protocol.frames.messages import (
-    Contact,
-    Entries,
-    Entry,
+    CapacityRequests,
     Frame,
     Grant,
     GrantRequest,
-    Heartbeat,
     Hello,
     JobCancelled,
-    MachineRequests,
-    Promise,
-    PromiseRequest,
+    LeaseExtensionRequest,
+    LeaseExtensionVote,
+    MachineContact,
+    MachineRoute,
+    MachineStatus,
+    MachineStatusUpdates,
+    MemberHeartbeat,
+    PendingTasks,
     RelayedAnswer,
-    RelayedReport,
+    RelayedHeartbeat,
+    RouteUpdates,
     RunningCounts,
-    Share,
-    Status,
-    Statuses,
-    WaitingTasks,
-    ZoneTies,
+    ShardAssignment,
+    ZoneAffinities,
 )
 
 MAGIC, FRAME_VERSION = b"cp", 3
@@ -45,21 +45,21 @@
     """The kinds of frames, as the header has them."""
 
     HELLO = 1
-    HEARTBEAT = 2
-    PROMISE_REQUEST = 3
-    PROMISE = 4
+    MEMBER_HEARTBEAT = 2
+    LEASE_EXTENSION_REQUEST = 3
+    LEASE_EXTENSION_VOTE = 4
     RUNNING_COUNTS = 5
-    RELAYED_REPORT = 6
+    RELAYED_HEARTBEAT = 6
     RELAYED_ANSWER = 7
     GRANT_REQUEST = 8
     GRANT = 9
-    ENTRIES = 10
-    STATUSES = 11
-    MACHINE_REQUESTS = 12
+    ROUTE_UPDATES = 10
+    MACHINE_STATUS_UPDATES = 11
+    CAPACITY_REQUESTS = 12
     # Members up to 0.3.0 close the link on a kind that they don't know: these go only to members
     # that are proven to know them. Later ones skip what they don't know.
     JOB_CANCELLED = 13
-    ZONE_TIES = 14
+    ZONE_AFFINITIES = 14
 
 
 class FrameError(Exception):
@@ -156,17 +156,17 @@
 # -- parts of frames -------------------------------------------------------------------
 
 
-def _encode_contact(contact: Contact | None) -> bytes:
+def _encode_contact(contact: MachineContact | None) -> bytes:
     if contact is None:
         return b""
     return _text(contact.address) + _CONTACT.pack(contact.session, contact.seq)
 
 
-def _decode_contact(reader: PayloadReader, present: bool) -> Contact | None:
-    return Contact(reader.text(), *reader.unpack(_CONTACT)) if present else None
+def _decode_contact(reader: PayloadReader, present: bool) -> MachineContact | None:
+    return MachineContact(reader.text(), *reader.unpack(_CONTACT)) if present else None
 
 
-def _encode_entry(entry: Entry) -> bytes:
+def _encode_entry(entry: MachineRoute) -> bytes:
     flags = _pack_flags(
         entry.spot,
         entry.recorded,
@@ -186,11 +186,11 @@
     )
 
 
-def _decode_entry(reader: PayloadReader) -> Entry:
+def _decode_entry(reader: PayloadReader) -> MachineRoute:
     name, machine_type, zone = reader.text(), reader.text(), reader.text()
     pool, base, may_hold, flags = reader.unpack(_ENTRY)
     spot, recorded, back, vacate, failed, gone, proven, reached = _unpack_flags(flags, 8)
-    return Entry(
+    return MachineRoute(
         name=name,
         type=machine_type,
         zone=zone,
@@ -208,7 +208,7 @@
     )
 
 
-def _encode_status(status: Status) -> bytes:
+def _encode_status(status: MachineStatus) -> bytes:
     flags = _pack_flags(
         status.up,
         status.settled,
@@ -224,11 +224,11 @@
     )
 
 
-def _decode_status(reader: PayloadReader) -> Status:
+def _decode_status(reader: PayloadReader) -> MachineStatus:
     name = reader.text()
     base, flags, pool, used_cpus = reader.unpack(_STATUS)
     up, settled, idle, given, release, reached = _unpack_flags(flags, 6)
-    return Status(
+    return MachineStatus(
         name=name,
         base=base,
         up=up,
@@ -242,47 +242,47 @@
     )
 
 
-def _encode_share(share: Share) -> bytes:
+def _encode_share(share: ShardAssignment) -> bytes:
     return _text(share.member) + _SHARE.pack(share.pool, share.serial, share.revision, share.at)
 
 
-def _decode_share(reader: PayloadReader) -> Share:
+def _decode_share(reader: PayloadReader) -> ShardAssignment:
     member = reader.text()
     pool, serial, revision, at = reader.unpack(_SHARE)
-    return Share(pool, member, serial, revision, at)
+    return ShardAssignment(pool, member, serial, revision, at)
 
 
-def _encode_request(request: WaitingTasks) -> bytes:
+def _encode_request(request: PendingTasks) -> bytes:
     job_id, tasks, horizon = request
     return _text(job_id) + _MACHINE_REQUEST.pack(tasks, horizon)
 
 
-def _decode_request(reader: PayloadReader) -> WaitingTasks:
+def _decode_request(reader: PayloadReader) -> PendingTasks:
     job_id = reader.text()
-    return WaitingTasks(job_id, *reader.unpack(_MACHINE_REQUEST))
+    return PendingTasks(job_id, *reader.unpack(_MACHINE_REQUEST))
 
 
 # -- frames ----------------------------------------------------------------------------
 
 
-def _encode_heartbeat(frame: Heartbeat) -> bytes:
+def _encode_heartbeat(frame: MemberHeartbeat) -> bytes:
     return _HEARTBEAT.pack(frame.token, frame.state_age_ms)
 
 
-def _encode_promise_request(frame: PromiseRequest) -> bytes:
+def _encode_promise_request(frame: LeaseExtensionRequest) -> bytes:
     return _PROMISE_REQUEST.pack(frame.token, frame.number)
 
 
-def _encode_promise(frame: Promise) -> bytes:
+def _encode_promise(frame: LeaseExtensionVote) -> bytes:
     return _PROMISE.pack(frame.token, frame.number, frame.granted)
 
 
-def _decode_promise(reader: PayloadReader) -> Promise:
+def _decode_promise(reader: PayloadReader) -> LeaseExtensionVote:
     token, number, granted = reader.unpack(_PROMISE)
     reader.finish()
     if granted > 1:
         raise FrameError("neither yes nor no")
-    return Promise(token, number, bool(granted))
+    return LeaseExtensionVote(token, number, bool(granted))
 
 
 def _encode_running_counts(frame: RunningCounts) -> bytes:
@@ -306,13 +306,13 @@
     return RunningCounts(running)
 
 
-def _encode_relayed_report(frame: RelayedReport) -> bytes:
+def _encode_relayed_report(frame: RelayedHeartbeat) -> bytes:
     return _RELAYED_REPORT.pack(frame.number) + frame.body
 
 
-def _decode_relayed_report(reader: PayloadReader) -> RelayedReport:
+def _decode_relayed_report(reader: PayloadReader) -> RelayedHeartbeat:
     (number,) = reader.unpack(_RELAYED_REPORT)
-    return RelayedReport(number, reader.rest())
+    return RelayedHeartbeat(number, reader.rest())
 
 
 def _encode_relayed_answer(frame: RelayedAnswer) -> bytes:
@@ -358,50 +358,50 @@
     )
 
 
-def _encode_entries(frame: Entries) -> bytes:
+def _encode_entries(frame: RouteUpdates) -> bytes:
     head = _BATCH.pack(frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.entries))
     return head + b"".join(_encode_entry(entry) for entry in frame.entries)
 
 
-def _decode_entries(reader: PayloadReader) -> Entries:
+def _decode_entries(reader: PayloadReader) -> RouteUpdates:
     epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
     entries = tuple(_decode_entry(reader) for _ in range(count))
-    return Entries(epoch, incarnation, before, upto, entries)
+    return RouteUpdates(epoch, incarnation, before, upto, entries)
 
 
-def _encode_statuses(frame: Statuses) -> bytes:
+def _encode_statuses(frame: MachineStatusUpdates) -> bytes:
     head = _BATCH.pack(
         frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.statuses)
     )
     return head + b"".join(_encode_status(status) for status in frame.statuses)
 
 
-def _decode_statuses(reader: PayloadReader) -> Statuses:
+def _decode_statuses(reader: PayloadReader) -> MachineStatusUpdates:
     epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
     statuses = tuple(_decode_status(reader) for _ in range(count))
-    return Statuses(epoch, incarnation, before, upto, statuses)
+    return MachineStatusUpdates(epoch, incarnation, before, upto, statuses)
 
 
-def _encode_machine_requests(frame: MachineRequests) -> bytes:
+def _encode_machine_requests(frame: CapacityRequests) -> bytes:
     head = _MACHINE_REQUESTS.pack(frame.epoch, frame.pool, frame.applied, len(frame.wants))
     return head + b"".join(_encode_request(request) for request in frame.wants)
 
 
-def _decode_machine_requests(reader: PayloadReader) -> MachineRequests:
+def _decode_machine_requests(reader: PayloadReader) -> CapacityRequests:
     epoch, pool, applied, count = reader.unpack(_MACHINE_REQUESTS)
     wants = tuple(_decode_request(reader) for _ in range(count))
-    return MachineRequests(epoch, pool, applied, wants)
+    return CapacityRequests(epoch, pool, applied, wants)
 
 
-def _encode_zone_ties(frame: ZoneTies) -> bytes:
+def _encode_zone_ties(frame: ZoneAffinities) -> bytes:
     head = _ZONE_TIES.pack(frame.epoch, frame.pool, len(frame.zones))
     return head + b"".join(_text(job_id) + _text(zone) for job_id, zone in frame.zones)
 
 
-def _decode_zone_ties(reader: PayloadReader) -> ZoneTies:
+def _decode_zone_ties(reader: PayloadReader) -> ZoneAffinities:
     epoch, pool, count = reader.unpack(_ZONE_TIES)
     zones = tuple((reader.text(), reader.text()) for _ in range(count))
-    return ZoneTies(epoch, pool, zones)
+    return ZoneAffinities(epoch, pool, zones)
 
 
 CODECS = (
@@ -412,23 +412,28 @@
         lambda reader: Hello(reader.rest().decode()),
     ),
     FrameCodec(
-        FrameKind.HEARTBEAT,
-        Heartbeat,
+        FrameKind.MEMBER_HEARTBEAT,
+        MemberHeartbeat,
         _encode_heartbeat,
-        lambda reader: Heartbeat(*reader.unpack(_HEARTBEAT)),
+        lambda reader: MemberHeartbeat(*reader.unpack(_HEARTBEAT)),
     ),
     FrameCodec(
-        FrameKind.PROMISE_REQUEST,
-        PromiseRequest,
+        FrameKind.LEASE_EXTENSION_REQUEST,
+        LeaseExtensionRequest,
         _encode_promise_request,
-        lambda reader: PromiseRequest(*reader.unpack(_PROMISE_REQUEST)),
+        lambda reader: LeaseExtensionRequest(*reader.unpack(_PROMISE_REQUEST)),
+    ),
+    FrameCodec(
+        FrameKind.LEASE_EXTENSION_VOTE, LeaseExtensionVote, _encode_promise, _decode_promise
     ),
-    FrameCodec(FrameKind.PROMISE, Promise, _encode_promise, _decode_promise),
     FrameCodec(
         FrameKind.RUNNING_COUNTS, RunningCounts, _encode_running_counts, _decode_running_counts
     ),
     FrameCodec(
-        FrameKind.RELAYED_REPORT, RelayedReport, _encode_relayed_report, _decode_relayed_report
+        FrameKind.RELAYED_HEARTBEAT,
+        RelayedHeartbeat,
+        _encode_relayed_report,
+        _decode_relayed_report,
     ),
     FrameCodec(
         FrameKind.RELAYED_ANSWER, RelayedAnswer, _encode_relayed_answer, _decode_relayed_answer
@@ -440,11 +445,13 @@
         lambda reader: GrantRequest(*reader.unpack(_GRANT_REQUEST)),
     ),
     FrameCodec(FrameKind.GRANT, Grant, _encode_grant, _decode_grant),
-    FrameCodec(FrameKind.ENTRIES, Entries, _encode_entries, _decode_entries),
-    FrameCodec(FrameKind.STATUSES, Statuses, _encode_statuses, _decode_statuses),
+    FrameCodec(FrameKind.ROUTE_UPDATES, RouteUpdates, _encode_entries, _decode_entries),
+    FrameCodec(
+        FrameKind.MACHINE_STATUS_UPDATES, MachineStatusUpdates, _encode_statuses, _decode_statuses
+    ),
     FrameCodec(
-        FrameKind.MACHINE_REQUESTS,
-        MachineRequests,
+        FrameKind.CAPACITY_REQUESTS,
+        CapacityRequests,
         _encode_machine_requests,
         _decode_machine_requests,
     ),
@@ -454,7 +461,7 @@
         lambda frame: frame.job.encode(),
         lambda reader: JobCancelled(reader.rest().decode()),
     ),
-    FrameCodec(FrameKind.ZONE_TIES, ZoneTies, _encode_zone_ties, _decode_zone_ties),
+    FrameCodec(FrameKind.ZONE_AFFINITIES, ZoneAffinities, _encode_zone_ties, _decode_zone_ties),
 )
 _BY_KIND: dict[int, FrameCodec] = {codec.kind: codec for codec in CODECS}
 _BY_TYPE = {codec.message_type: codec for codec in CODECS}
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -9,7 +9,7 @@
 # A shard's number has one byte in frames; the highest stands for none.
 NO_SHARD = 255
 MAX_SHARDS = NO_SHARD
-# In `Heartbeat.state_age_ms`: the state service has never answered.
+# In `MemberHeartbeat.state_age_ms`: the state service has never answered.
 NEVER_ANSWERED = 0xFFFFFFFF
 
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Contact:
+class MachineContact:
     """Where a machine was heard last."""
 
     address: str
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class MachineRoute:
     """A machine in the leader's table: whose it is, and under which token."""
 
     name: str
@@ -47,13 +47,13 @@
     vacate: bool = False
     failed: bool = False
     gone: bool = False
-    contact: Contact | None = None
+    contact: MachineContact | None = None
     # Given back empty a moment ago under the same leader: the contact is certain, nothing is there.
     proven: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
+class MachineStatus:
     """A machine in an owner's table: what its reports have shown."""
 
     name: str
@@ -67,10 +67,10 @@
     # Its owner wants it deleted.
     release: bool = False
     used_cpus: float = 0.0
-    contact: Contact | None = None
+    contact: MachineContact | None = None
 
 
-class WaitingTasks(NamedTuple):
+class PendingTasks(NamedTuple):
     """Tasks of a job that an owner's machines have no room for in time."""
 
     job: str
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heartbeat:
+class MemberHeartbeat:
     """A sign of life: the highest token seen, and the age of the last answer of the state."""
 
     token: int
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseRequest:
+class LeaseExtensionRequest:
     """A leader asks for a promise."""
 
     token: int
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class LeaseExtensionVote:
     """The answer to PromiseRequest."""
 
     token: int
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayedReport:
+class RelayedHeartbeat:
     """A worker's report, handed on to the member that commands its machine."""
 
     number: int
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ShardAssignment:
     """Who owns a pool of teams; the serial tells one ownership from the next."""
 
     pool: int
@@ -168,39 +168,39 @@
     token_version: int
     dear_excess: bool
     applied: int
-    shares: tuple[Share, ...] = ()
+    shares: tuple[ShardAssignment, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Entries:
+class RouteUpdates:
     """Part of the leader's table of machines."""
 
     epoch: int
     incarnation: int
     before: int
     upto: int
-    entries: tuple[Entry, ...]
+    entries: tuple[MachineRoute, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Statuses:
+class MachineStatusUpdates:
     """Part of an owner's table of machines."""
 
     epoch: int
     incarnation: int
     before: int
     upto: int
-    statuses: tuple[Status, ...]
+    statuses: tuple[MachineStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class MachineRequests:
+class CapacityRequests:
     """Tasks of a pool that its machines have no room for in time."""
 
     epoch: int
     pool: int
     applied: int
-    wants: tuple[WaitingTasks, ...]
+    wants: tuple[PendingTasks, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -211,7 +211,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneTies:
+class ZoneAffinities:
     """Of the tasks that MachineRequests names: the jobs whose other tasks tie them to a zone."""
 
     epoch: int
@@ -229,17 +229,17 @@
 
 Frame = (
     Hello
-    | Heartbeat
-    | PromiseRequest
-    | Promise
+    | MemberHeartbeat
+    | LeaseExtensionRequest
+    | LeaseExtensionVote
     | RunningCounts
-    | RelayedReport
+    | RelayedHeartbeat
     | RelayedAnswer
     | GrantRequest
     | Grant
-    | Entries
-    | Statuses
-    | MachineRequests
+    | RouteUpdates
+    | MachineStatusUpdates
+    | CapacityRequests
     | JobCancelled
-    | ZoneTies
+    | ZoneAffinities
 )
--- a/src/copperpass/protocol/kvstore.py
+++ b/src/copperpass/protocol/kvstore.py
@@ -12,7 +12,7 @@
 LEASES_PATH = "/leases"
 
 
-class Item(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
+class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
     """A key of the state service."""
 
     key: str
@@ -20,15 +20,15 @@
     version: int
 
 
-class Listing(msgspec.Struct, rename={"more": "truncated", "revision": "issue"}):
+class KeyPage(msgspec.Struct, rename={"more": "truncated", "revision": "issue"}):
     """A page of keys."""
 
-    items: list[Item]
+    items: list[KeyValue]
     revision: int
     more: bool = False
 
 
-class Event(msgspec.Struct, rename={"delete": "remove", "version": "stamp"}):
+class WatchEvent(msgspec.Struct, rename={"delete": "remove", "version": "stamp"}):
     """A change that a watch saw."""
 
     version: int
@@ -37,27 +37,27 @@
     value: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class Events(msgspec.Struct, rename={"events": "news", "revision": "issue"}):
+class WatchAnswer(msgspec.Struct, rename={"events": "news", "revision": "issue"}):
     """What a watch answers."""
 
-    events: list[Event]
+    events: list[WatchEvent]
     revision: int
 
 
-class Applied(msgspec.Struct, rename={"revision": "issue"}):
+class TransactionApplied(msgspec.Struct, rename={"revision": "issue"}):
     """An applied transaction."""
 
     revision: int
 
 
-class Refused(msgspec.Struct, rename={"revision": "issue"}):
+class TransactionConflict(msgspec.Struct, rename={"revision": "issue"}):
     """A transaction whose conditions failed."""
 
     failed: list[str]
     revision: int = 0
 
 
-class LeaseMade(msgspec.Struct, rename={"lease": "permit"}):
+class LeaseCreated(msgspec.Struct, rename={"lease": "permit"}):
     """A new lease of the state service."""
 
     lease: int
--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
@@ -16,14 +16,14 @@
     `at`: the time of day when it was submitted; 0 if that isn't known.
     """
 
-    spec: Spec | None = None
+    spec: JobSpec | None = None
     at: float = 0.0
     final: str = ""
     done: str = ""
     count: int = 0
 
 
-class LeadRecord(msgspec.Struct):
+class LeaderRecord(msgspec.Struct):
     """Who leads, under which token and lease."""
 
     member: str
@@ -31,14 +31,14 @@
     lease: int
 
 
-class TokenRecord(msgspec.Struct):
+class FencingTokenRecord(msgspec.Struct):
     """The token counter, and who won the last token."""
 
     token: int
     member: str = ""
 
 
-class PlaceRecord(msgspec.Struct, omit_defaults=True):
+class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
     """Machines of one type, zone and kind: bookings sent, machines rented, machines seen up."""
 
     type: str
@@ -49,10 +49,10 @@
     up: list[str] = msgspec.field(default_factory=list)
 
 
-class FleetRecord(msgspec.Struct):
+class InventoryRecord(msgspec.Struct):
     """Every machine that was rented, and the bookings whose answers are not stored."""
 
-    places: list[PlaceRecord]
+    places: list[MachineGroupRecord]
 
 
 class VersionRecord(msgspec.Struct):
--- a/src/copperpass/protocol/users.py
+++ b/src/copperpass/protocol/users.py
@@ -28,7 +28,7 @@
     CANCELLED = "withdrawn"
 
 
-class Spec(
+class JobSpec(
     msgspec.Struct,
     rename={
         "job_class": "slot",
@@ -78,7 +78,7 @@
         return self.kind == "ensemble"
 
 
-class OnlyId(msgspec.Struct):
+class JobReference(msgspec.Struct):
     """The one field that is needed to know a job again."""
 
     id: str
@@ -93,8 +93,8 @@
     running: int | None = None
 
 
-def decode_spec(body: bytes) -> Spec:
+def decode_spec(body: bytes) -> JobSpec:
     """Decode a submission; raises one of `DECODE_ERRORS` when it is malformed."""
     # msgspec doesn't look at the bytes of strings in fields that it ignores.
     body.decode("utf-8")
-    return msgspec.json.decode(body, type=Spec)
+    return msgspec.json.decode(body, type=JobSpec)
--- a/src/copperpass/protocol/workers.py
+++ b/src/copperpass/protocol/workers.py
@@ -48,7 +48,7 @@
     UNKNOWN = "unknown"
 
 
-class TaskReport(
+class TaskStatus(
     msgspec.Struct, rename={"task": "page", "attempt": "take", "state": "status", "why": "cause"}
 ):
     """A task on a machine."""
@@ -60,7 +60,7 @@
     saved: bool | None = None
 
 
-class Report(
+class WorkerHeartbeat(
     msgspec.Struct,
     rename={
         "machine": "press",
@@ -85,7 +85,7 @@
     seq: int
     token: int = 0
     notice_s: float | None = None
-    tasks: list[TaskReport] = msgspec.field(default_factory=list)
+    tasks: list[TaskStatus] = msgspec.field(default_factory=list)
 
 
 class Command(
@@ -101,14 +101,16 @@
     grace_s: float | None = None
 
 
-class ReportAnswer(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
+class HeartbeatAnswer(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
     """The answer to an accepted report."""
 
     token: int
     commands: list[Command]
 
 
-class Direct(msgspec.Struct, rename={"token": "baton", "session": "shift", "commands": "orders"}):
+class DirectCommands(
+    msgspec.Struct, rename={"token": "baton", "session": "shift", "commands": "orders"}
+):
     """Orders sent straight to a worker."""
 
     token: int
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -13,7 +13,7 @@
 
 from copperpass import settings as settings_module
 from copperpass.core.node.node import Node
-from copperpass.core.ports import Outcome
+from copperpass.core.ports import CallOutcome
 from copperpass.core.scheduling.machines import UNIDENTIFIED
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.stream import FrameDecoder
@@ -311,7 +311,7 @@
                 return
             over.append(True)
             if self.life[name] == life and name in self.nodes:
-                call.then(self.now, Outcome(status, body))
+                call.then(self.now, CallOutcome(status, body))
                 self.drain(name)
 
         def reply(status, body):
--- a/tests/state_service.py
+++ b/tests/state_service.py
@@ -4,8 +4,8 @@
 import random
 
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.storage.machine_inventory import FleetStore, StoredFleet
+from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.core.storage.machine_inventory import MachineInventoryStore, StoredInventory
 from tests.standins.state import State
 
 # Limits that the settings announce under `state.next`.
@@ -49,7 +49,7 @@
         return answers[0]
 
     def stored(self):
-        held = StoredFleet()
+        held = StoredInventory()
         for key, (value, version, _) in self.state.data.items():
             held.saw(key, json.dumps(value).encode(), version)
         return held
@@ -58,7 +58,7 @@
         token = self.win()
         held = self.stored()
         transactions = TransactionQueue(self.out, rate, 5, 1.0)
-        made = FleetStore(
+        made = MachineInventoryStore(
             transactions,
             lambda: token,
             32768.0,
@@ -81,7 +81,7 @@
             answer = self.serve(call) if fate in ("served", "answer lost") else (0, b"")
             if fate == "late":
                 self.late.append(call)
-            call.then(self.now, Outcome(*answer) if fate == "served" else Outcome(0))
+            call.then(self.now, CallOutcome(*answer) if fate == "served" else CallOutcome(0))
         before, held = getattr(self, "seen", {}), self.stored()
         fleet_store.saw(held.version)
         for number in {*held.pages, *before}:
@@ -99,7 +99,7 @@
     def truth(self):
         """What a successor would know: bookings, machines, and which of them are up."""
         held = self.stored()
-        reader = FleetStore(
+        reader = MachineInventoryStore(
             TransactionQueue(Outbox(), 15.0, 5, 1.0), lambda: 0, 32768.0, 1.0, 1.0, 2048.0, 5
         )
         reader.load(held.record, held.version, held.pages)
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -9,8 +9,8 @@
 from copperpass import settings as settings_module
 from copperpass.core.election.authority import Authority, Times, times_of
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Outbox, Outcome
-from copperpass.protocol.frames.messages import PromiseRequest
+from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.protocol.frames.messages import LeaseExtensionRequest
 from copperpass.protocol.kvstore import delete_key, put_key
 from copperpass.settings import SettingsError
 from tests.bodies import raw_settings
@@ -112,7 +112,7 @@
                 self.after(self.hung[name] - self.now, lambda: finish(status, body))
             elif not over and self.nodes[name] is node:
                 over.append(True)
-                call.then(self.clock(name), Outcome(status, body))
+                call.then(self.clock(name), CallOutcome(status, body))
                 self.drain(name)
 
         def arrive():
@@ -231,7 +231,7 @@
     (asked,) = node.out.calls
     node.out.calls.clear()
     model.state.handle(
-        asked.method, asked.path, asked.body, lambda s, b: asked.then(now, Outcome(s, b))
+        asked.method, asked.path, asked.body, lambda s, b: asked.then(now, CallOutcome(s, b))
     )
     (sent,) = node.out.calls
     node.out.calls.clear()
@@ -240,7 +240,7 @@
 
 def promises(node, now, token=9):
     node.out.frames.clear()
-    node.received(now, "b", PromiseRequest(token, 1))
+    node.received(now, "b", LeaseExtensionRequest(token, 1))
     ((_, answer),) = node.out.frames
     return answer.granted
 
@@ -265,14 +265,14 @@
     # Guards whoever holds the promise: the late win would be this member's, which after a restart
     # keeps no promise. It is over once the lease is certainly gone or another token is stored.
     _, node, now, sent = campaign_on_its_way()
-    sent.then(now, Outcome(0))
+    sent.then(now, CallOutcome(0))
     (drop,) = node.out.calls
     assert (drop.method, node.campaigning) == ("DELETE", False)
     assert not promises(node, now)
     if over == "token seen":
         node.saw(now, "c/token", b'{"token":1,"member":"b"}', 50)
     else:
-        drop.then(now, Outcome(503))
+        drop.then(now, CallOutcome(503))
         assert not promises(node, now)
-        drop.then(now, Outcome(200 if over == "lease ended" else 404))
+        drop.then(now, CallOutcome(200 if over == "lease ended" else 404))
     assert promises(node, now)
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -6,10 +6,10 @@
 
 from copperpass.core.jobs.job_table import JobTable, make_job, pack_done
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Outcome
+from copperpass.core.ports import CallOutcome
 from copperpass.core.storage.completions import CompletionStore
 from copperpass.protocol.records import JobRecord
-from copperpass.protocol.users import Spec
+from copperpass.protocol.users import JobSpec
 from tests import production
 from tests.bodies import job
 from tests.state_service import COMING, Service
@@ -19,7 +19,7 @@
     """Live jobs, by their numbers of tasks."""
     table = JobTable()
     for n, tasks in enumerate(sizes, 1):
-        record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), Spec))
+        record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), JobSpec))
         made = make_job(record, 1, service.now)
         table.jobs[made.spec.id] = made
     return table
@@ -56,7 +56,7 @@
         calls, service.out.calls = service.out.calls, []
         for call in calls:
             before = ends_stored(service, progress.jobs.jobs)
-            call.then(service.now, Outcome(*service.serve(call)))
+            call.then(service.now, CallOutcome(*service.serve(call)))
             after = ends_stored(service, progress.jobs.jobs)
             assert all(before[i] <= after[i] for i in before)
         service.now += 0.05
