--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -7,10 +7,10 @@
 
 from copperpass.core.election.authority import TOKEN, Authority, times_of
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Outbox, Outcome
-from copperpass.protocol.frames.messages import Contact, PromiseRequest
+from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.protocol.frames.messages import LeaseExtensionRequest, MachineContact
 from copperpass.protocol.json_codec import encode
-from copperpass.protocol.workers import Report, TaskReport
+from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
 from copperpass.settings import parse
 from tests.bodies import job, raw_settings
 from tests.simulation import Simulation, User
@@ -272,7 +272,7 @@
 
 
 def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts():
-    # Holds the comparison of session and number in `Reports.report`.
+    # Holds the comparison of session and number in `HeartbeatHandler.report`.
     simulation = Simulation(seed=4)
     simulation.run_until(simulation.leader)
     simulation.late_reports = 0.4
@@ -471,7 +471,7 @@
     node.out.calls.clear()
     node.user_api.note_removed("req-000001")
     item = {"path": "c/live/req-000001", "value": {"spec": job(1)}, "stamp": 3}
-    read.then(simulation.now, Outcome(200, json.dumps(item).encode()))
+    read.then(simulation.now, CallOutcome(200, json.dumps(item).encode()))
     assert not node.out.replies
     assert [c.path for c in node.out.calls] == ["/kv/d/job/req-000001"]
 
@@ -554,7 +554,7 @@
 
 def said(name, tasks, token, session, seq):
     return encode(
-        Report(
+        WorkerHeartbeat(
             name,
             "10.0.0.8:1",
             "box",
@@ -564,27 +564,27 @@
             seq,
             token,
             None,
-            [TaskReport(t, a, s, w) for t, a, s, w in tasks],
+            [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
         )
     )
 
 
 def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
-    # Holds `machine.last_answer` at a change of session in `Reports.take`.
+    # Holds `machine.last_answer` at a change of session in `HeartbeatHandler.take`.
     bench = Bench()
-    machine = bench.take_over("m-9", contact=Contact("10.0.0.8:1", 3, 0))
+    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
     bench.now += 11.9
     bench.owner.tick(bench.now)
     for status, token, seq in ((409, 1, 7), (200, machine.base, 8)):
         (probe,) = bench.take("worker")
-        probe.then(bench.now, Outcome(status, said("m-9", [], token, 4, seq)))
+        probe.then(bench.now, CallOutcome(status, said("m-9", [], token, 4, seq)))
         bench.owner.commands.probe(bench.now)
     bench.owner.machines["m-1"].hold_until = bench.now + 99.0
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
-    call.then(bench.now, Outcome(200, said("m-9", tasks, machine.base, 4, 9)))
+    call.then(bench.now, CallOutcome(200, said("m-9", tasks, machine.base, 4, 9)))
     bench.owner.scan(taken + bench.owner.timing.lease_s + 0.1)
     assert bench.job.placed == {0: "m-9"}
     bench.owner.scan(bench.now + bench.owner.timing.lease_s + 0.1)
@@ -661,20 +661,20 @@
     core.tick(50.0)
     (make,) = out.calls
     out.calls.clear()
-    make.then(50.0, Outcome(200, b'{"permit":7}'))
+    make.then(50.0, CallOutcome(200, b'{"permit":7}'))
     (win,) = out.calls
     out.calls.clear()
-    win.then(51.0, Outcome(0))
+    win.then(51.0, CallOutcome(0))
 
     def promised():
         out.frames.clear()
-        core.received(51.1, "n1", PromiseRequest(0, 3))
+        core.received(51.1, "n1", LeaseExtensionRequest(0, 3))
         return out.frames[0][1].granted
 
     assert not promised()
     if settles == "lease ended":
         (drop,) = out.calls
-        drop.then(51.1, Outcome(200))
+        drop.then(51.1, CallOutcome(200))
     else:
         core.saw(51.1, TOKEN, b'{"token":0,"member":"n1"}', 9)
     assert promised()
@@ -685,7 +685,7 @@
     bench = Bench()
     bench.add(version=40)
     bench.owner.timing.overlap_s = 1.5
-    machine = bench.take_over("m-9", contact=Contact("10.0.0.8:1", 3, 0))
+    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.owner.scan(bench.now + 1.4 + bench.owner.timing.lease_s)
     assert machine.name in bench.owner.unsettled
     bench.owner.scan(bench.now + 1.6 + bench.owner.timing.lease_s)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from copperpass.core.ports import Outcome
+from copperpass.core.ports import CallOutcome
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind
 from tests.bodies import gang, job
@@ -40,7 +40,7 @@
                 self.seq += 1
                 self.shown = self.shown + runs
                 body = encode(self.message(self.shown, seq=self.seq))
-                call.then(self.now, Outcome(200, body))
+                call.then(self.now, CallOutcome(200, body))
         return found
 
     def tell(self, *states, attempt=None, seq=None):
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -2,8 +2,8 @@
 
 import random
 
-from copperpass.core.shards.routing import Feed, Inbox, Table
-from copperpass.protocol.frames.messages import Grant, Share, Status
+from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
+from copperpass.protocol.frames.messages import Grant, MachineStatus, ShardAssignment
 from tests.bodies import job
 from tests.simulation import Simulation
 
@@ -151,7 +151,7 @@
         1,
         True,
         0,
-        (Share(1, name, 99, 1, 0),),
+        (ShardAssignment(1, name, 99, 1, 0),),
     )
     until = grant_client.until
     grant_client.granted(simulation.now, grant_client.leader, stale)
@@ -176,11 +176,11 @@
 def test_tables_arrive_whole_over_links_that_lose_delay_and_repeat_frames():
     # A batch held back on an old connection once brought back what newer ones had replaced.
     rng = random.Random(4)
-    table, inbox, got, late = Table(), Inbox(), {}, []
-    feed = Feed(table)
+    table, inbox, got, late = ReplicationLog(), ReplicationReceiver(), {}, []
+    feed = ReplicationSender(table)
     for step in range(600):
         if step < 400:
-            table.put(Status(f"m-{rng.randint(1, 40)}", step))
+            table.put(MachineStatus(f"m-{rng.randint(1, 40)}", step))
         batch = feed.next(5)
         if rng.random() < 0.4:
             late.append(batch)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -7,7 +7,12 @@
 
 from copperpass.core.jobs.job_table import make_job
 from copperpass.core.scheduling.machines import Machine, Placement
-from copperpass.core.scheduling.objectives import Aims, Scarce, share_late, task_order
+from copperpass.core.scheduling.objectives import (
+    ReservedTypes,
+    ServiceLevelObjectives,
+    share_late,
+    task_order,
+)
 from copperpass.core.scheduling.ranking import PlacementPolicy, Ranking
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
@@ -25,7 +30,7 @@
 
 def start_of_the_old_job(patience_s):
     """One job's aims have passed; five fresh ones come each second and one starts."""
-    aims = Aims(AIMS, patience_s)
+    aims = ServiceLevelObjectives(AIMS, patience_s)
     waiting = [made(1, 0.0, slot="slow", run_s=30.0, urgency="normal")]
     number = 1
     for second in range(100, 400):
@@ -52,7 +57,7 @@
 
 
 def test_types_that_large_tasks_need_are_kept_from_small_ones_while_large_ones_are_about():
-    scarce = Scarce(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    scarce = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
     small, large = made(1, 0.0, cpus=4.0), made(2, 0.0, cpus=32.0)
     scarce.note(0.0, [small])
     assert scarce.closed_to(small.spec) == set()
@@ -67,7 +72,7 @@
 
 @pytest.mark.parametrize("allowed", [["large"], ["small", "large"]])
 def test_a_job_that_names_its_types_is_not_shut_out_of_all(allowed):
-    scarce = Scarce(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    scarce = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
     scarce.note(0.0, [made(2, 0.0, cpus=32.0)])
     named = made(3, 0.0, cpus=4.0, racks=allowed)
     assert set(allowed) - scarce.closed_to(named.spec)
@@ -75,7 +80,7 @@
 
 def test_overdue_work_gets_a_part_of_the_room_and_no_more():
     # Work without aims, overdue first, took all room from work whose one aim was far off.
-    aims = Aims(AIMS, 120.0)
+    aims = ServiceLevelObjectives(AIMS, 120.0)
     old, new = made(1, 0.0, slot="none"), made(2, 190.0, slot="slow")
     queue = task_order([new, old], aims, 200.0)
     assert queue == [old, new]
@@ -166,7 +171,7 @@
 
 
 def test_the_smallest_task_that_a_type_is_reserved_for_is_known():
-    scarce = Scarce(types(("box", 16.0), ("crate", 64.0)), 300.0)
+    scarce = ReservedTypes(types(("box", 16.0), ("crate", 64.0)), 300.0)
     scarce.note(0.0, [made(1, 0.0, cpus=40.0), made(2, 0.0, cpus=24.0), made(3, 0.0, cpus=4.0)])
     assert {name: spec.cpus for name, spec in scarce.smallest.items()} == {"crate": 24.0}
     scarce.note(1.0, [made(3, 0.0, cpus=4.0)])
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -17,38 +17,38 @@
 )
 from copperpass.protocol.frames.messages import (
     NEVER_ANSWERED,
-    Contact,
-    Entries,
-    Entry,
+    CapacityRequests,
     Grant,
     GrantRequest,
-    Heartbeat,
     Hello,
     JobCancelled,
-    MachineRequests,
-    Promise,
-    PromiseRequest,
+    LeaseExtensionRequest,
+    LeaseExtensionVote,
+    MachineContact,
+    MachineRoute,
+    MachineStatus,
+    MachineStatusUpdates,
+    MemberHeartbeat,
     RelayedAnswer,
-    RelayedReport,
+    RelayedHeartbeat,
+    RouteUpdates,
     RunningCounts,
-    Share,
-    Status,
-    Statuses,
+    ShardAssignment,
     UnknownFrame,
-    ZoneTies,
+    ZoneAffinities,
 )
 from copperpass.protocol.frames.stream import FrameDecoder
 
 FRAMES = [
     JobCancelled("req-000412"),
     Hello("n1"),
-    Heartbeat(7, NEVER_ANSWERED),
-    PromiseRequest(7, 9),
-    Promise(7, 9, True),
-    Promise(7, 9, False),
+    MemberHeartbeat(7, NEVER_ANSWERED),
+    LeaseExtensionRequest(7, 9),
+    LeaseExtensionVote(7, 9, True),
+    LeaseExtensionVote(7, 9, False),
     RunningCounts({"req-000001": 3, "req-000002": 1}),
     RunningCounts({}),
-    RelayedReport(7, b"{}" * 30000),
+    RelayedHeartbeat(7, b"{}" * 30000),
     RelayedAnswer(7, 421, b""),
 ]
 
@@ -73,24 +73,24 @@
     "data",
     [
         b"GET / HTTP/1.1\r\n",
-        struct.pack("!2sBBI", b"cp", 9, FrameKind.PROMISE_REQUEST, 16) + bytes(16),
+        struct.pack("!2sBBI", b"cp", 9, FrameKind.LEASE_EXTENSION_REQUEST, 16) + bytes(16),
         struct.pack("!2sBBI", b"cp", 2, 99, 0),
-        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE_REQUEST, 3) + b"abc",
-        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE_REQUEST, 17) + bytes(17),
-        struct.pack("!2sBBI", b"cp", 2, FrameKind.PROMISE, 17) + bytes(16) + b"\x07",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.LEASE_EXTENSION_REQUEST, 3) + b"abc",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.LEASE_EXTENSION_REQUEST, 17) + bytes(17),
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.LEASE_EXTENSION_VOTE, 17) + bytes(16) + b"\x07",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RUNNING_COUNTS, 6) + b"\x09\x00\x00\x00\x01x",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.HELLO, 1) + b"\xff",
-        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_REPORT, 2) + b"ab",
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_HEARTBEAT, 2) + b"ab",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_ANSWER, 5) + b"abcde",
-        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_REPORT, 1 << 19),
+        struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
         # The same under the version that is spoken, where it is the payload that is refused.
-        _framed(FrameKind.PROMISE_REQUEST, b"abc"),
-        _framed(FrameKind.PROMISE, bytes(16) + b"\x07"),
+        _framed(FrameKind.LEASE_EXTENSION_REQUEST, b"abc"),
+        _framed(FrameKind.LEASE_EXTENSION_VOTE, bytes(16) + b"\x07"),
         _framed(FrameKind.RUNNING_COUNTS, b"\x09\x00\x00\x00\x01x"),
         _framed(FrameKind.HELLO, b"\xff"),
-        _framed(FrameKind.RELAYED_REPORT, b"ab"),
+        _framed(FrameKind.RELAYED_HEARTBEAT, b"ab"),
         _framed(FrameKind.RELAYED_ANSWER, b"abcde"),
-        struct.pack("!2sBBI", b"cp", FRAME_VERSION, FrameKind.RELAYED_REPORT, 1 << 19),
+        struct.pack("!2sBBI", b"cp", FRAME_VERSION, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
     ],
 )
 def test_bad_bytes_are_refused(data):
@@ -98,30 +98,35 @@
         FrameDecoder().feed(data)
 
 
-CONTACT = Contact("10.0.0.9:1", 3, 77)
+CONTACT = MachineContact("10.0.0.9:1", 3, 77)
 SHARES = [
-    ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
-    ZoneTies(3, 0, ()),
+    ZoneAffinities(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
+    ZoneAffinities(3, 0, ()),
     GrantRequest(3, 1 << 61, 9, 12),
-    Grant(3, 1 << 61, 9, 1400, 55, True, 4, (Share(1, "n2", 7, 90, 12),)),
-    Entries(
+    Grant(3, 1 << 61, 9, 1400, 55, True, 4, (ShardAssignment(1, "n2", 7, 90, 12),)),
+    RouteUpdates(
         3,
         5,
         0,
         2,
         (
-            Entry("m-1", "box", "a", True, 1, 1 << 45, 2, True, False, True, False, False, CONTACT),
-            Entry("m-2", "box", "b", False, 255, 7, gone=True),
+            MachineRoute(
+                "m-1", "box", "a", True, 1, 1 << 45, 2, True, False, True, False, False, CONTACT
+            ),
+            MachineRoute("m-2", "box", "b", False, 255, 7, gone=True),
         ),
     ),
-    Statuses(
+    MachineStatusUpdates(
         3,
         5,
         2,
         3,
-        (Status("m-1", 1 << 45, True, True, False, True, 1, False, 4.0, CONTACT), Status("m-2", 7)),
+        (
+            MachineStatus("m-1", 1 << 45, True, True, False, True, 1, False, 4.0, CONTACT),
+            MachineStatus("m-2", 7),
+        ),
     ),
-    MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
+    CapacityRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
 ]
 
 
@@ -138,15 +143,15 @@
 def test_what_a_later_version_knows_more_is_skipped_whole_and_nothing_else():
     # Guards rolling upgrades to later versions: a link that closes on their frames is opened and
     # closed in a loop. A longer frame may mean something else: none of it counts.
-    fixed = [Heartbeat(7, 5), PromiseRequest(7, 9), Promise(7, 9, True)]
+    fixed = [MemberHeartbeat(7, 5), LeaseExtensionRequest(7, 9), LeaseExtensionVote(7, 9, True)]
     for frame in [*SHARES, *fixed]:
         data = encode_frame(frame)
         body = data[HEADER.size :] + b"\0"
         head = HEADER.pack(MAGIC, FRAME_VERSION, data[3], len(body))
-        after = encode_frame(Promise(7, 9, False))
+        after = encode_frame(LeaseExtensionVote(7, 9, False))
         assert FrameDecoder().feed(head + body + after) == [
             UnknownFrame(data[3], "longer than known"),
-            Promise(7, 9, False),
+            LeaseExtensionVote(7, 9, False),
         ]
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
     unpacker = FrameDecoder()
@@ -177,7 +182,7 @@
 def test_a_link_skips_unknown_frames_says_so_once_and_closes_on_malformed_bytes(caplog):
     caplog.set_level("INFO", logger="copperpass")
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
-    heartbeat = Heartbeat(7, 5)
+    heartbeat = MemberHeartbeat(7, 5)
     for _ in range(2):
         links = Links()
         links.feed(encode_frame(Hello("n1")))
@@ -187,7 +192,7 @@
     said = [r.getMessage() for r in caplog.records]
     assert said == ["unknown frame skipped"] * 2
     # Still closed: a known kind that is short, and any frame before the sender is known.
-    short = HEADER.pack(MAGIC, FRAME_VERSION, FrameKind.PROMISE_REQUEST, 3) + b"abc"
+    short = HEADER.pack(MAGIC, FRAME_VERSION, FrameKind.LEASE_EXTENSION_REQUEST, 3) + b"abc"
     links.feed(short)
     assert links.closed and len(links.frames) == 3
     stranger = Links()
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -8,14 +8,14 @@
 from copperpass import settings as settings_module
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Outbox, Outcome
+from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.scheduling.shard_scheduler import PoolScheduler
+from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.routing import base_token
-from copperpass.protocol.frames.messages import Contact, Entry, Occupancy
+from copperpass.protocol.frames.messages import MachineContact, MachineRoute, Occupancy
 from copperpass.protocol.json_codec import encode
-from copperpass.protocol.workers import CommandKind, ExitCause, Report, TaskReport
+from copperpass.protocol.workers import CommandKind, ExitCause, TaskStatus, WorkerHeartbeat
 from tests.bodies import job, raw_settings
 from tests.deployments import TYPE, machine_types
 
@@ -45,8 +45,8 @@
             entitled=lambda now: True,
             fresh_at=lambda: self.fresh_at,
         )
-        self.owner = PoolScheduler(context, revision=50, now=self.now)
-        self.entry = Entry("m-1", "box", "a", True, 0, self.token, recorded=True)
+        self.owner = ShardScheduler(context, revision=50, now=self.now)
+        self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
         self.owner.learn(self.now, self.entry)
         self.owner.begin(self.now)
         self.seq = 0
@@ -57,7 +57,7 @@
         """Learn of a machine that an earlier commander may have used."""
         self.owner.learn(
             self.now,
-            Entry(
+            MachineRoute(
                 name,
                 "box",
                 "a",
@@ -79,7 +79,7 @@
         return self.owner.report(self.now, self.message(tasks, token, session, seq))
 
     def message(self, tasks, token=None, session=1, seq=0):
-        return Report(
+        return WorkerHeartbeat(
             "m-1",
             "10.0.0.9:1",
             "box",
@@ -89,12 +89,12 @@
             seq,
             self.token if token is None else token,
             None,
-            [TaskReport(t, a, s, w) for t, a, s, w in tasks],
+            [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
         )
 
     def answer_state(self, status=200):
         for call in self.take("state"):
-            call.then(self.now, Outcome(status, b'{"issue":60}'))
+            call.then(self.now, CallOutcome(status, b'{"issue":60}'))
 
     def take(self, service):
         found = [c for c in self.out.calls if c.service == service]
@@ -121,7 +121,7 @@
 def test_an_unanswered_start_stays_possible_until_a_higher_token_is_seen():
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, Outcome(0))
+    call.then(bench.now, CallOutcome(0))
     answer = bench.report([])
     assert bench.job.placed == {0: "m-1"}, "an old token's report proves nothing"
     assert answer.token > bench.token
@@ -133,7 +133,7 @@
 def test_a_refused_start_is_free_at_once():
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, Outcome(409, encode(bench.message([], seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(409, encode(bench.message([], seq=bench.seq + 1))))
     assert bench.job.placed == {}
 
 
@@ -168,7 +168,7 @@
     ended = [("req-000001/0", attempt, "exited", "done")]
     call.then(
         bench.now,
-        Outcome(
+        CallOutcome(
             200,
             encode(bench.message([("req-000001/0", attempt, "running", None)], seq=bench.seq + 1)),
         ),
@@ -190,14 +190,14 @@
     bench = Bench()
     call, attempt = bench.start()
     running = [("req-000001/0", attempt, "running", None)]
-    call.then(bench.now, Outcome(200, encode(bench.message(running, seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(200, encode(bench.message(running, seq=bench.seq + 1))))
     bench.seq += 1
     gone, over = bench.jobs.saw(bench.now, "c/live/req-000001", None, 80)
     assert over
     bench.owner.job_ended(bench.now, gone)
     (kill,) = bench.take("worker")
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
-    kill.then(bench.now, Outcome(0))
+    kill.then(bench.now, CallOutcome(0))
     for _ in range(2):
         assert [c.op for c in bench.report(running).commands] == [CommandKind.STOP]
 
@@ -233,7 +233,7 @@
     bench.owner.round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
-    call.then(bench.now, Outcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
     bench.seq += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
@@ -303,36 +303,36 @@
 def test_a_machine_taken_over_is_asked_at_once_and_its_answer_settles_it():
     bench = Bench()
     bench.add(version=40)
-    machine = bench.take_over("m-9", contact=Contact("10.0.0.8:1", 3, 0))
+    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.owner.tick(bench.now)
     (probe,) = bench.take("worker")
     sent = json.loads(probe.body)
     assert (probe.address, sent["shift"], sent["orders"]) == ("10.0.0.8:1", 3, [])
 
     def answer(session, token, seq):
-        tasks = [TaskReport("req-000001/0", 5, "running", None)]
+        tasks = [TaskStatus("req-000001/0", 5, "running", None)]
         return encode(
-            Report("m-9", "10.0.0.8:1", "box", "a", True, session, seq, token, None, tasks)
+            WorkerHeartbeat("m-9", "10.0.0.8:1", "box", "a", True, session, seq, token, None, tasks)
         )
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
-    probe.then(bench.now, Outcome(409, answer(4, 1, 7)))
+    probe.then(bench.now, CallOutcome(409, answer(4, 1, 7)))
     assert not machine.settled and bench.owner.unsettled == {"m-9"}
     bench.owner.tick(bench.now)
     (probe,) = bench.take("worker")
     assert json.loads(probe.body)["shift"] == 4
-    probe.then(bench.now, Outcome(200, answer(4, machine.base, 8)))
+    probe.then(bench.now, CallOutcome(200, answer(4, machine.base, 8)))
     assert machine.settled and not bench.owner.unsettled and bench.job.placed == {0: "m-9"}
 
 
 def test_an_unanswered_probe_proves_nothing_and_is_sent_again_later():
     bench = Bench()
     bench.add(version=40)
-    machine = bench.take_over("m-9", contact=Contact("10.0.0.8:1", 3, 0))
+    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     for _ in range(3):
         bench.owner.tick(bench.now)
         (probe,) = bench.take("worker")
-        probe.then(bench.now, Outcome(0))
+        probe.then(bench.now, CallOutcome(0))
         bench.owner.tick(bench.now)
         assert not bench.take("worker")
         assert not bench.owner.demand.startable(bench.job, bench.now)
@@ -350,7 +350,7 @@
     bench = Bench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", why)]
-    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += 60.0
     bench.report(ended)
@@ -367,7 +367,7 @@
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
-    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += bench.owner.completions.gather_s
     bench.owner.completions.tick(bench.now)
@@ -376,7 +376,7 @@
     assert put["put"].startswith("c/ends/") and set(put["value"]) == {"req-000001", "req-000002"}
     job = bench.jobs.jobs["req-000001"]
     assert not any(p.stored for p in bench.owner.machines["m-1"].tasks.values())
-    write.then(bench.now, Outcome(200, b'{"issue":90}'))
+    write.then(bench.now, CallOutcome(200, b'{"issue":90}'))
     assert job.is_done(0) and job.waiting() == 0
     assert sum(p.stored for p in bench.owner.machines["m-1"].tasks.values()) == 2
 
@@ -385,11 +385,11 @@
     bench = Bench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
-    call.then(bench.now, Outcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.owner.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
     put = json.loads(write.body)["writes"][0]
-    write.then(bench.now, Outcome(0))
+    write.then(bench.now, CallOutcome(0))
     bench.jobs.saw_completions(put["put"], json.dumps(put["value"]).encode())
     assert bench.job.is_done(0) and not bench.job.finished and not bench.job.results
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -2,13 +2,13 @@
 
 import json
 
-from copperpass.core.kvstore.transactions import GATHERED, URGENT, Op, TransactionQueue
-from copperpass.core.kvstore.watch_cache import View
-from copperpass.core.ports import Outbox, Outcome
-from copperpass.core.storage.machine_inventory import FleetStore
+from copperpass.core.kvstore.transactions import GATHERED, URGENT, Operation, TransactionQueue
+from copperpass.core.kvstore.watch_cache import WatchCache
+from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.core.storage.machine_inventory import MachineInventoryStore
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import put_key
-from copperpass.protocol.records import FleetRecord
+from copperpass.protocol.records import InventoryRecord
 
 
 def test_users_writes_do_not_queue_behind_gathered_ones():
@@ -17,16 +17,18 @@
     for n in range(30):
         transactions.submit(
             0.0,
-            Op({}, [put_key(f"g/{n}", 1)], lambda *a, n=n: order.append(f"g{n}"), 99.0, GATHERED),
+            Operation(
+                {}, [put_key(f"g/{n}", 1)], lambda *a, n=n: order.append(f"g{n}"), 99.0, GATHERED
+            ),
         )
     transactions.submit(
-        0.0, Op({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, URGENT)
+        0.0, Operation({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, URGENT)
     )
     now = 0.0
     while "user" not in order and now < 5.0:
         calls, out.calls = out.calls, []
         for call in calls:
-            call.then(now, Outcome(200, b'{"issue":1}'))
+            call.then(now, CallOutcome(200, b'{"issue":1}'))
         now += 0.05
         transactions.pump(now)
     assert "user" in order and now < 0.5 and len(order) < 20
@@ -35,7 +37,7 @@
 def fleet_store(version=0, record=None):
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
-    made = FleetStore(transactions, lambda: 7, 32768.0, 0.1, 10.0)
+    made = MachineInventoryStore(transactions, lambda: 7, 32768.0, 0.1, 10.0)
     made.load(record, version)
     return made, out
 
@@ -48,10 +50,10 @@
     body = json.loads(write.body)
     assert not sent and body["writes"][0]["value"]["places"][0]["booked"] == {"b-1-1": 2}
     assert {g["path"] for g in body["guards"]} == {"c/token", "c/fleet"}
-    write.then(0.1, Outcome(200, b'{"issue":5}'))
+    write.then(0.1, CallOutcome(200, b'{"issue":5}'))
     assert sent == [True]
     # A successor that finds the booking repeats it; one that finds the names needn't.
-    value = decode(json.dumps(body["writes"][0]["value"]).encode(), FleetRecord)
+    value = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
     successor, _ = fleet_store(5, value)
     assert successor.booked == {"b-1-1": (place, 2)}
     successor.ended(0.2, "b-1-1", ["m-1", "m-2"])
@@ -66,14 +68,14 @@
     made.came_up(0.0, "m-2", ("box", "a", True))
     (first,) = out.calls
     out.calls.clear()
-    first.then(0.1, Outcome(0))
+    first.then(0.1, CallOutcome(0))
     assert not marked
     made.saw(9)
     made.tick(2.0)
     (second,) = out.calls
     guards = json.loads(second.body)["guards"]
     assert {"path": "c/fleet", "stamp": 9} in guards
-    second.then(2.1, Outcome(200, b'{"issue":10}'))
+    second.then(2.1, CallOutcome(200, b'{"issue":10}'))
     assert sorted(marked) == ["m-1", "m-2"]
 
 
@@ -81,13 +83,13 @@
     # The listing read the key at 10; the watch then starts from an older revision and replays the
     # removal of the key's earlier life.
     out, seen = Outbox(), {}
-    view = View(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
+    view = WatchCache(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
     view.tick(0.0)
     page = {"items": [{"path": "c/x", "value": 1, "stamp": 10}], "truncated": False, "issue": 6}
-    out.calls.pop().then(0.0, Outcome(200, json.dumps(page).encode()))
+    out.calls.pop().then(0.0, CallOutcome(200, json.dumps(page).encode()))
     news = {
         "issue": 10,
         "news": [{"remove": "c/x", "stamp": 7}, {"put": "c/x", "value": 1, "stamp": 10}],
     }
-    out.calls.pop().then(0.1, Outcome(200, json.dumps(news).encode()))
+    out.calls.pop().then(0.1, CallOutcome(200, json.dumps(news).encode()))
     assert seen["c/x"] is not None
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from copperpass.core.ports import Outcome
+from copperpass.core.ports import CallOutcome
 from tests.bodies import gang, job
 from tests.simulation import Simulation
 from tests.test_concurrent_failures import (
@@ -37,7 +37,7 @@
 def test_the_largest_begin_in_time_beside_bursts_of_small_urgent_jobs(size, partitioned):
     # Work without an aim comes last until it is overdue, and a whole machine is never free by
     # itself while small tasks take each gap. Holds the room held for a large task in
-    # `PoolScheduler.round`: without it none of them begins in the overload.
+    # `ShardScheduler.round`: without it none of them begins in the overload.
     overload = size == "overload"
     cpus, run_s = (4.0, 14.0) if overload else (2.0, 12.0)
     simulation = Simulation(seed=11, partitioned=partitioned)
@@ -487,11 +487,11 @@
 
 
 def test_a_start_without_an_answer_is_settled_by_a_restart_of_its_machine():
-    # Holds `_session_over` in `PoolScheduler._take`: a later session can't carry it out, although
+    # Holds `_session_over` in `ShardScheduler._take`: a later session can't carry it out, although
     # the new process has seen no token that passes it.
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, Outcome(0))
+    call.then(bench.now, CallOutcome(0))
     bench.report([])
     assert bench.job.placed == {0: "m-1"}, "it may yet be carried out"
     bench.report([], token=0, session=2, seq=1)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,20 +8,20 @@
 from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, most_per_plan
 from copperpass.core.node.node import pools_of
 from copperpass.core.ports import Outbox
-from copperpass.core.shards.relay import Relay
+from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
 from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME, encode_frame
 from copperpass.protocol.frames.messages import (
     MAX_SHARDS,
     NO_SHARD,
-    Contact,
-    Entries,
-    Entry,
+    CapacityRequests,
     Grant,
-    MachineRequests,
+    MachineContact,
+    MachineRoute,
+    RouteUpdates,
     RunningCounts,
-    Share,
-    ZoneTies,
+    ShardAssignment,
+    ZoneAffinities,
 )
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import Team, parse
@@ -39,7 +39,7 @@
 
 def test_the_relay_knows_all_workers_of_a_large_fleet_for_as_long_as_they_count():
     # Beyond a count of 4,000 the oldest were forgotten, though they reported every second.
-    relay = Relay(Outbox(), lease_s=10.0, wait_s=1.0)
+    relay = HeartbeatRelay(Outbox(), lease_s=10.0, wait_s=1.0)
     for number in range(MACHINES):
         assert relay.should_relay(0.0, f"m-{number}")
     relay.tick(1.0)
@@ -61,17 +61,25 @@
 def test_frames_hold_what_a_large_fleet_has():
     requests = tuple((f"req-{n:018d}", 3, 1.5) for n in range(MAX_REQUESTS_PER_FRAME))
     assert len(requests) > 4000
-    frame = MachineRequests(7, 0, 5, requests)
+    frame = CapacityRequests(7, 0, 5, requests)
     assert unpacked(frame) == frame
-    ties = ZoneTies(7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests))
+    ties = ZoneAffinities(
+        7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests)
+    )
     assert unpacked(ties) == ties
     entries = tuple(
-        Entry(
-            f"m-{n:06d}", "box", "a", True, 1, base_token(9, n), contact=Contact("10.0.0.1:9", 1, n)
+        MachineRoute(
+            f"m-{n:06d}",
+            "box",
+            "a",
+            True,
+            1,
+            base_token(9, n),
+            contact=MachineContact("10.0.0.1:9", 1, n),
         )
         for n in range(MACHINES)
     )
-    assert unpacked(Entries(7, 1, 0, MACHINES, entries)).entries == entries
+    assert unpacked(RouteUpdates(7, 1, 0, MACHINES, entries)).entries == entries
     counts = RunningCounts({f"req-{n:06d}": 1 for n in range(10_000)})
     assert unpacked(counts) == counts
 
@@ -86,7 +94,7 @@
     cluster.teams = [Team(f"team-{n}", 10_000.0, 0.0) for n in range(600)]
     pools = pools_of(cluster, Tuning())
     assert max(pools.values()) == MAX_SHARDS - 1 < NO_SHARD
-    share = Share(MAX_SHARDS - 1, "n0", 1, 2)
+    share = ShardAssignment(MAX_SHARDS - 1, "n0", 1, 2)
     grant = Grant(1, 2, 3, 400, 5, False, 6, (share,) * MAX_SHARDS)
     assert unpacked(grant) == grant
 
@@ -130,7 +138,7 @@
     kind = machine_types(TYPE)["box"]
     looks = []
 
-    class Counted(provisioning.Room):
+    class Counted(provisioning.FreeCapacity):
         def take(self, spec, count, horizon):
             looks.append(spec.id)
             return super().take(spec, count, horizon)
@@ -148,7 +156,9 @@
     bench = Bench()
     for number in range(2, machines + 1):
         name = f"m-{number}"
-        bench.owner.learn(bench.now, Entry(name, "box", "a", True, 0, bench.token, recorded=True))
+        bench.owner.learn(
+            bench.now, MachineRoute(name, "box", "a", True, 0, bench.token, recorded=True)
+        )
         bench.owner.machines[name].settled = True
     bench.add(1, tasks=2)
     bench.owner.round(bench.now)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,7 +19,7 @@
 from copperpass.net.peers import Peers
 from copperpass.net.server import ApiFactory, BoundedBody
 from copperpass.protocol.frames.codec import encode_frame
-from copperpass.protocol.frames.messages import Hello, PromiseRequest, RelayedReport
+from copperpass.protocol.frames.messages import Hello, LeaseExtensionRequest, RelayedHeartbeat
 from tests.bodies import raw_settings
 
 # Some tests look for a port that is free and then use it: one process runs them all.
@@ -227,20 +227,20 @@
     on_reactor(reactor, second.start)
     on_reactor(reactor, first.start)
     wait_for(lambda: first.outgoing["n1"].link is not None)
-    on_reactor(reactor, lambda: first.send("n1", PromiseRequest(4, 5)))
-    wait_for(lambda: got == [("n0", PromiseRequest(4, 5))])
+    on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 5)))
+    wait_for(lambda: got == [("n0", LeaseExtensionRequest(4, 5))])
     for data in (
         b"GET / HTTP/1.1\r\n\r\n",
-        encode_frame(PromiseRequest(9, 9)),
+        encode_frame(LeaseExtensionRequest(9, 9)),
         encode_frame(Hello("nobody")),
     ):
         with socket.create_connection(("127.0.0.1", ports[1]), 10) as stranger:
             stranger.sendall(data)
             with contextlib.suppress(ConnectionResetError):
                 assert stranger.recv(1) == b""
-    assert got == [("n0", PromiseRequest(4, 5))]
+    assert got == [("n0", LeaseExtensionRequest(4, 5))]
     # The link of the known member lives on.
-    on_reactor(reactor, lambda: first.send("n1", PromiseRequest(4, 6)))
+    on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 6)))
     wait_for(lambda: len(got) == 2)
 
 
@@ -256,7 +256,7 @@
     link = peers.outgoing["n1"]
     on_reactor(reactor, link.connect)
     wait_for(lambda: link.link is not None)
-    first, frame = link.link, RelayedReport(1, b"x" * 60000)
+    first, frame = link.link, RelayedHeartbeat(1, b"x" * 60000)
     sent = []
 
     def send():
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,7 +1,13 @@
 """The transaction queue when the state service's limits drop unannounced."""
 
-from copperpass.core.kvstore.transactions import APPLIED, INVALID, PLAIN, Op, TransactionQueue
-from copperpass.core.ports import Outcome
+from copperpass.core.kvstore.transactions import (
+    APPLIED,
+    INVALID,
+    PLAIN,
+    Operation,
+    TransactionQueue,
+)
+from copperpass.core.ports import CallOutcome
 from copperpass.protocol.kvstore import put_key
 from tests.state_service import Service
 
@@ -14,7 +20,7 @@
         value = "x" * 40000 if n == 33 else n
         transactions.submit(
             service.now,
-            Op(
+            Operation(
                 {},
                 [put_key(f"k/{n}", value)],
                 lambda now, how, rev, n=n: ends.append((n, how)),
@@ -25,7 +31,7 @@
         calls, service.out.calls = service.out.calls, []
         assert transactions.in_flight == len(calls) <= TransactionQueue.IN_FLIGHT
         for call in calls:
-            call.then(service.now, Outcome(*service.serve(call)))
+            call.then(service.now, CallOutcome(*service.serve(call)))
         service.now += 0.05
         transactions.pump(service.now)
     assert sorted(ends) == [(n, INVALID if n == 33 else APPLIED) for n in range(120)]
@@ -41,13 +47,15 @@
     for n in range(150):
         transactions.submit(
             service.now,
-            Op({}, [put_key(f"k/{n}", n)], lambda now, how, rev: ends.append(how), 999.0, PLAIN),
+            Operation(
+                {}, [put_key(f"k/{n}", n)], lambda now, how, rev: ends.append(how), 999.0, PLAIN
+            ),
         )
     for _ in range(1200):
         calls, service.out.calls = service.out.calls, []
         sent += len(calls)
         for call in calls:
-            call.then(service.now, Outcome(*service.serve(call)))
+            call.then(service.now, CallOutcome(*service.serve(call)))
         service.now += 0.05
         transactions.pump(service.now)
         if len(ends) == 150:
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -11,71 +11,71 @@
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.membership.version_registry import FORMAT, VersionRegistry
-from copperpass.core.ports import Outbox, Outcome
+from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.protocol.cloud import MachineTypes
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import (
     NEVER_ANSWERED,
-    Contact,
-    Entries,
-    Entry,
+    CapacityRequests,
     Grant,
     GrantRequest,
-    Heartbeat,
     Hello,
     JobCancelled,
-    MachineRequests,
-    Promise,
-    PromiseRequest,
+    LeaseExtensionRequest,
+    LeaseExtensionVote,
+    MachineContact,
+    MachineRoute,
+    MachineStatus,
+    MachineStatusUpdates,
+    MemberHeartbeat,
     RelayedAnswer,
-    RelayedReport,
+    RelayedHeartbeat,
+    RouteUpdates,
     RunningCounts,
-    Share,
-    Status,
-    Statuses,
-    ZoneTies,
+    ShardAssignment,
+    ZoneAffinities,
 )
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.records import (
-    FleetRecord,
+    FencingTokenRecord,
+    InventoryRecord,
     JobRecord,
-    LeadRecord,
-    TokenRecord,
+    LeaderRecord,
     VersionRecord,
 )
 from tests import production
 
-CONTACT = Contact("10.0.0.9:1", 3, 77)
+CONTACT = MachineContact("10.0.0.9:1", 3, 77)
 # Frames as all earlier versions pack them.
 FRAMES = [
     (Hello("n1"), "63700301000000026e31"),
-    (Heartbeat(7, NEVER_ANSWERED), "637003020000000c0000000000000007ffffffff"),
-    (PromiseRequest(7, 9), "637003030000001000000000000000070000000000000009"),
-    (Promise(7, 9, True), "63700304000000110000000000000007000000000000000901"),
+    (MemberHeartbeat(7, NEVER_ANSWERED), "637003020000000c0000000000000007ffffffff"),
+    (LeaseExtensionRequest(7, 9), "637003030000001000000000000000070000000000000009"),
+    (LeaseExtensionVote(7, 9, True), "63700304000000110000000000000007000000000000000901"),
     (RunningCounts({"req-000001": 3}), "637003050000000f0a000000037265712d303030303031"),
-    (RelayedReport(7, b"{}"), "6370030600000006000000077b7d"),
+    (RelayedHeartbeat(7, b"{}"), "6370030600000006000000077b7d"),
     (RelayedAnswer(7, 421, b""), "63700307000000060000000701a5"),
     (
         GrantRequest(3, 1 << 61, 9, 12),
         "637003080000001c0000000000000003200000000000000000000009000000000000000c",
     ),
     (
-        Grant(3, 1 << 61, 9, 1400, 55, True, 4, (Share(1, "n2", 7, 90, 12),)),
+        Grant(3, 1 << 61, 9, 1400, 55, True, 4, (ShardAssignment(1, "n2", 7, 90, 12),)),
         "637003090000004200000000000000032000000000000000000000090000057800000000000000370100"
         "0000000000000401026e320100000007000000000000005a000000000000000c",
     ),
     (
-        Entries(
+        RouteUpdates(
             3,
             5,
             0,
             2,
             (
-                Entry(
+                MachineRoute(
                     "m-1", "box", "a", True, 1, 1 << 45, 2, True, False, True, False, False, CONTACT
                 ),
-                Entry("m-2", "box", "b", False, 255, 7, gone=True),
+                MachineRoute("m-2", "box", "b", False, 255, 7, gone=True),
             ),
         ),
         "6370030a0000006700000000000000030000000000000005000000000000000000000000000000020002"
@@ -83,14 +83,14 @@
         "00000000004d036d2d3203626f780162ff00000000000000070020",
     ),
     (
-        Statuses(
+        MachineStatusUpdates(
             3,
             5,
             2,
             3,
             (
-                Status("m-1", 1 << 45, True, True, False, True, 1, False, 4.0, CONTACT),
-                Status("m-2", 7),
+                MachineStatus("m-1", 1 << 45, True, True, False, True, 1, False, 4.0, CONTACT),
+                MachineStatus("m-2", 7),
             ),
         ),
         "6370030b0000006100000000000000030000000000000005000000000000000200000000000000030002"
@@ -98,7 +98,7 @@
         "00004d036d2d32000000000000000700ff00000000",
     ),
     (
-        MachineRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
+        CapacityRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
         "6370030c00000026000000000000000301000000000000000c00010a7265712d30303030303100000028"
         "40200000",
     ),
@@ -108,10 +108,10 @@
 FRAMES_0_3_0 = [
     (JobCancelled("req-000412"), "6370030d0000000a7265712d303030343132"),
     (
-        ZoneTies(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
+        ZoneAffinities(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
         "6370030e0000002500000000000000030100020a7265712d30303030303101610a7265712d3030303431320162",
     ),
-    (ZoneTies(3, 0, ()), "6370030e0000000b0000000000000003000000"),
+    (ZoneAffinities(3, 0, ()), "6370030e0000000b0000000000000003000000"),
 ]
 
 # Records as 0.2.0 writes them, and what reads them here.
@@ -122,8 +122,8 @@
     '"hall":"a","edition_s":null}'
 )
 RECORDS = [
-    ("c/lead", LeadRecord, '{"member":"n0","token":1,"lease":1}'),
-    ("c/token", TokenRecord, '{"token":1,"member":"n0"}'),
+    ("c/lead", LeaderRecord, '{"member":"n0","token":1,"lease":1}'),
+    ("c/token", FencingTokenRecord, '{"token":1,"member":"n0"}'),
     ("c/live/req-000002", JobRecord, '{"spec":' + SPEC + ',"at":1100.1}'),
     ("d/job/req-000002", JobRecord, '{"final":"done","count":3}'),
     ("c/ends/0.0", dict[str, str], '{"req-000001":"Bg=="}'),
@@ -135,7 +135,7 @@
     ),
     (
         "c/fleet",
-        FleetRecord,
+        InventoryRecord,
         '{"places":[{"type":"box","zone":"a","spot":true,"booked":{"b-1-1":1},"fresh":["m-000001",'
         '"m-000004","m-000005"]},{"type":"box","zone":"c","spot":true,"up":["m-000003"]}]}',
     ),
@@ -153,7 +153,7 @@
     ("c/live/req-000001", JobRecord, '{"spec":' + GANG_SPEC + ',"at":1100.2}'),
     (
         "c/fleet/0",
-        FleetRecord,
+        InventoryRecord,
         '{"places":[{"type":"box","zone":"a","spot":true,"up":["m-000001","m-000002"]},'
         '{"type":"box","zone":"c","spot":true,"booked":{"b-1-1":1},"fresh":["m-000005"]}]}',
     ),
@@ -162,6 +162,13 @@
     ("v/n0", VersionRecord, '{"version":"0.3.0","format":1}'),
 ]
 
+# What earlier versions call the records.
+FORMER_NAMES = {
+    "LeaderRecord": "LeadRecord",
+    "FencingTokenRecord": "TokenRecord",
+    "InventoryRecord": "FleetRecord",
+}
+
 
 @pytest.mark.parametrize(("frame", "packed"), FRAMES + FRAMES_0_3_0, ids=lambda v: type(v).__name__)
 def test_frames_of_earlier_versions_go_both_ways(frame, packed):
@@ -198,7 +205,8 @@
     # Whatever it wrote is written back; beside it may stand only what it reads without harm.
     assert written == {**written, **json.loads(raw)}
     old = production.load(version)
-    theirs = getattr(old.wire, getattr(kind, "__name__", ""), kind)
+    name = getattr(kind, "__name__", "")
+    theirs = kind if kind == dict[str, str] else getattr(old.wire, FORMER_NAMES.get(name, name))
     again = old.wire.decode(encode(record), theirs)
     assert json.loads(old.wire.encode(again)) == json.loads(
         old.wire.encode(old.wire.decode(raw.encode(), theirs))
@@ -246,5 +254,5 @@
         value = {"version": "9.0.0", "format": FORMAT + 1, "later": 1}
         if member == "n1":
             item = {"path": f"v/{member}", "value": value, "stamp": 7}
-            call.then(0.1, Outcome(200, json.dumps(item).encode()))
+            call.then(0.1, CallOutcome(200, json.dumps(item).encode()))
     assert registry.proven("n1") and not registry.proven("n0")
