--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -1,4 +1,4 @@
-"""The allocation of the whole fleet among teams, and how much of it each pool has."""
+"""The allocation of the whole fleet among teams, and how much of it each shard has."""
 
 from __future__ import annotations
 
@@ -61,15 +61,15 @@
 
 
 def fullness(
-    pool: Shard,
+    shard: Shard,
     serving: list[ManagedMachine],
     remaining: dict[str, Remaining],
     allocated: allocation.Allocation,
 ) -> float:
-    """A pool's machines as a part of its allocation: the furthest below comes first."""
-    have = sum(machine.type.cpus for machine in serving if machine.entry.pool == pool.number)
-    mine = [remaining[team] for team in pool.teams if team in remaining]
+    """A shard's machines as a part of its allocation: the furthest below comes first."""
+    have = sum(machine.type.cpus for machine in serving if machine.entry.shard == shard.number)
+    mine = [remaining[team] for team in shard.teams if team in remaining]
     left, cpus = sum(team.tasks for team in mine), sum(team.cpus for team in mine)
-    share = sum(allocated.tasks.get(team, 0.0) for team in pool.teams)
+    share = sum(allocated.tasks.get(team, 0.0) for team in shard.teams)
     target = cpus * share / left if left > 0 else 0.0
     return have / target if target > 0 else float("inf")
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -1,4 +1,4 @@
-"""The leader's control loop: who owns which pools and machines, what is rented and returned."""
+"""The leader's control loop: who owns which shards and machines, what is rented and returned."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 class ClusterManager:
     """Acts under one authority; a new one is made for each win that isn't a continuation.
 
-    Until `begin` it gives no pool and rents nothing, and only reads the fleet's records; afterwards
-    it alone writes them.
+    Until `begin` it assigns no shard and rents nothing, and only reads the inventory; then it alone
+    writes it.
     """
 
     def __init__(self, context: ManagerContext, now: float) -> None:
@@ -37,7 +37,7 @@
         self.state = state = ManagerState(context, now)
         self.epoch, self.won_at = state.epoch, state.won_at
         self.table, self.machines = state.table, state.machines
-        self.pools, self.grantees = state.pools, state.grantees
+        self.shards, self.grantees = state.shards, state.grantees
         self.records = MachineRecords(context, state)
         self.rentals = InstanceRequests(context, state, self.records)
         self.listing = CloudListing(context, state, self.records, self.rentals)
@@ -102,7 +102,7 @@
             self.fleet_store.saw_page(number, version, number in fleet.pages)
 
     def wait_out(self, before: ClusterManager) -> None:
-        """Give no pool while a grant of one's own earlier term may run."""
+        """Give no shard while a grant of one's own earlier term may run."""
         self.grants.wait_out(before.grantees)
 
     # -- frames and reports ------------------------------------------------------------------
@@ -117,16 +117,16 @@
 
     def tied(self, frame: ZoneAffinities) -> None:
         """An owner says in which zone jobs must find room; older owners don't."""
-        pool = self.pools.get(frame.pool)
-        if pool is not None:
-            pool.ties = dict(frame.zones)
+        shard = self.shards.get(frame.shard)
+        if shard is not None:
+            shard.ties = dict(frame.zones)
 
     def asked(self, now: float, wants: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         self.planner.asked(now, wants)
 
     def unowned(self, now: float, report: WorkerHeartbeat) -> None:
-        """A machine reports that is in nobody's pool: find out whose it is."""
+        """A machine reports that is in nobody's shard: find out whose it is."""
         self.following.unowned(now, report)
 
     # -- time --------------------------------------------------------------------------------
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -8,7 +8,7 @@
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
 from copperpass.core.scheduling import objectives
 
-# A pool's own peak is kept for longer: the fewer its jobs, the more they vary.
+# A shard's own peak is kept for longer: the fewer its jobs, the more they vary.
 POOL_WINDOW = 2.4
 
 
@@ -17,7 +17,7 @@
     """CPUs of all work that isn't done.
 
     Urgent is what can't wait for a boot; `ordinary` is its part that may use ordinary machines
-    only. Both by pool.
+    only. Both by shard.
     """
 
     urgent: dict[int, float]
@@ -26,7 +26,7 @@
 
     @property
     def total_urgent(self) -> float:
-        """The urgent work of all pools."""
+        """The urgent work of all shards."""
         return sum(self.urgent.values())
 
 
@@ -42,26 +42,26 @@
         self.peak = provisioning.SlidingMaximum(warm_s)
         self.cheap_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
         window = POOL_WINDOW * tuning.warm_window_boots * state.boot_s
-        self.peaks = {number: provisioning.SlidingMaximum(window) for number in state.pools}
+        self.peaks = {number: provisioning.SlidingMaximum(window) for number in state.shards}
         # Urgent work that may use ordinary machines only.
         self.ordinary_peaks = {
-            number: provisioning.SlidingMaximum(warm_s) for number in state.pools
+            number: provisioning.SlidingMaximum(warm_s) for number in state.shards
         }
 
     def measure(self, now: float) -> Demand:
         """Sum up the work that is left; judges on the way which jobs are guaranteed."""
         state = self.state
-        urgent: dict[int, float] = dict.fromkeys(state.pools, 0.0)
-        ordinary: dict[int, float] = dict.fromkeys(state.pools, 0.0)
+        urgent: dict[int, float] = dict.fromkeys(state.shards, 0.0)
+        ordinary: dict[int, float] = dict.fromkeys(state.shards, 0.0)
         patient = 0.0
         jobs = list(self.jobs.jobs.values())
         objectives.judge_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
         self.scarce.note(now, jobs)
         for job in jobs:
             cannot_wait = provisioning.cannot_wait(job, self.aims, state.boot_s)
-            if cannot_wait and job.spec.team in state.pool_of:
+            if cannot_wait and job.spec.team in state.shard_of:
                 left = job.spec.tasks - job.done_count - len(job.finished)
-                number = state.pool_of[job.spec.team]
+                number = state.shard_of[job.spec.team]
                 urgent[number] += left * job.spec.cpus
                 if not job.spec.spot:
                     ordinary[number] += left * job.spec.cpus
@@ -80,7 +80,7 @@
             self.ordinary_peaks[number].add(now, demand.ordinary[number])
 
     def sample_pool(self, now: float, number: int, demand: Demand) -> None:
-        """Take a measure into one pool's peak, between plans."""
+        """Take a measure into one shard's peak, between plans."""
         self.peaks[number].add(now, demand.urgent[number])
 
     def warm(self) -> provisioning.WarmTargets:
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -52,16 +52,16 @@
     def resume(self, now: float) -> None:
         """Ask again for the bookings of terms before: they may have been carried out."""
         for request, (stored, count) in list(self.fleet_store.booked.items()):
-            booking = InstanceRequest(MachineGroup(*stored), count, self.state.neediest_pool())
+            booking = InstanceRequest(MachineGroup(*stored), count, self.state.neediest_shard())
             self.state.renting[request] = booking
             self._book(now, booking, request, TRIES)
 
-    def rent(self, now: float, place: MachineGroup, count: int, pool: int) -> None:
-        """Book machines for a pool."""
+    def rent(self, now: float, place: MachineGroup, count: int, shard: int) -> None:
+        """Book machines for a shard."""
         self.booking += 1
         # The token is this authority's alone, so the name is never used again by any node.
         request = f"b-{self.state.epoch}-{self.booking}"
-        booking = InstanceRequest(place, count, pool)
+        booking = InstanceRequest(place, count, shard)
         self.state.renting[request] = booking
 
         def stored(n: float, ok: bool) -> None:
@@ -96,18 +96,18 @@
         """The cloud has carried out a booking, in full or in part."""
         state, place = self.state, booking.place
         known = state.renting.pop(request, None)
-        pool = known.pool if known is not None else state.neediest_pool()
+        shard = known.shard if known is not None else state.neediest_shard()
         rented = decode(body, InstanceAnswer)
         names = rented.machines if rented else []
         if len(names) < booking.machines:
             state.refusals.refused(place, now, state.boot_s / 2)
         else:
             state.refusals.granted(place)
-        self.out.log("info", "rented", place=str(tuple(place)), count=len(names), pool=pool)
+        self.out.log("info", "rented", place=str(tuple(place)), count=len(names), shard=shard)
         self.fleet_store.ended(now, request, names)
         for name in names:
             if name not in state.machines and name not in state.gone:
-                self.records.add(now, name, place, pool, Occupancy.EMPTY)
+                self.records.add(now, name, place, shard, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
         """Return machines, with those whose return hasn't been confirmed."""
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -50,7 +50,7 @@
         now: float,
         name: str,
         place: MachineGroup,
-        pool: int,
+        shard: int,
         may_hold: int,
         contact: MachineContact | None = None,
     ) -> ManagedMachine:
@@ -63,7 +63,7 @@
             place.type,
             place.zone,
             place.spot,
-            pool,
+            shard,
             base,
             may_hold if recorded else Occupancy.EMPTY,
             recorded,
@@ -72,7 +72,7 @@
         machine = ManagedMachine(entry, state.types[place.type], now, MachineStatus(name, base))
         state.machines[name] = machine
         state.table.put(entry)
-        state.added[pool] = state.table.seq
+        state.added[shard] = state.table.seq
         return machine
 
     def restore(self, now: float) -> None:
@@ -82,9 +82,9 @@
             if place.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
                 known = hint is not None and not hint.gone
-                pool = hint.pool if hint is not None and known else NO_SHARD
+                shard = hint.shard if hint is not None and known else NO_SHARD
                 contact = hint.contact if hint is not None and known else None
-                self.add(now, name, place, pool, Occupancy.ANY_SHARD, contact)
+                self.add(now, name, place, shard, Occupancy.ANY_SHARD, contact)
 
     def mark_recorded(self, now: float, names: set[str]) -> None:
         """The fleet's record says of these machines that they have been up."""
@@ -102,7 +102,7 @@
     def rebase(
         self,
         machine: ManagedMachine,
-        pool: int,
+        shard: int,
         may_hold: int,
         status: MachineStatus | None = None,
     ) -> None:
@@ -114,7 +114,7 @@
         machine.status = MachineStatus(machine.entry.name, base, up=machine.status.up)
         self.update(
             machine,
-            pool=pool,
+            shard=shard,
             base=base,
             may_hold=may_hold,
             back=False,
@@ -122,15 +122,15 @@
             proven=proven,
             contact=contact,
         )
-        self.state.added[pool] = self.state.table.seq
+        self.state.added[shard] = self.state.table.seq
 
     def ask_back(
-        self, now: float, machine: ManagedMachine, pool: int | None, vacate: bool = False
+        self, now: float, machine: ManagedMachine, shard: int | None, vacate: bool = False
     ) -> None:
-        """Ask a machine's owner to give it back: for another pool, or to be returned."""
-        if machine.entry.pool == NO_SHARD:
+        """Ask a machine's owner to give it back: for another shard, or to be returned."""
+        if machine.entry.shard == NO_SHARD:
             return
-        machine.back_for, machine.back_until = pool, now + self.state.report_s
+        machine.back_for, machine.back_until = shard, now + self.state.report_s
         self.update(machine, back=True, vacate=vacate)
 
     def mark_gone(self, now: float, machine: ManagedMachine) -> None:
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -81,9 +81,11 @@
 
     def _given(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
         """An owner has given a machine back: nobody commands it now."""
-        if status.pool != NO_SHARD:
-            # It holds tasks of another pool.
-            self.records.rebase(machine, status.pool, machine.entry.may_hold or Occupancy.OWN_SHARD)
+        if status.shard != NO_SHARD:
+            # It holds tasks of another shard.
+            self.records.rebase(
+                machine, status.shard, machine.entry.may_hold or Occupancy.OWN_SHARD
+            )
         elif machine.back_for is not None:
             self.records.rebase(machine, machine.back_for, Occupancy.EMPTY, status)
         else:
@@ -93,7 +95,7 @@
     # -- machines that nobody owns ----------------------------------------------------------
 
     def unowned(self, now: float, report: WorkerHeartbeat) -> None:
-        """A machine reports that is in nobody's pool: find out whose it is."""
+        """A machine reports that is in nobody's shard: find out whose it is."""
         state = self.state
         machine = state.machines.get(report.machine)
         if machine is None:
@@ -103,21 +105,21 @@
             # machine that is gone. Whoever owns it will see whether answers reach it.
             place = MachineGroup(report.type, report.zone, report.spot)
             machine = self.records.add(now, report.machine, place, NO_SHARD, Occupancy.EMPTY)
-        if machine.entry.pool != NO_SHARD or machine.releasing:
+        if machine.entry.shard != NO_SHARD or machine.releasing:
             return
-        self.records.rebase(machine, self._pool_of(report), machine.entry.may_hold)
+        self.records.rebase(machine, self._shard_of(report), machine.entry.may_hold)
 
-    def _pool_of(self, report: WorkerHeartbeat) -> int:
-        """The pool with the most tasks in a report; the neediest if it has none."""
+    def _shard_of(self, report: WorkerHeartbeat) -> int:
+        """The shard with the most tasks in a report; the neediest if it has none."""
         counts: dict[int, int] = {}
         for task in report.tasks:
             job = self.jobs.jobs.get(task.task.rpartition("/")[0])
-            if job is not None and job.spec.team in self.state.pool_of:
-                number = self.state.pool_of[job.spec.team]
+            if job is not None and job.spec.team in self.state.shard_of:
+                number = self.state.shard_of[job.spec.team]
                 counts[number] = counts.get(number, 0) + 1
         if counts:
             return max(counts, key=lambda number: counts[number])
-        return self.state.neediest_pool()
+        return self.state.neediest_shard()
 
     # -- time -------------------------------------------------------------------------------
 
@@ -130,7 +132,9 @@
             again = machine.releasing and now - machine.release_sent > RELEASE_AGAIN_S
             if again or (never and not machine.releasing):
                 self.rentals.release(now, [machine])
-            unclaimed = machine.entry.may_hold != Occupancy.EMPTY and machine.entry.pool == NO_SHARD
+            unclaimed = (
+                machine.entry.may_hold != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
+            )
             if unclaimed and now - state.won_at > state.lease_s + state.grant_s:
                 # Nobody has answered it in this term, nor under a grant of the term before, so its
                 # session is over; it is gone.
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -26,26 +26,26 @@
 
 
 @dataclass(slots=True)
-class PoolOffer:
-    """What there is for one pool while its requests are served; each request takes its part."""
+class ShardOffer:
+    """What there is for one shard while its requests are served; each request takes its part."""
 
-    pool: Shard
+    shard: Shard
     serving: list[ManagedMachine]
-    # Machines on their way to the pool.
+    # Machines on their way to the shard.
     rooms: list[provisioning.FreeCapacity]
-    # Idle machines of other pools, the cheapest first.
+    # Idle machines of other shards, the cheapest first.
     spare: list[ManagedMachine]
     cover: provisioning.CoverageRatio
-    # About what the pool's own machines have left; None until a gang asks.
+    # About what the shard's own machines have left; None until a gang asks.
     own_rooms: list[provisioning.FreeCapacity] | None = None
 
     def own(self) -> list[provisioning.FreeCapacity]:
-        """The room that is left on the pool's own machines."""
+        """The room that is left on the shard's own machines."""
         if self.own_rooms is None:
             self.own_rooms = [
                 provisioning.left_room(machine.type, machine.place, machine.used_cpus)
                 for machine in self.serving
-                if machine.entry.pool == self.pool.number
+                if machine.entry.shard == self.shard.number
             ]
         return self.own_rooms
 
@@ -69,7 +69,7 @@
 
 
 class PlacementPlanner:
-    """Serves the requests of one pool after the other."""
+    """Serves the requests of one shard after the other."""
 
     def __init__(
         self,
@@ -84,17 +84,17 @@
         self.scarce, self.fleet_store = tracker.scarce, state.fleet_store
 
     def serve(
-        self, now: float, pool: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
+        self, now: float, shard: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
     ) -> None:
-        """Serve a pool's requests, each with what those before it have left.
+        """Serve a shard's requests, each with what those before it have left.
 
         Without a plan nothing is rented, and nothing taken that others need: this only moves what
         idles.
         """
-        if now - pool.wants_at > REQUEST_REPORTS * self.state.report_s:
+        if now - shard.wants_at > REQUEST_REPORTS * self.state.report_s:
             return
-        offer = self._offer(pool, serving)
-        for request in pool.wants:
+        offer = self._offer(shard, serving)
+        for request in shard.wants:
             over = plan is not None and plan.full and not offer.spare
             if over and not request.job.guaranteed:
                 # Nothing can be rented or moved in this plan any more: the next one goes on.
@@ -106,40 +106,40 @@
                 self._take_kept(now, offer, search)
                 self._reclaim_guarantee(now, offer, search)
 
-    def _offer(self, pool: Shard, serving: list[ManagedMachine]) -> PoolOffer:
-        """Gather what is on its way to a pool and what others could lend."""
+    def _offer(self, shard: Shard, serving: list[ManagedMachine]) -> ShardOffer:
+        """Gather what is on its way to a shard and what others could lend."""
         rooms = [
             provisioning.new_room(self.state.types[place.type], place)
             for place, count, number in self.state.renting.values()
-            if number == pool.number
+            if number == shard.number
             for _ in range(count)
         ]
         rooms += [
             provisioning.new_room(machine.type, machine.place)
             for machine in serving
-            if machine.back_for == pool.number and machine.entry.back
+            if machine.back_for == shard.number and machine.entry.back
         ]
         spare = [
             machine
             for machine in serving
             if machine.spare
-            and machine.entry.pool != pool.number
+            and machine.entry.shard != shard.number
             and not machine.entry.back
-            and machine.entry.pool != NO_SHARD
+            and machine.entry.shard != NO_SHARD
         ]
         spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
-        return PoolOffer(pool, serving, rooms, spare, self.lending.cover(serving))
+        return ShardOffer(shard, serving, rooms, spare, self.lending.cover(serving))
 
-    def _begin(self, now: float, offer: PoolOffer, request: CapacityRequest) -> Search:
+    def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
         """Start a request's search with the room that is on its way."""
         job, count, horizon = request
-        tied_to = offer.pool.ties.get(job.spec.id)
+        tied_to = offer.shard.ties.get(job.spec.id)
         spec = provisioning.tied(job.spec, [tied_to] if tied_to else [])
         closed = self.scarce.closed_to(spec)
         zone: str | None = None
         rooms = offer.rooms
         if spec.gang and spec.one_zone:
-            # All of it in one zone: what the pool has there, then what is moved or rented. The
+            # All of it in one zone: what the shard has there, then what is moved or rented. The
             # owner asks for the whole: only the leader can complete what one zone has.
             rooms = rooms + offer.own()
             zone = spec.zone or self._gang_zone(now, spec, count, rooms, offer.spare)
@@ -175,13 +175,13 @@
                 return zone
         return None
 
-    def _move_spare(self, now: float, offer: PoolOffer, search: Search) -> None:
-        """Ask for idle machines of pools that stay covered as far as this one."""
-        number = offer.pool.number
+    def _move_spare(self, now: float, offer: ShardOffer, search: Search) -> None:
+        """Ask for idle machines of shards that stay covered as far as this one."""
+        number = offer.shard.number
         for machine in list(offer.spare):
             if search.left <= 0:
                 break
-            lender = machine.entry.pool
+            lender = machine.entry.shard
             if search.zone is not None and machine.entry.zone != search.zone:
                 continue
             if not self.lending.may_leave(machine) or machine.type.name in search.closed:
@@ -199,7 +199,7 @@
                 offer.spare.remove(machine)
                 self.lending.let_go(now, machine, number)
 
-    def _rent(self, now: float, offer: PoolOffer, search: Search, plan: ScaleOutPlan) -> None:
+    def _rent(self, now: float, offer: ShardOffer, search: Search, plan: ScaleOutPlan) -> None:
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
@@ -224,9 +224,9 @@
                 break
             search.left -= taken
             offer.rooms.append(room)
-            plan.add(place, offer.pool.number)
+            plan.add(place, offer.shard.number)
 
-    def _take_kept(self, now: float, offer: PoolOffer, search: Search) -> None:
+    def _take_kept(self, now: float, offer: ShardOffer, search: Search) -> None:
         """Nothing can be rented: what others keep for later serves who needs it now."""
         if search.left <= 0 or search.horizon > self.state.boot_s:
             return
@@ -241,25 +241,25 @@
             taken = room.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
-                self.lending.let_go(now, machine, offer.pool.number)
+                self.lending.let_go(now, machine, offer.shard.number)
         offer.spare = [machine for machine in offer.spare if not machine.entry.back]
 
-    def _reclaim_guarantee(self, now: float, offer: PoolOffer, search: Search) -> None:
-        """Give a pool its guarantee out of what another has beyond its own."""
+    def _reclaim_guarantee(self, now: float, offer: ShardOffer, search: Search) -> None:
+        """Give a shard its guarantee out of what another has beyond its own."""
         job, spec, left = search.job, search.job.spec, search.left
         if left <= 0 or not job.guaranteed or search.horizon > self.state.boot_s:
             return
-        for other in self.state.pools.values():
-            theirs = [m for m in offer.serving if m.entry.pool == other.number]
+        for other in self.state.shards.values():
+            theirs = [m for m in offer.serving if m.entry.shard == other.number]
             own = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
             beyond = sum(machine.used_cpus for machine in theirs) - own
             for machine in sorted(theirs, key=lambda m: m.used_cpus):
                 used = machine.used_cpus
-                if other is offer.pool or left <= 0 or beyond < used or machine.entry.back:
+                if other is offer.shard or left <= 0 or beyond < used or machine.entry.back:
                     break
                 room = provisioning.new_room(machine.type, machine.place)
                 taken = room.take(spec, left, 0.0)
                 if taken > 0 and machine.type.name not in self.scarce.closed_to(spec):
                     left -= taken
                     beyond -= used
-                    self.records.ask_back(now, machine, offer.pool.number, vacate=True)
+                    self.records.ask_back(now, machine, offer.shard.number, vacate=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -32,7 +32,7 @@
 
 
 class Planner:
-    """Shares the fleet out among pools and changes its size."""
+    """Shares the fleet out among shards and changes its size."""
 
     def __init__(
         self,
@@ -62,20 +62,20 @@
     def asked(self, now: float, frame: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
         state = self.state
-        pool = state.pools.get(frame.pool)
-        if pool is None or frame.applied < state.added.get(pool.number, 0):
+        shard = state.shards.get(frame.shard)
+        if shard is None or frame.applied < state.added.get(shard.number, 0):
             return
         jobs = self.jobs.jobs
-        pool.wants = [
+        shard.wants = [
             CapacityRequest(jobs[job_id], count, horizon)
             for job_id, count, horizon in frame.wants
             if job_id in jobs
         ]
-        pool.wants_at = now
-        if pool.wants and len(state.pools) > 1 and state.ready:
+        shard.wants_at = now
+        if shard.wants and len(state.shards) > 1 and state.ready:
             # Idle machines of others can serve at once; renting waits for the next plan.
-            self.tracker.sample_pool(now, pool.number, self.tracker.measure(now))
-            self.placement.serve(now, pool, state.serving(), None)
+            self.tracker.sample_pool(now, shard.number, self.tracker.measure(now))
+            self.placement.serve(now, shard, state.serving(), None)
 
     def plan(self, now: float) -> None:
         """Compute shares, move what idles to where it is needed, rent the rest, return."""
@@ -90,8 +90,8 @@
         remaining = remaining_by_team(self.cluster, self.jobs.jobs.values())
         allocated = allocate(self.cluster, serving, remaining)
         order = sorted(
-            self.state.pools.values(),
-            key=lambda pool: fullness(pool, serving, remaining, allocated),
+            self.state.shards.values(),
+            key=lambda shard: fullness(shard, serving, remaining, allocated),
         )
         if not any(machine.entry.may_hold == Occupancy.ANY_SHARD for machine in serving):
             self._change(now, order, serving, warm, taken)
@@ -118,10 +118,10 @@
         warm: provisioning.WarmTargets,
         taken: float,
     ) -> None:
-        """Serve the pools in their order, keep warm room, rent what was planned."""
+        """Serve the shards in their order, keep warm room, rent what was planned."""
         plan = ScaleOutPlan.beside(serving, self.most_per_plan)
-        for pool in order:
-            self.placement.serve(now, pool, serving, plan)
+        for shard in order:
+            self.placement.serve(now, shard, serving, plan)
         self.warm_room.keep(now, warm, serving, taken, plan)
         self.warm_room.balance(now, serving)
         for (place, number), count in plan.counts.items():
@@ -135,7 +135,9 @@
             entry, status = machine.entry, machine.status
             kind = "spot" if entry.spot else "ordinary"
             state = "up" if status.up else "starting"
-            sums = kinds.setdefault(f"{entry.pool} {machine.type.name} {kind} {state}", [0, 0.0, 0])
+            sums = kinds.setdefault(
+                f"{entry.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
+            )
             sums[0] += 1
             sums[1] += machine.type.cpus
             sums[2] += status.idle
@@ -145,6 +147,6 @@
             warm=round(warm),
             tight=round(tight),
             machines={key: [round(x) for x in sums] for key, sums in sorted(kinds.items())},
-            owners={pool.number: pool.owner for pool in self.state.pools.values()},
+            owners={shard.number: shard.owner for shard in self.state.shards.values()},
             factors=[round(factor, 3) for factor in allocated.factors],
         )
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -85,17 +85,17 @@
 
 @dataclass(slots=True)
 class CoverageRatio:
-    """How far the CPUs that pools have cover what they need at their peaks."""
+    """How far the CPUs that shards have cover what they need at their peaks."""
 
     have: dict[int, float]
     need: dict[int, float]
 
     def of(self, number: int, more: float = 0.0) -> float:
-        """A pool's cover with some CPUs more."""
+        """A shard's cover with some CPUs more."""
         return (self.have[number] + more) / max(self.need[number], 1e-3)
 
     def least(self) -> int:
-        """The pool that is covered least."""
+        """The shard that is covered least."""
         return min(self.have, key=lambda n: (self.of(n), n))
 
     def may_lend(self, lender: int, borrower: int, cpus: float) -> bool:
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -20,10 +20,10 @@
 
 
 class Destination(NamedTuple):
-    """Where to rent machines, and for which pool."""
+    """Where to rent machines, and for which shard."""
 
     place: MachineGroup
-    pool: int
+    shard: int
 
 
 @dataclass(slots=True)
@@ -49,8 +49,8 @@
         """Whether the plan takes no more machines."""
         return sum(self.counts.values()) >= self.most
 
-    def add(self, place: MachineGroup, pool: int) -> None:
+    def add(self, place: MachineGroup, shard: int) -> None:
         """One more machine."""
-        destination = Destination(place, pool)
+        destination = Destination(place, shard)
         self.zones[place.zone] = self.zones.get(place.zone, 0) + 1
         self.counts[destination] = self.counts.get(destination, 0) + 1
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -19,7 +19,7 @@
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
-# The revision of a pool whose new owner has to wait until one has been read.
+# The revision of a shard whose new owner has to wait until one has been read.
 UNKNOWN_REVISION = (1 << 62) - 1
 
 
@@ -37,7 +37,7 @@
     listed: bool = False
     releasing: bool = False
     release_sent: float = float("-inf")
-    # The pool that it is asked back for; None: to be returned.
+    # The shard that it is asked back for; None: to be returned.
     back_for: int | None = None
     back_until: float = 0.0
 
@@ -72,7 +72,7 @@
 
     place: MachineGroup
     machines: int
-    pool: int
+    shard: int
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     owner: str = ""
     serial: int = 0
     revision: int = UNKNOWN_REVISION
-    # How far the table had come when the pool was given.
+    # How far the table had come when the shard was given.
     at: int = 0
     reading: bool = False
     free_at: float = 0.0
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Grantee:
-    """A member that may own pools."""
+    """A member that may own shards."""
 
     incarnation: int = 0
     # When this run of the member first asked.
@@ -113,7 +113,7 @@
 
     The job table, the types and the stored fleet are the node's own and change while the term
     lasts; `hints` and `owners` are what the term before knew: whose each machine was, and who
-    owned which pool.
+    owned which shard.
     """
 
     cluster: Cluster
@@ -124,8 +124,8 @@
     jobs: JobTable
     types: dict[str, MachineType]
     fleet: StoredInventory
-    # The pool of each team.
-    pools: dict[str, int]
+    # The shard of each team.
+    shards: dict[str, int]
     hints: dict[str, MachineRoute]
     owners: dict[int, str]
     incarnation: int
@@ -136,7 +136,7 @@
 
 
 class ManagerState:
-    """Machines, pools, grantees and bookings of one term.
+    """Machines, shards, grantees and bookings of one term.
 
     Every machine stands in `machines` and in `table`, whose entries go to the members; one that the
     cloud has confirmed as deleted stands in `gone` until no late message can speak of it.
@@ -156,14 +156,14 @@
         self.machines: dict[str, ManagedMachine] = {}
         # When each deleted machine was confirmed as gone.
         self.gone: dict[str, float] = {}
-        # The table's number when a machine was last added to each pool.
+        # The table's number when a machine was last added to each shard.
         self.added: dict[int, int] = {}
         self.grantees: dict[str, Grantee] = {}
         self.grantees[self.member] = Grantee(context.incarnation, now, now, float("inf"))
-        self.pool_of = context.pools
-        self.pools: dict[int, Shard] = {}
-        for team, number in context.pools.items():
-            self.pools.setdefault(number, Shard(number, [])).teams.append(team)
+        self.shard_of = context.shards
+        self.shards: dict[int, Shard] = {}
+        for team, number in context.shards.items():
+            self.shards.setdefault(number, Shard(number, [])).teams.append(team)
         self.renting: dict[str, InstanceRequest] = {}
         self.refusals = provisioning.CapacityBackoff()
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
@@ -194,15 +194,15 @@
         ]
 
     def owner_of(self, machine: ManagedMachine) -> str:
-        """The member that owns a machine's pool; empty where nobody does."""
-        pool = self.pools.get(machine.entry.pool)
-        return pool.owner if pool is not None else ""
+        """The member that owns a machine's shard; empty where nobody does."""
+        shard = self.shards.get(machine.entry.shard)
+        return shard.owner if shard is not None else ""
 
-    def neediest_pool(self) -> int:
-        """The pool whose tasks have the least room for their number."""
+    def neediest_shard(self) -> int:
+        """The shard whose tasks have the least room for their number."""
 
-        def pressure(pool: Shard) -> tuple[float, int]:
-            want = sum(request.tasks * request.job.spec.cpus for request in pool.wants)
-            return (-want, pool.number)
+        def pressure(shard: Shard) -> tuple[float, int]:
+            want = sum(request.tasks * request.job.spec.cpus for request in shard.wants)
+            return (-want, shard.number)
 
-        return min(self.pools.values(), key=pressure).number
+        return min(self.shards.values(), key=pressure).number
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -14,7 +14,7 @@
 
 
 class WarmCapacity:
-    """Keeps room for urgent work that may come: rents it, spreads it over pools, returns the rest.
+    """Keeps room for urgent work that may come: rents it, spreads it over shards, returns the rest.
 
     `taken` is everywhere the CPUs in use by work that can wait: they don't count as room.
     """
@@ -37,7 +37,7 @@
         taken: float,
         plan: ScaleOutPlan,
     ) -> None:
-        """Plan machines until there is the warm room, for the pools that are covered least."""
+        """Plan machines until there is the warm room, for the shards that are covered least."""
         types, refusals = self.state.types, self.state.refusals
         total = sum(machine.type.cpus for machine in serving) - taken
         total += sum(types[p.type].cpus * count for p, count, _ in self.state.renting.values())
@@ -55,7 +55,7 @@
                 number = cover.least()
                 cover.have[number] += types[place.type].cpus
                 plan.add(place, number)
-        for number in self.state.pools:
+        for number in self.state.shards:
             self._keep_ordinary(now, number, serving, scarce, plan)
 
     def _keep_ordinary(
@@ -66,7 +66,7 @@
         closed: set[str],
         plan: ScaleOutPlan,
     ) -> None:
-        """Plan ordinary room for a pool's urgent work that may use no other.
+        """Plan ordinary room for a shard's urgent work that may use no other.
 
         In the zone that has most of it, since a gang needs room in one zone; elsewhere when that
         zone has no more.
@@ -86,10 +86,10 @@
     def _ordinary_by_zone(
         self, number: int, serving: list[ManagedMachine], plan: ScaleOutPlan
     ) -> dict[str, float]:
-        """The ordinary CPUs that a pool has or will have, by zone."""
+        """The ordinary CPUs that a shard has or will have, by zone."""
         zones: dict[str, float] = {}
         for machine in serving:
-            if machine.entry.pool == number and not machine.entry.spot:
+            if machine.entry.shard == number and not machine.entry.spot:
                 zone = machine.entry.zone
                 zones[zone] = zones.get(zone, 0.0) + machine.type.cpus
         for place, count in self._coming(number, plan):
@@ -99,12 +99,12 @@
         return zones
 
     def _coming(self, number: int, plan: ScaleOutPlan) -> Iterator[tuple[MachineGroup, int]]:
-        """The machines booked or planned for a pool."""
+        """The machines booked or planned for a shard."""
         for booking in self.state.renting.values():
-            if booking.pool == number:
+            if booking.shard == number:
                 yield booking.place, booking.machines
         for destination, count in plan.counts.items():
-            if destination.pool == number:
+            if destination.shard == number:
                 yield destination.place, count
 
     def _ordinary_place(
@@ -117,13 +117,13 @@
         )
 
     def balance(self, now: float, serving: list[ManagedMachine]) -> None:
-        """Move idle machines to the pool whose peak is covered least, before it asks."""
-        if len(self.state.pools) == 1:
+        """Move idle machines to the shard whose peak is covered least, before it asks."""
+        if len(self.state.shards) == 1:
             return
         cover = self.lending.cover(serving)
         scarce = self.tracker.scarce_types()
         for machine in serving:
-            short, own = cover.least(), machine.entry.pool
+            short, own = cover.least(), machine.entry.shard
             if cover.of(short) >= 1.0:
                 break
             if not machine.spare or machine.entry.back or own not in cover.have or own == short:
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -116,7 +116,7 @@
         self.known = False
         # Until when the grants last that were given under this member's authority, in its present
         # run or an earlier one. Its key must not end sooner by its own doing: the next leader would
-        # give away pools whose owners, under such a grant, still start tasks.
+        # give away shards whose owners, under such a grant, still start tasks.
         self.granted_until = now + granted_s
         # The key's lease, to be ended once those grants are over.
         self.ending: int | None = None
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -47,10 +47,10 @@
 TYPES = "c/types"
 
 
-def pools_of(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
-    """The pool of each team: one each, or one for all where a controller can carry them.
+def shards_of(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
+    """The shard of each team: one each, or one for all where a controller can carry them.
 
-    Partitioning costs room, since a machine serves one pool at a time; it pays where the teams'
+    Partitioning costs room, since a machine serves one shard at a time; it pays where the teams'
     guarantees are more than one controller's processor should command.
     """
     guaranteed = sum(team.cpus for team in cluster.teams)
@@ -91,8 +91,8 @@
         self.fleet = StoredInventory()
         # Of the records of ends.
         self.versions: dict[str, int] = {}
-        self.pools = pools_of(cluster, self.tuning)
-        partitioned = len(set(self.pools.values())) > 1
+        self.shards = shards_of(cluster, self.tuning)
+        partitioned = len(set(self.shards.values())) > 1
         self.authority = Authority(
             settings.name,
             [m.name for m in settings.members],
@@ -171,7 +171,7 @@
             cluster_manager.tick(now)
             self._feed_grantees(cluster_manager)
         # An owner whose view falls behind that of others stops asking: its grant ends, and the
-        # leader gives the pool to somebody who can see, long before the bound on its view.
+        # leader gives the shard to somebody who can see, long before the bound on its view.
         self.grant_client.asking = not self._behind()
         self.grant_client.tick(now, self.view.revision)
         if self.cluster_manager is not None:
@@ -281,7 +281,7 @@
     def _answer(self, now: float, report: WorkerHeartbeat, handed: bool) -> tuple[int, bytes]:
         """What this node itself answers a report with."""
         entry = self.grant_client.directory.get(report.machine)
-        owner = self.grant_client.schedulers.get(entry.pool) if entry is not None else None
+        owner = self.grant_client.schedulers.get(entry.shard) if entry is not None else None
         if owner is None or not self.grant_client.entitled(now):
             if self.cluster_manager is not None and entry is None and handed:
                 self._unowned(now, report)
@@ -303,7 +303,7 @@
 
     @property
     def schedulers(self) -> list[ShardScheduler]:
-        """The pools that this node owns."""
+        """The shards that this node owns."""
         return list(self.grant_client.schedulers.values())
 
     def healthy(self, now: float) -> bool:
@@ -349,7 +349,7 @@
         job = self.jobs.jobs.get(job_id)
         if job is None:
             return 0, 0
-        if self.pools.get(job.spec.team, 0) in self.grant_client.schedulers:
+        if self.shards.get(job.spec.team, 0) in self.grant_client.schedulers:
             return job.done_count, job.shown()
         told = (counts.get(job_id, 0) for counts in self.peer_counts.values())
         return job.done_count, max(told, default=0)
@@ -382,7 +382,7 @@
 
     def _authority_changed(self, now: float, leading: bool, continued: bool) -> None:
         before = self.cluster_manager
-        if leading and continued and before is not None and len(before.pools) == 1:
+        if leading and continued and before is not None and len(before.shards) == 1:
             # Nobody else can have commanded in between: the term goes on under a higher counter.
             return
         if not leading:
@@ -404,7 +404,7 @@
             jobs=self.jobs,
             types=self.types,
             fleet=self.fleet,
-            pools=self.pools,
+            shards=self.shards,
             hints=hints,
             owners=owned,
             incarnation=grant_client.incarnation,
@@ -427,8 +427,8 @@
             jobs=self.jobs,
             types=self.types,
             versions=self.versions,
-            pool=share.pool,
-            pools=self.pools,
+            shard=share.shard,
+            shards=self.shards,
             epoch=grant_client.epoch,
             serial=share.serial,
             token_version=lambda: grant_client.token_version,
@@ -477,7 +477,7 @@
             counts = {
                 j: job.shown()
                 for j, job in self.jobs.jobs.items()
-                if job.shown() and self.pools.get(job.spec.team, 0) in self.grant_client.schedulers
+                if job.shown() and self.shards.get(job.spec.team, 0) in self.grant_client.schedulers
             }
             for other in self.authority.others:
                 self.out.send(other, RunningCounts(counts))
--- a/src/copperpass/core/scheduling/__init__.py
+++ b/src/copperpass/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a pool's scheduler, one job a module; `core.pool_scheduler` wires them."""
+"""The parts of a shard's scheduler, one job a module; `core.pool_scheduler` wires them."""
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -19,8 +19,8 @@
     WorkerHeartbeat,
 )
 
-# The part of all connections that direct commands of all pools together may take, and the least
-# number for one pool.
+# The part of all connections that direct commands of all shards together may take, and the least
+# number for one shard.
 CONNECTIONS_PER_DIRECT = 8
 LEAST_DIRECTS = 8
 
@@ -42,9 +42,9 @@
         self.timing = state.timing
         # Commands that are being sent straight to workers, and how many may be at once.
         self.directs = 0
-        pools = len(set(context.pools.values()))
+        shards = len(set(context.shards.values()))
         connections = context.cluster.resources.max_connections
-        self.most_directs = max(LEAST_DIRECTS, connections // (CONNECTIONS_PER_DIRECT * pools))
+        self.most_directs = max(LEAST_DIRECTS, connections // (CONNECTIONS_PER_DIRECT * shards))
 
     def suspect_deaf(self, now: float, machine: Machine) -> None:
         """What was sent has not arrived for certain, although reports do: it may be deaf.
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a pool's scheduler share and never change: collaborators, identity, times."""
+"""What the parts of a shard's scheduler share and never change: collaborators, identity, times."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerContext:
-    """What a scheduler is given for one ownership of a pool."""
+    """What a scheduler is given for one ownership of a shard."""
 
     cluster: Cluster
     out: Outbox
@@ -34,13 +34,13 @@
     jobs: JobTable
     types: dict[str, MachineType]
     versions: dict[str, int]
-    # The pool that is scheduled, and the pool of each team.
-    pool: int
-    pools: dict[str, int]
+    # The shard that is scheduled, and the shard of each team.
+    shard: int
+    shards: dict[str, int]
     epoch: int
     serial: int
     token_version: Callable[[], int]
-    # Whether the pool is still owned at a moment.
+    # Whether the shard is still owned at a moment.
     entitled: Callable[[float], bool]
     tuning: Tuning = field(default_factory=Tuning)
     images: Images = field(default_factory=dict)
@@ -48,8 +48,8 @@
     fresh_at: Callable[[], float] = _never
 
     def is_mine(self, team: str) -> bool:
-        """Whether a team is of this pool; teams that are not known count as its own."""
-        return self.pools.get(team, self.pool) == self.pool
+        """Whether a team is of this shard; teams that are not known count as its own."""
+        return self.shards.get(team, self.shard) == self.shard
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
         # A leader of an older version that gives up, or comes back within a moment, ends its key
         # before its grants: an owner of that term that hasn't seen it may answer workers for as
         # long as a grant.
-        partitioned = len(set(context.pools.values())) > 1
+        partitioned = len(set(context.shards.values())) > 1
         rerouted_s = 1.25 * report_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
             report_s=report_s,
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""What the pool's teams use, may start, claim, and want machines for."""
+"""What the shard's teams use, may start, claim, and want machines for."""
 
 from __future__ import annotations
 
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -22,7 +22,7 @@
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
-# The part of a pool's room that overdue work gets before work that can still be in time.
+# The part of a shard's room that overdue work gets before work that can still be in time.
 LATE_PART = 0.5
 # A task is large if it takes as many times the CPUs of the smallest one about.
 LARGE_FACTOR = 4
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -164,15 +164,15 @@
             self.commands.suspect_deaf(now, machine)
 
     def _mind_foreign(self, machine: Machine) -> None:
-        """Tasks of another pool are here: the leader didn't know whose machine it is."""
+        """Tasks of another shard are here: the leader didn't know whose machine it is."""
         foreign = [placement for placement in machine.tasks.values() if placement.foreign]
         machine.foreign = bool(foreign)
         if not foreign:
             return
         if len(foreign) == len(machine.tasks) and not machine.do_in_flight:
-            pool = next((p.pool for p in foreign if p.pool != NO_SHARD), NO_SHARD)
-            if pool != NO_SHARD:
-                last = MachineStatus(machine.name, machine.base, up=True, given=True, pool=pool)
+            shard = next((p.shard for p in foreign if p.shard != NO_SHARD), NO_SHARD)
+            if shard != NO_SHARD:
+                last = MachineStatus(machine.name, machine.base, up=True, given=True, shard=shard)
                 self.state.part_with(machine, last)
                 return
         for placement in foreign:
@@ -213,7 +213,7 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is not None:
             if not self.context.is_mine(job.spec.team):
-                placement.foreign, placement.pool = True, self.context.pools[job.spec.team]
+                placement.foreign, placement.shard = True, self.context.shards[job.spec.team]
                 return
             self._match_own_job(machine, placement, job)
             return
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -29,7 +29,7 @@
             context.transactions,
             context.token_version,
             context.versions,
-            context.pool,
+            context.shard,
             USED_PART * limits.least_value_bytes,
             max(state.timing.report_s / 2, GATHERED_WRITES / limits.least_write_rps),
             cluster.workers.lease_s,
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -73,9 +73,9 @@
     stop_sent: float = 0.0
     stopping_for: StopReason | None = None
     stored: bool = False
-    # A task of another pool, which only its owner may judge.
+    # A task of another shard, which only its owner may judge.
     foreign: bool = False
-    pool: int = 255
+    shard: int = 255
 
     @property
     def key(self) -> Key:
@@ -104,7 +104,7 @@
     seq: int = 0
     recorded: bool = False
     settled: bool = False
-    # Tasks of another pool are here.
+    # Tasks of another shard are here.
     foreign: bool = False
     # The leader wants it back as soon as it is empty.
     vacating: bool = False
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -1,4 +1,4 @@
-"""Which machines are the pool's: learnt from the leader's table, given back, and told of."""
+"""Which machines are the shard's: learnt from the leader's table, given back, and told of."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         told = state.given.get(name)
         if told is not None and (entry.base != told.base or entry.gone):
             del state.given[name]
-        if entry.pool != self.context.pool or entry.gone:
+        if entry.shard != self.context.shard or entry.gone:
             self._learn_not_ours(now, entry, machine)
             return
         state.elsewhere.pop(name, None)
@@ -57,11 +57,11 @@
             self._give_back(now, machine, entry.vacate)
 
     def _learn_not_ours(self, now: float, entry: MachineRoute, machine: Machine | None) -> None:
-        """The machine is another pool's, or gone."""
+        """The machine is another shard's, or gone."""
         if entry.gone and machine is not None:
             self._gone(now, machine)
-        other_pool = entry.pool != self.context.pool and not entry.gone
-        if entry.may_hold == Occupancy.ANY_SHARD and other_pool and not entry.failed:
+        other_shard = entry.shard != self.context.shard and not entry.gone
+        if entry.may_hold == Occupancy.ANY_SHARD and other_shard and not entry.failed:
             self.state.elsewhere[entry.name] = (entry.type, entry.zone, entry.spot)
         elif self.state.elsewhere.pop(entry.name, None) is not None:
             self.state.dirty = True
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one pool of teams: their tasks on its machines, from reports to commands.
+"""The scheduler of one shard of teams: their tasks on its machines, from reports to commands.
 
 The work is done by the parts in `core.scheduling`; here they are wired, and their interface to the
 node, the grants and the users is kept in one place.
@@ -29,7 +29,7 @@
 
 
 class ShardScheduler:
-    """Commands the machines of one pool of teams; a new one is made for each ownership."""
+    """Commands the machines of one shard of teams; a new one is made for each ownership."""
 
     def __init__(self, context: SchedulerContext, *, revision: int, now: float) -> None:
         self.context = context
@@ -58,7 +58,7 @@
         )
         self.next_scan = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
-        self.pool, self.serial, self.entitled = context.pool, context.serial, context.entitled
+        self.shard, self.serial, self.entitled = context.shard, context.serial, context.entitled
         self.machines: dict[str, Machine] = state.machines
         self.unsettled: set[str] = state.unsettled
         self.tally: QuotaUsage = state.tally
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -1,4 +1,4 @@
-"""The mutable state of a pool's scheduler, which its parts work on together."""
+"""The mutable state of a shard's scheduler, which its parts work on together."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
         cluster = context.cluster
         self.context = context
         self.timing = Timing.of(context)
-        self.teams: list[Team] = [t for t in cluster.teams if context.pools[t.name] == context.pool]
+        self.teams: list[Team] = [
+            t for t in cluster.teams if context.shards[t.name] == context.shard
+        ]
         self.by_team = {team.name: team for team in self.teams}
         # Jobs created after this revision can't have been started by an earlier owner.
         self.revision = revision
@@ -44,7 +46,7 @@
         self.tally = QuotaUsage()
         # Machines taken over that may hold tasks which haven't been reported yet.
         self.unsettled: set[str] = set()
-        # Machines of other pools where tasks of this pool may be, by the leader's word.
+        # Machines of other shards where tasks of this shard may be, by the leader's word.
         self.elsewhere: dict[str, tuple[str, str, bool]] = {}
         # Machines given back: their last status is told until the leader has moved them.
         self.given: dict[str, MachineStatus] = {}
@@ -58,7 +60,7 @@
         self.last_report = now
 
     def own_jobs(self) -> list[Job]:
-        """The jobs of this pool's teams."""
+        """The jobs of this shard's teams."""
         by_team = self.by_team
         return [job for job in self.context.jobs.jobs.values() if job.spec.team in by_team]
 
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -1,4 +1,4 @@
-"""A member's side of the grants: what the leader has told it, and the pools it owns meanwhile."""
+"""A member's side of the grants: what the leader has told it, and the shards it owns meanwhile."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class GrantClient:
-    """Follows one leader's term; pools and the directory of machines end with it."""
+    """Follows one leader's term; shards and the directory of machines end with it."""
 
     def __init__(
         self,
@@ -96,11 +96,11 @@
         self.cluster_manager, self.local = cluster_manager, ReplicationSender(cluster_manager.table)
 
     def leave(self) -> None:
-        """Nobody is followed: all pools end."""
+        """Nobody is followed: all shards end."""
         self._begin(self.epoch, "")
 
     def entitled(self, now: float) -> bool:
-        """Whether this member's pools are its own at this moment."""
+        """Whether this member's shards are its own at this moment."""
         if self.cluster_manager is not None:
             return self.cluster_manager.authority.entitled(now)
         return now < min(self.until, self.fresh_until())
@@ -235,7 +235,7 @@
                 owner.learn(now, entry)
 
     def _share(self, now: float, shares: Iterable[ShardAssignment]) -> None:
-        self.shares = {share.pool: share for share in shares}
+        self.shares = {share.shard: share for share in shares}
         for number, owner in list(self.schedulers.items()):
             share = self.shares.get(number)
             if share is None or share.member != self.member or share.serial != owner.serial:
@@ -254,5 +254,5 @@
     def owner_of(self, machine: str) -> str | None:
         """The member that commands a machine, as far as this one knows."""
         entry = self.directory.get(machine)
-        share = self.shares.get(entry.pool) if entry is not None else None
+        share = self.shares.get(entry.shard) if entry is not None else None
         return share.member if share is not None else None
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -1,4 +1,4 @@
-"""Grants of pools: who owns which, for how long, and how a pool passes on."""
+"""Grants of shards: who owns which, for how long, and how a shard passes on."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class ShardGrants:
-    """Gives each pool to one live member at a time.
+    """Gives each shard to one live member at a time.
 
-    A pool without an owner is given again only when every grant to the last one has certainly
+    A shard without an owner is given again only when every grant to the last one has certainly
     ended (`Shard.free_at`), and no grant outlasts the authority behind it.
     """
 
@@ -41,10 +41,10 @@
     ) -> None:
         self.state, self.records = state, records
         self.out, self.authority = context.out, context.authority
-        # Who owned which pool in the term before.
+        # Who owned which shard in the term before.
         self.owners, self.linked = context.owners, context.linked
         self.serial = 0
-        # When a pool last changed hands of the leader's own will.
+        # When a shard last changed hands of the leader's own will.
         self.passed_at = state.won_at
 
     def pulled(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
@@ -78,9 +78,9 @@
         if grantee.incarnation not in (0, incarnation):
             # Its old grants are waited out all the same: a pull held back on an old connection
             # looks just like a restart.
-            for pool in self.state.pools.values():
-                if pool.owner == sender:
-                    self.disown(now, pool, grantee.granted_until)
+            for shard in self.state.shards.values():
+                if shard.owner == sender:
+                    self.disown(now, shard, grantee.granted_until)
         grantee.incarnation, grantee.since = incarnation, now
         grantee.inbox = ReplicationReceiver()
         feed = grantee.feed = ReplicationSender(self.state.table)
@@ -91,9 +91,9 @@
         # A grant never outlasts the authority behind it.
         remaining = self.authority.remaining(now) * (1 - 2 * DRIFT)
         length = max(0.0, min(self.state.grant_s, remaining))
-        # Recorded whether or not it owns a pool: a later grant may add one to the same time.
+        # Recorded whether or not it owns a shard: a later grant may add one to the same time.
         grantee.granted_until = max(grantee.granted_until, now + length * (1 + 4 * DRIFT))
-        if len(self.state.pools) > 1:
+        if len(self.state.shards) > 1:
             granted = max(self.authority.granted_until, grantee.granted_until)
             self.authority.granted_until = granted
         return length
@@ -101,25 +101,25 @@
     def shares(self) -> tuple[ShardAssignment, ...]:
         """Who owns what."""
         return tuple(
-            ShardAssignment(pool.number, pool.owner, pool.serial, pool.revision, pool.at)
-            for pool in self.state.pools.values()
-            if pool.owner
+            ShardAssignment(shard.number, shard.owner, shard.serial, shard.revision, shard.at)
+            for shard in self.state.shards.values()
+            if shard.owner
         )
 
-    def disown(self, now: float, pool: Shard, free_at: float) -> None:
-        """A pool has lost its owner: every machine of it needs a higher token."""
-        self.out.log("info", "pool without owner", pool=pool.number, owner=pool.owner)
-        pool.owner, pool.revision, pool.free_at = "", UNKNOWN_REVISION, free_at
-        pool.wants, pool.reading, pool.ties = [], False, {}
+    def disown(self, now: float, shard: Shard, free_at: float) -> None:
+        """A shard has lost its owner: every machine of it needs a higher token."""
+        self.out.log("info", "shard without owner", shard=shard.number, owner=shard.owner)
+        shard.owner, shard.revision, shard.free_at = "", UNKNOWN_REVISION, free_at
+        shard.wants, shard.reading, shard.ties = [], False, {}
         for machine in list(self.state.machines.values()):
-            if machine.entry.pool == pool.number:
+            if machine.entry.shard == shard.number:
                 may_hold = machine.entry.may_hold
                 if machine.entry.recorded and may_hold == Occupancy.EMPTY:
                     may_hold = Occupancy.OWN_SHARD
-                self.records.rebase(machine, pool.number, may_hold)
+                self.records.rebase(machine, shard.number, may_hold)
 
     def wait_out(self, before: dict[str, Grantee]) -> None:
-        """Give no pool while a grant of one's own earlier term may run."""
+        """Give no shard while a grant of one's own earlier term may run."""
         until = max(
             (
                 grantee.granted_until
@@ -128,8 +128,8 @@
             ),
             default=float("-inf"),
         )
-        for pool in self.state.pools.values():
-            pool.free_at = max(pool.free_at, until)
+        for shard in self.state.shards.values():
+            shard.free_at = max(shard.free_at, until)
 
     def _live(self, now: float) -> list[str]:
         """The leader and the members that have asked of late."""
@@ -141,76 +141,76 @@
         ]
 
     def share_out(self, now: float) -> None:
-        """Give pools without an owner to live members, those with the fewest first."""
+        """Give shards without an owner to live members, those with the fewest first."""
         state = self.state
         live = self._live(now)
         early = now - state.won_at < EARLY_PER_GRANT * state.grant_s
         coming = any(
             member not in live and self.linked(now, member) for member in self.authority.others
         )
-        if len(state.pools) > 1 and coming and early:
+        if len(state.shards) > 1 and coming and early:
             # Members whose beats come in will pull in a moment.
             return
-        for pool in state.pools.values():
-            if pool.owner or now < pool.free_at or not state.ready:
+        for shard in state.shards.values():
+            if shard.owner or now < shard.free_at or not state.ready:
                 continue
-            self._give(now, pool, self._choose_owner(pool, live))
+            self._give(now, shard, self._choose_owner(shard, live))
 
-    def _choose_owner(self, pool: Shard, live: list[str]) -> str:
-        """The live member with the fewest pools: others before the leader, the last owner first."""
+    def _choose_owner(self, shard: Shard, live: list[str]) -> str:
+        """The live member with fewest shards: others before the leader, the last owner first."""
         state = self.state
-        if len(state.pools) == 1:
+        if len(state.shards) == 1:
             return state.member
         loads = {
-            member: sum(other.owner == member for other in state.pools.values()) for member in live
+            member: sum(other.owner == member for other in state.shards.values()) for member in live
         }
-        before = self.owners.get(pool.number)
+        before = self.owners.get(shard.number)
         return min(
             live,
             key=lambda member: (loads[member], member == state.member, member != before, member),
         )
 
-    def _give(self, now: float, pool: Shard, owner: str) -> None:
-        """Give a pool to a member."""
+    def _give(self, now: float, shard: Shard, owner: str) -> None:
+        """Give a shard to a member."""
         state = self.state
         self.serial += 1
         # Kept for it until it has had time to ask.
         grantee = state.grantees[owner]
         grantee.granted_until = max(grantee.granted_until, now + state.grant_s)
-        pool.owner, pool.serial, pool.at = owner, self.serial, state.table.seq
-        if pool.free_at <= state.won_at:
-            pool.revision = state.token_version()
+        shard.owner, shard.serial, shard.at = owner, self.serial, state.table.seq
+        if shard.free_at <= state.won_at:
+            shard.revision = state.token_version()
         else:
-            self._read_revision(now, pool)
-        self.out.log("info", "pool given", pool=pool.number, owner=owner, serial=pool.serial)
+            self._read_revision(now, shard)
+        self.out.log("info", "shard given", shard=shard.number, owner=owner, serial=shard.serial)
 
     def expire(self, now: float) -> None:
-        """Disown the pools whose grants have ended; read the revisions that are missing."""
-        for pool in self.state.pools.values():
-            grantee = self.state.grantees.get(pool.owner)
+        """Disown the shards whose grants have ended; read the revisions that are missing."""
+        for shard in self.state.shards.values():
+            grantee = self.state.grantees.get(shard.owner)
             if (
-                pool.owner
-                and pool.owner != self.state.member
+                shard.owner
+                and shard.owner != self.state.member
                 and (grantee is None or now > grantee.granted_until)
             ):
-                self.disown(now, pool, now)
-            if pool.owner and pool.revision == UNKNOWN_REVISION:
-                self._read_revision(now, pool)
+                self.disown(now, shard, now)
+            if shard.owner and shard.revision == UNKNOWN_REVISION:
+                self._read_revision(now, shard)
 
     def relieve(self, now: float) -> None:
-        """Give a pool of the leader's own to a member that has none.
+        """Give a shard of the leader's own to a member that has none.
 
-        The first member to lead may have all pools before the others have asked, and one that was
+        The first member to lead may have all shards before the others have asked, and one that was
         down comes back with none: without this the leader's processor would serve the whole fleet
-        for good. The leader's own pools alone can pass at once, without waiting for a grant's end;
+        for good. The leader's own shards alone can pass at once, without waiting for a grant's end;
         each passing has its price, so it waits until all is quiet, or is done before any machine
         is up.
         """
         state = self.state
-        mine = [pool for pool in state.pools.values() if pool.owner == state.member]
-        if not mine or len(state.pools) == 1 or not state.ready:
+        mine = [shard for shard in state.shards.values() if shard.owner == state.member]
+        if not mine or len(state.shards) == 1 or not state.ready:
             return
-        busy = {pool.owner for pool in state.pools.values()}
+        busy = {shard.owner for shard in state.shards.values()}
         live = [member for member in self._live(now) if member not in busy]
         machines = state.machines.values()
         up = any(m.status.up or m.entry.may_hold != Occupancy.EMPTY for m in machines)
@@ -224,18 +224,18 @@
             self.passed_at = now
             self.disown(now, mine[0], now)
 
-    def _read_revision(self, now: float, pool: Shard) -> None:
+    def _read_revision(self, now: float, shard: Shard) -> None:
         """Learn a revision that is certainly after all that the last owner can have seen."""
-        if pool.reading:
+        if shard.reading:
             return
-        pool.reading, serial = True, pool.serial
+        shard.reading, serial = True, shard.serial
 
         def then(n: float, outcome: CallOutcome) -> None:
             applied = decode(outcome.body, TransactionApplied) if outcome.status == 200 else None
-            if pool.serial == serial:
-                pool.reading = False
+            if shard.serial == serial:
+                shard.reading = False
                 if applied is not None:
-                    pool.revision = applied.revision
+                    shard.revision = applied.revision
 
         self.out.calls.append(
             Call(
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -76,7 +76,7 @@
         transactions: TransactionQueue,
         token_version: Callable[[], int],
         versions: dict[str, int],
-        pool: int,
+        shard: int,
         room: float,
         gather_s: float,
         deadline_s: float,
@@ -95,7 +95,7 @@
         self.free: list[str] = []
         # Versions as the watch saw them; shared with the node, which keeps them up.
         self.versions = versions
-        self.prefix = f"{COMPLETIONS}{pool}."
+        self.prefix = f"{COMPLETIONS}{shard}."
         self._load()
 
     def _load(self) -> None:
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -181,21 +181,21 @@
         _text(entry.name)
         + _text(entry.type)
         + _text(entry.zone)
-        + _ENTRY.pack(entry.pool, entry.base, entry.may_hold, flags)
+        + _ENTRY.pack(entry.shard, entry.base, entry.may_hold, flags)
         + _encode_contact(entry.contact)
     )
 
 
 def _decode_entry(reader: PayloadReader) -> MachineRoute:
     name, machine_type, zone = reader.text(), reader.text(), reader.text()
-    pool, base, may_hold, flags = reader.unpack(_ENTRY)
+    shard, base, may_hold, flags = reader.unpack(_ENTRY)
     spot, recorded, back, vacate, failed, gone, proven, reached = _unpack_flags(flags, 8)
     return MachineRoute(
         name=name,
         type=machine_type,
         zone=zone,
         spot=spot,
-        pool=pool,
+        shard=shard,
         base=base,
         may_hold=may_hold,
         recorded=recorded,
@@ -219,14 +219,14 @@
     )
     return (
         _text(status.name)
-        + _STATUS.pack(status.base, flags, status.pool, status.used_cpus)
+        + _STATUS.pack(status.base, flags, status.shard, status.used_cpus)
         + _encode_contact(status.contact)
     )
 
 
 def _decode_status(reader: PayloadReader) -> MachineStatus:
     name = reader.text()
-    base, flags, pool, used_cpus = reader.unpack(_STATUS)
+    base, flags, shard, used_cpus = reader.unpack(_STATUS)
     up, settled, idle, given, release, reached = _unpack_flags(flags, 6)
     return MachineStatus(
         name=name,
@@ -235,7 +235,7 @@
         settled=settled,
         idle=idle,
         given=given,
-        pool=pool,
+        shard=shard,
         release=release,
         used_cpus=used_cpus,
         contact=_decode_contact(reader, reached),
@@ -243,13 +243,13 @@
 
 
 def _encode_share(share: ShardAssignment) -> bytes:
-    return _text(share.member) + _SHARE.pack(share.pool, share.serial, share.revision, share.at)
+    return _text(share.member) + _SHARE.pack(share.shard, share.serial, share.revision, share.at)
 
 
 def _decode_share(reader: PayloadReader) -> ShardAssignment:
     member = reader.text()
-    pool, serial, revision, at = reader.unpack(_SHARE)
-    return ShardAssignment(pool, member, serial, revision, at)
+    shard, serial, revision, at = reader.unpack(_SHARE)
+    return ShardAssignment(shard, member, serial, revision, at)
 
 
 def _encode_request(request: PendingTasks) -> bytes:
@@ -383,25 +383,25 @@
 
 
 def _encode_machine_requests(frame: CapacityRequests) -> bytes:
-    head = _MACHINE_REQUESTS.pack(frame.epoch, frame.pool, frame.applied, len(frame.wants))
+    head = _MACHINE_REQUESTS.pack(frame.epoch, frame.shard, frame.applied, len(frame.wants))
     return head + b"".join(_encode_request(request) for request in frame.wants)
 
 
 def _decode_machine_requests(reader: PayloadReader) -> CapacityRequests:
-    epoch, pool, applied, count = reader.unpack(_MACHINE_REQUESTS)
+    epoch, shard, applied, count = reader.unpack(_MACHINE_REQUESTS)
     wants = tuple(_decode_request(reader) for _ in range(count))
-    return CapacityRequests(epoch, pool, applied, wants)
+    return CapacityRequests(epoch, shard, applied, wants)
 
 
 def _encode_zone_ties(frame: ZoneAffinities) -> bytes:
-    head = _ZONE_TIES.pack(frame.epoch, frame.pool, len(frame.zones))
+    head = _ZONE_TIES.pack(frame.epoch, frame.shard, len(frame.zones))
     return head + b"".join(_text(job_id) + _text(zone) for job_id, zone in frame.zones)
 
 
 def _decode_zone_ties(reader: PayloadReader) -> ZoneAffinities:
-    epoch, pool, count = reader.unpack(_ZONE_TIES)
+    epoch, shard, count = reader.unpack(_ZONE_TIES)
     zones = tuple((reader.text(), reader.text()) for _ in range(count))
-    return ZoneAffinities(epoch, pool, zones)
+    return ZoneAffinities(epoch, shard, zones)
 
 
 CODECS = (
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -38,7 +38,7 @@
     type: str
     zone: str
     spot: bool
-    pool: int
+    shard: int
     base: int
     may_hold: int = Occupancy.EMPTY
     recorded: bool = False
@@ -61,9 +61,9 @@
     up: bool = False
     settled: bool = False
     idle: bool = False
-    # Given back: its owner commands it no more. `pool`: whose tasks are on it, if not the owner's.
+    # Given back: its owner commands it no more. `shard`: whose tasks are on it, if not the owner's.
     given: bool = False
-    pool: int = NO_SHARD
+    shard: int = NO_SHARD
     # Its owner wants it deleted.
     release: bool = False
     used_cpus: float = 0.0
@@ -147,9 +147,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardAssignment:
-    """Who owns a pool of teams; the serial tells one ownership from the next."""
+    """Who owns a shard of teams; the serial tells one ownership from the next."""
 
-    pool: int
+    shard: int
     member: str
     serial: int
     revision: int
@@ -195,10 +195,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityRequests:
-    """Tasks of a pool that its machines have no room for in time."""
+    """Tasks of a shard that its machines have no room for in time."""
 
     epoch: int
-    pool: int
+    shard: int
     applied: int
     wants: tuple[PendingTasks, ...]
 
@@ -215,7 +215,7 @@
     """Of the tasks that MachineRequests names: the jobs whose other tasks tie them to a zone."""
 
     epoch: int
-    pool: int
+    shard: int
     zones: tuple[tuple[str, str], ...]
 
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -26,6 +26,7 @@
     "cluster_manager": "landlord",
     "grant_client": "holder",
     "transactions": "ledger",
+    "shards": "pools",
 }
 
 
@@ -38,6 +39,11 @@
     return found[1]
 
 
+def shard_of(scheduler):
+    """The shard that a scheduler owns; versions up to 0.5.0 call it a pool."""
+    return scheduler.shard if hasattr(scheduler, "shard") else scheduler.pool
+
+
 class EarlierVersion:
     """Its modules, apart from ours."""
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -20,6 +20,7 @@
 from copperpass.protocol.users import JobState
 from tests.bodies import raw_settings
 from tests.deployments import TWO_TEAMS
+from tests.production import shard_of
 from tests.standins.cloud import Cloud
 from tests.standins.gang import Gang
 from tests.standins.state import State
@@ -494,14 +495,14 @@
                 assert owner.unsettled <= set(owner.machines)
 
     def check_owners(self):
-        """No pool has two members that may command its machines, whoever leads or has led."""
+        """No shard has two members that may command its machines, whoever leads or has led."""
         owned = [
-            (o.pool, n)
+            (shard_of(o), n)
             for n, node in self.nodes.items()
             for o in node.schedulers
             if node.grant_client.entitled(self.now)
         ]
-        assert len({pool for pool, _ in owned}) == len(owned), f"two owners: {owned}"
+        assert len({shard for shard, _ in owned}) == len(owned), f"two owners: {owned}"
 
     def check_starved(self, bound=90.0):
         """To be called about once a second without troubles: who waits beside room that fits?"""
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -14,7 +14,7 @@
 from copperpass.settings import parse
 from tests.bodies import job, raw_settings
 from tests.simulation import Simulation, User
-from tests.test_pool_scheduler import Bench
+from tests.test_shard_scheduler import Bench
 
 
 def running(simulation):
@@ -424,12 +424,12 @@
         simulation.run(0.1)
         simulation.check_owners()
     step(simulation, 3.0 * simulation.lease_s)
-    owners = {o.pool: n for n, node in simulation.nodes.items() for o in node.schedulers}
-    assert len(set(owners.values())) == 2, "one member has all pools for good"
+    owners = {o.shard: n for n, node in simulation.nodes.items() for o in node.schedulers}
+    assert len(set(owners.values())) == 2, "one member has all shards for good"
     simulation.finish()
 
 
-def test_a_term_that_goes_on_gives_no_pool_while_grants_of_the_one_before_run():
+def test_a_term_that_goes_on_assigns_no_shard_while_grants_of_the_one_before_run():
     # Holds `ClusterManager.wait_out`.
     simulation = started_simulation([job(1, tasks=4, run_s=20.0)], 4, partitioned=True)
     node = simulation.nodes[simulation.leader()]
@@ -437,9 +437,9 @@
     grantee.granted_until = simulation.now + 3.0
     node._authority_changed(simulation.now, True, True)
     simulation.run(2.9)
-    assert not any(p.owner for p in node.cluster_manager.pools.values())
+    assert not any(p.owner for p in node.cluster_manager.shards.values())
     simulation.run(1.0)
-    assert all(p.owner for p in node.cluster_manager.pools.values())
+    assert all(p.owner for p in node.cluster_manager.shards.values())
     simulation.finish()
 
 
@@ -710,7 +710,7 @@
 
 
 def test_a_leader_that_gives_up_ends_its_key_only_after_its_grants():
-    # Its successor would give the pools away while owners under those grants start new jobs.
+    # Its successor would give the shards away while owners under those grants start new jobs.
     simulation = Simulation(seed=5, partitioned=True)
     simulation.run_until(simulation.leader)
     simulation.run(3.0)
@@ -733,8 +733,10 @@
     simulation.run_until(lambda: all(n.members.all_proven() for n in simulation.nodes.values()), 10)
     simulation.run(3.0)
     leader = simulation.nodes[simulation.leader()]
-    pool = next(p for p in leader.cluster_manager.pools.values() if p.owner != leader.settings.name)
-    team = next(t for t, n in leader.pools.items() if n == pool.number)
+    shard = next(
+        p for p in leader.cluster_manager.shards.values() if p.owner != leader.settings.name
+    )
+    team = next(t for t, n in leader.shards.items() if n == shard.number)
     simulation.submit(job(1, team=team, tasks=1, cpus=16.0, run_s=200.0, same_place=True))
     simulation.submit(job(2, team=team, tasks=2, cpus=16.0, run_s=300.0, same_place=True))
     simulation.run_until(lambda: running(simulation) >= 2, 60)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -50,15 +50,15 @@
     assert not simulation.broken
 
 
-def test_an_owner_refused_alone_passes_its_pool_on():
+def test_an_owner_refused_alone_passes_its_shard_on():
     simulation = started_simulation(partitioned=True)
     leader = simulation.leader()
-    shares = simulation.nodes[leader].cluster_manager.pools.values()
-    pool = next(p for p in shares if p.owner != leader)
-    owner, starts = pool.owner, simulation.starts
+    shares = simulation.nodes[leader].cluster_manager.shards.values()
+    shard = next(p for p in shares if p.owner != leader)
+    owner, starts = shard.owner, simulation.starts
     simulation.refused.add(owner)
     simulation.run_until(
-        lambda: pool.owner not in ("", owner), 3 * simulation.nodes[leader].ttl + 2.0
+        lambda: shard.owner not in ("", owner), 3 * simulation.nodes[leader].ttl + 2.0
     )
     other = next(n for n in simulation.names if n not in (owner, leader))
     for n in range(1, 5):
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -402,7 +402,7 @@
 
     def holders():
         entitled = [
-            (owner.pool, name)
+            (owner.shard, name)
             for name, node in simulation.nodes.items()
             for owner in node.schedulers
             if owner.entitled(simulation.now)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -9,7 +9,7 @@
 from copperpass.protocol.workers import CommandKind
 from tests.bodies import gang, job
 from tests.gang_stories import attempts, begun, count, done, fine, marks, present, progress, runs
-from tests.test_pool_scheduler import Bench
+from tests.test_shard_scheduler import Bench
 
 
 class GangBench(Bench):
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Pools of teams and their owners: grants, handovers, and what passes between the members."""
+"""Shards of teams and their owners: grants, handovers, and what passes between the members."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 def owners(simulation):
     return {
-        o.pool: name
+        o.shard: name
         for name, node in simulation.nodes.items()
         for o in node.schedulers
         if node.grant_client.entitled(simulation.now) and o.ready
@@ -77,7 +77,7 @@
     assert before <= {w.name for w in simulation.cloud.workers()}
 
 
-def test_an_owner_cut_off_stops_before_its_pool_is_given_to_another():
+def test_an_owner_cut_off_stops_before_its_shard_is_assigned_to_another():
     simulation = partitioned()
     started(simulation)
     owner = owners(simulation)[0]
@@ -92,7 +92,7 @@
             n
             for n, node in simulation.nodes.items()
             for o in node.schedulers
-            if o.pool == 0 and node.grant_client.entitled(simulation.now)
+            if o.shard == 0 and node.grant_client.entitled(simulation.now)
         ]
         assert len(entitled) <= 1
         passed = passed or entitled not in ([], [owner])
@@ -158,8 +158,8 @@
     assert grant_client.until == until and set(grant_client.schedulers) == {0}
 
 
-def test_a_pool_of_the_leaders_own_goes_to_a_member_that_comes_back():
-    # The first to lead once kept all pools for good, and its processor served the whole fleet.
+def test_a_shard_of_the_leaders_own_goes_to_a_member_that_comes_back():
+    # The first to lead once kept all shards for good, and its processor served the whole fleet.
     simulation = partitioned()
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[1]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -8,13 +8,13 @@
 from copperpass.core.scheduling.reclaimable_capacity import stop_cost, worth_saving
 from copperpass.protocol.workers import TaskState
 from tests.bodies import job
-from tests.test_pool_scheduler import Bench
+from tests.test_shard_scheduler import Bench
 
 URGENT, PATIENT = {"urgency": "high"}, {"urgency": "low", "slot": "slow"}
 
 
 class Crowded(Bench):
-    """A pool whose one machine is full of patient tasks of 4 CPUs."""
+    """A shard whose one machine is full of patient tasks of 4 CPUs."""
 
     def __init__(self, **more):
         super().__init__()
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -72,9 +72,9 @@
 
 
 def owners(simulation):
-    """Who owns each pool at this moment."""
+    """Who owns each shard at this moment."""
     return {
-        scheduler.pool: name
+        production.shard_of(scheduler): name
         for name, node in simulation.nodes.items()
         for scheduler in node.schedulers
         if node.grant_client.entitled(simulation.now)
@@ -106,8 +106,8 @@
         simulation.heal()
     simulation.state.drop(**COMING)
     assert {former for _, former in led} == {True, False}
-    for pool in (0, 1):
-        assert {former for p, former in owned if p == pool} == {True, False}
+    for shard in (0, 1):
+        assert {former for p, former in owned if p == shard} == {True, False}
     settle(simulation, range(1, 8))
 
 
@@ -270,9 +270,9 @@
 
 
 def owned_by_version(new):
-    """0.3.0 and this version: one member of one of them owns a pool, and the rest is the other.
+    """0.3.0 and this version: one member of one of them owns a shard, and the rest is the other.
 
-    Returns the simulation, the pool and its owner.
+    Returns the simulation, the shard and its owner.
     """
     old = production.load()
     simulation = Simulation(41, partitioned=True, versions=dict.fromkeys(["n0", "n1", "n2"], old))
@@ -284,15 +284,15 @@
             turn(simulation, name)
     simulation.run(5.0)
     for _ in range(6):
-        pool = next((p for p, n in owners(simulation).items() if n == owner), None)
-        if pool is not None:
+        shard = next((p for p, n in owners(simulation).items() if n == owner), None)
+        if shard is not None:
             break
         for name in set(owners(simulation).values()):
             simulation.crash(name, 3.0)
         simulation.run(8.0)
     assert (owner not in simulation.versions) == new
     assert all((n in simulation.versions) == new for n in simulation.names if n != owner)
-    return simulation, pool, owner
+    return simulation, shard, owner
 
 
 @pytest.mark.parametrize("new", [False, True], ids=["to-new", "to-old"])
@@ -300,14 +300,14 @@
 def test_a_gang_whose_owner_changes_version(state, new):
     # Guards what one version concludes from the other's attempts: the gang must finish whole, under
     # an attempt that nobody has begun before, and a cancelled one must go whole.
-    simulation, pool, owner = owned_by_version(new)
-    team = next(t for t, p in simulation.nodes[owner].pools.items() if p == pool)
+    simulation, shard, owner = owned_by_version(new)
+    team = next(t for t, p in simulation.nodes[owner].shards.items() if p == shard)
     simulation.submit(gang(1, team=team, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
         simulation.fetch_s["req-000001/1"] = 10.0
     wanted = "gathering" if state == "gathering" else "running"
     simulation.run_until(lambda: count(simulation, wanted) >= (3 if wanted == "gathering" else 4))
-    assert owners(simulation)[pool] == owner
+    assert owners(simulation)[shard] == owner
     starts = simulation.starts
     if state == "flushing":
         simulation.run(7.0)
@@ -327,8 +327,8 @@
         simulation.crash(owner, 8.0)
     else:
         turn(simulation, owner, 8.0)
-    simulation.run_until(lambda: owners(simulation).get(pool, owner) != owner, 10)
-    assert (owners(simulation)[pool] in simulation.versions) == new
+    simulation.run_until(lambda: owners(simulation).get(shard, owner) != owner, 10)
+    assert (owners(simulation)[shard] in simulation.versions) == new
     simulation.run(10.0)
     for name in list(simulation.versions):
         turn(simulation, name)
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -14,7 +14,7 @@
     started_simulation,
     step,
 )
-from tests.test_pool_scheduler import Bench
+from tests.test_shard_scheduler import Bench
 
 PARTED = pytest.mark.parametrize("partitioned", [False, True])
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, most_per_plan
-from copperpass.core.node.node import pools_of
+from copperpass.core.node.node import shards_of
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
@@ -32,7 +32,7 @@
 from tests.state_service import Service
 from tests.test_fleet_store import fill
 from tests.test_order import made
-from tests.test_pool_scheduler import Bench
+from tests.test_shard_scheduler import Bench
 
 MACHINES = 4200
 
@@ -89,11 +89,11 @@
     assert base_token(1 << 20, MOST_HANDOVERS - 1) < 1 << 64
 
 
-def test_more_teams_than_pools_share_them():
+def test_more_teams_than_shards_share_them():
     cluster = parse(raw_settings(deployment=LARGE)).cluster
     cluster.teams = [Team(f"team-{n}", 10_000.0, 0.0) for n in range(600)]
-    pools = pools_of(cluster, Tuning())
-    assert max(pools.values()) == MAX_SHARDS - 1 < NO_SHARD
+    shards = shards_of(cluster, Tuning())
+    assert max(shards.values()) == MAX_SHARDS - 1 < NO_SHARD
     share = ShardAssignment(MAX_SHARDS - 1, "n0", 1, 2)
     grant = Grant(1, 2, 3, 400, 5, False, 6, (share,) * MAX_SHARDS)
     assert unpacked(grant) == grant
@@ -152,7 +152,7 @@
 
 
 def lines_of_a_report(machines):
-    """How many lines run for a report that says nothing new, in a pool of so many machines."""
+    """How many lines run for a report that says nothing new, in a shard of so many machines."""
     bench = Bench()
     for number in range(2, machines + 1):
         name = f"m-{number}"
