--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -10,11 +10,9 @@
 
 from copperpass.core.jobs.job_table import LIVE, OVER, fits
 from copperpass.core.kvstore.transactions import (
-    APPLIED,
-    CONFLICT,
-    INVALID,
-    URGENT,
     Operation,
+    Priority,
+    TransactionOutcome,
     TransactionQueue,
 )
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
@@ -171,19 +169,19 @@
             self._refuse(now, request, spec.id, Rejection(422, "can never be stored: too large"))
             return
 
-        def stored(n: float, how: str, revision: int) -> None:
-            if how == INVALID and size > 0.8 * room:
+        def stored(n: float, outcome: TransactionOutcome, revision: int) -> None:
+            if outcome is TransactionOutcome.INVALID and size > 0.8 * room:
                 # The service counts a value's bytes in a longer notation than ours.
                 self._refuse(n, request, spec.id, Rejection(422, "can never be stored: too large"))
             else:
-                self._submitted(n, how, request, spec.id)
+                self._submitted(n, outcome, request, spec.id)
 
         op = Operation(
             {LIVE + spec.id: 0, OVER + spec.id: 0},
             [put_key(LIVE + spec.id, record)],
             stored,
             now + self.read_timeout,
-            URGENT,
+            Priority.URGENT,
         )
         self.transactions.submit(now, op)
 
@@ -212,13 +210,13 @@
             count = self.counts(job_id)[0]
             final = {"final": JobState.CANCELLED, "count": count}
 
-            def stored(m: float, how: str, revision: int) -> None:
-                if how == APPLIED:
+            def stored(m: float, outcome: TransactionOutcome, revision: int) -> None:
+                if outcome is TransactionOutcome.APPLIED:
                     over = JobRecord(final=JobState.CANCELLED, count=count)
                     self.note_final(job_id, over)
                     self.announce_cancelled(m, job_id)
                     self._tell(request, job_id, over)
-                elif how == CONFLICT and tries > 1:
+                elif outcome is TransactionOutcome.CONFLICT and tries > 1:
                     # A task of the job ended in between: the record has moved on, look again.
                     self.cancel(m, request, job_id, tries - 1)
                 else:
@@ -231,7 +229,7 @@
                     [delete_key(LIVE + job_id), put_key(OVER + job_id, final)],
                     stored,
                     n + self.read_timeout,
-                    URGENT,
+                    Priority.URGENT,
                 ),
             )
 
@@ -294,10 +292,12 @@
 
     # -- answers --------------------------------------------------------------
 
-    def _submitted(self, now: float, how: str, request: object, job_id: str) -> None:
-        if how == APPLIED:
+    def _submitted(
+        self, now: float, outcome: TransactionOutcome, request: object, job_id: str
+    ) -> None:
+        if outcome is TransactionOutcome.APPLIED:
             self._answer(request, 201, encode(JobAnswer(job_id, JobState.QUEUED)))
-        elif how == CONFLICT:
+        elif outcome is TransactionOutcome.CONFLICT:
             self.poll(now, request, job_id)
         else:
             self._unavailable(request, "not stored")
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -22,11 +22,9 @@
 import msgspec
 
 from copperpass.core.kvstore.transactions import (
-    APPLIED,
-    CONFLICT,
-    UNKNOWN,
-    URGENT,
     Operation,
+    Priority,
+    TransactionOutcome,
     TransactionQueue,
 )
 from copperpass.core.ports import Call, CallOutcome, Outbox
@@ -336,16 +334,20 @@
                     put_key(LEAD, msgspec.to_builtins(record), made.lease),
                     put_key(TOKEN, {"token": token, "member": self.member}),
                 ],
-                lambda n, how, rev: self._campaigned(n, how, rev, token, made.lease),
+                lambda n, outcome, revision: self._campaigned(
+                    n, outcome, revision, token, made.lease
+                ),
                 now + self.ttl / 3,
-                URGENT,
+                Priority.URGENT,
             ),
         )
 
-    def _campaigned(self, now: float, how: str, revision: int, token: int, lease: int) -> None:
+    def _campaigned(
+        self, now: float, outcome: TransactionOutcome, revision: int, token: int, lease: int
+    ) -> None:
         valid = self.new_lease_sent + self.ttl * (1 - 2 * DRIFT)
         self.new_lease = None
-        if how == APPLIED and now < valid:
+        if outcome is TransactionOutcome.APPLIED and now < valid:
             continued = self.entitled(now)
             self.campaigning = False
             self.leading = True
@@ -365,13 +367,13 @@
             self.on_change(now, True, continued)
             return
         # Unknown outcome or too late: end the lease, so that a late write of the key is refused.
-        if how == UNKNOWN:
+        if outcome is TransactionOutcome.UNKNOWN:
             self.doubtful.add(lease)
-        elif how == APPLIED and revision > self.counter_version:
+        elif outcome is TransactionOutcome.APPLIED and revision > self.counter_version:
             self.counter, self.counter_version = token, revision
             self.counter_holder = self.member
         self._drop(lease)
-        self._lost(now, quick=how == CONFLICT)
+        self._lost(now, quick=outcome is TransactionOutcome.CONFLICT)
 
     def _lost(self, now: float, quick: bool = False) -> None:
         self.campaigning = False
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -5,6 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, IntEnum
 from typing import Any
 
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, Outbox
@@ -17,14 +18,35 @@
 )
 from copperpass.protocol.users import MAX_BODY_BYTES
 
-APPLIED, CONFLICT, UNAVAILABLE, UNKNOWN, INVALID = (
-    "applied",
-    "conflict",
-    "unavailable",
-    "unknown",
-    "invalid",
-)
-OnOperationDone = Callable[[float, str, int], None]
+
+class TransactionOutcome(Enum):
+    """How an operation ended."""
+
+    # Carried out, at the revision that comes with it.
+    APPLIED = "applied"
+    # A guard did not hold: nothing was written.
+    CONFLICT = "conflict"
+    # Certainly not carried out: not sent in time, or refused by a service that is down.
+    UNAVAILABLE = "unavailable"
+    # No answer: it may have been carried out, or be carried out yet.
+    UNKNOWN = "unknown"
+    # Refused by itself, for its form, its size or an expired lease: nothing was written.
+    INVALID = "invalid"
+
+
+class Priority(IntEnum):
+    """The queue of an operation; each index of `BUDGET_RESERVE` and of the queues."""
+
+    # Users and the election.
+    URGENT = 0
+    # What frees capacity or completes jobs.
+    NORMAL = 1
+    # What can wait and be batched.
+    BATCHED = 2
+
+
+# Called with the time, the outcome, and the revision if the operation was applied (else 0).
+OnOperationDone = Callable[[float, TransactionOutcome, int], None]
 
 
 @dataclass(slots=True)
@@ -42,18 +64,16 @@
 
     guards: dict[str, int]
     writes: list[dict[str, Any]]
-    then: OnOperationDone
+    on_done: OnOperationDone
     deadline: float
-    rank: int = 1
+    priority: Priority = Priority.NORMAL
     size: int = 0
     # The refused batch that it was part of: it now goes by itself.
     split: RefusedBatch | None = None
 
 
-# Users and the election come first; then what frees room or ends jobs; then what can be gathered.
-URGENT, PLAIN, GATHERED = range(3)
-# The part of the burst that an operation of a rank must leave for those before it.
-RESERVE = (0.0, 0.2, 0.45)
+# The part of the burst that an operation of each priority must leave for those before it.
+BUDGET_RESERVE = (0.0, 0.2, 0.45)
 
 
 # After a refusal for the rate: the part of the pace that is kept, the least part of the configured
@@ -117,9 +137,9 @@
         self.pause = PAUSE_S
 
     def submit(self, now: float, op: Operation) -> None:
-        """Queue an operation; its `then` is always called once."""
+        """Queue an operation; its `on_done` is always called once."""
         op.size = len(transaction_body(op.guards, op.writes))
-        self.queues[op.rank].append(op)
+        self.queues[op.priority].append(op)
         self.pump(now)
 
     def pump(self, now: float) -> None:
@@ -127,7 +147,7 @@
         for queue in self.queues:
             while queue and queue[0].deadline < now:
                 # Guards the user's own deadline: what can't be stored in time is said at once.
-                self._end(now, queue.popleft(), UNAVAILABLE)
+                self._end(now, queue.popleft(), TransactionOutcome.UNAVAILABLE)
         while self.in_flight < self.IN_FLIGHT and now >= self.paused_until:
             batch = self._batch(now)
             if not batch:
@@ -135,7 +155,7 @@
             self._send(batch)
 
     def _batch(self, now: float) -> list[Operation]:
-        """The operations that go together, those of the first rank in front."""
+        """The operations that go together, those of the first priority in front."""
         batch: list[Operation] = []
         guards: dict[str, int] = {}
         written: set[str] = set()
@@ -156,7 +176,7 @@
                 )
                 if batch and not fits:
                     return batch
-                if not self.budget.take(now, len(op.writes), RESERVE[op.rank]):
+                if not self.budget.take(now, len(op.writes), BUDGET_RESERVE[op.priority]):
                     return batch
                 batch.append(queue.popleft())
                 guards.update(op.guards)
@@ -167,7 +187,7 @@
 
     def _again(self, ops: list[Operation]) -> None:
         for op in reversed(ops):
-            self.queues[op.rank].appendleft(op)
+            self.queues[op.priority].appendleft(op)
 
     def _send(self, batch: list[Operation]) -> None:
         guards: dict[str, int] = {}
@@ -194,24 +214,24 @@
             applied = decode(outcome.body, TransactionApplied)
             self.pause = PAUSE_S
             for op in batch:
-                self._end(now, op, APPLIED, applied.revision if applied else 0)
+                self._end(now, op, TransactionOutcome.APPLIED, applied.revision if applied else 0)
         elif status == 409:
             refused = decode(outcome.body, TransactionConflict)
             failed = set(refused.failed) if refused else set()
             again = [op for op in batch if failed and not failed & set(op.guards)]
             for op in batch:
                 if op not in again:
-                    self._end(now, op, CONFLICT)
+                    self._end(now, op, TransactionOutcome.CONFLICT)
             self._again(again)
         elif status == 429:
             self._too_fast(now)
             self._again(batch)
         elif status in (503, NOT_SENT):
             for op in batch:
-                self._end(now, op, UNAVAILABLE)
+                self._end(now, op, TransactionOutcome.UNAVAILABLE)
         elif status == NO_ANSWER or status >= 500:
             for op in batch:
-                self._end(now, op, UNKNOWN)
+                self._end(now, op, TransactionOutcome.UNKNOWN)
         elif len(batch) > 1:
             # A bad operation must not take its neighbours down, and the limits may have dropped:
             # each goes by itself, in its turn and out of the budget like any other.
@@ -221,20 +241,25 @@
                 op.split = split
             self._again(batch)
         else:
-            self._end(now, batch[0], INVALID)
+            self._end(now, batch[0], TransactionOutcome.INVALID)
         self.pump(now)
 
-    def _end(self, now: float, op: Operation, how: str, revision: int = 0) -> None:
+    def _end(
+        self, now: float, op: Operation, outcome: TransactionOutcome, revision: int = 0
+    ) -> None:
         """An operation is over; with the last of a refused batch it shows what was wrong."""
         split, op.split = op.split, None
         if split is not None:
             split.left -= 1
-            split.bad |= how not in (APPLIED, CONFLICT)
+            split.bad |= outcome not in (
+                TransactionOutcome.APPLIED,
+                TransactionOutcome.CONFLICT,
+            )
             if not split.left and not split.bad:
                 # Nothing was wrong with any of them, so there were too many.
                 learnt = max(LEAST_OPS, split.writes // 2)
                 self.txn_ops = min(self.txn_ops, learnt)
-        op.then(now, how, revision)
+        op.on_done(now, outcome, revision)
 
     def _too_fast(self, now: float) -> None:
         if now < self.paused_until:
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -9,7 +9,12 @@
 from __future__ import annotations
 
 from copperpass import __version__
-from copperpass.core.kvstore.transactions import APPLIED, PLAIN, Operation, TransactionQueue
+from copperpass.core.kvstore.transactions import (
+    Operation,
+    Priority,
+    TransactionOutcome,
+    TransactionQueue,
+)
 from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyValue, key_path, put_key
@@ -78,13 +83,16 @@
         key, member = VERSIONS + self.member, self.member
         self.busy.add(member)
 
-        def then(n: float, how: str, revision: int) -> None:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             # Anything but applied is read again: it may have been, or another run was first.
             self.busy.discard(member)
-            if how == APPLIED:
+            if outcome is TransactionOutcome.APPLIED:
                 self.known.add(member)
 
         value = {"version": __version__, "format": FORMAT}
         self.transactions.submit(
-            now, Operation({key: version}, [put_key(key, value)], then, now + self.gap_s, PLAIN)
+            now,
+            Operation(
+                {key: version}, [put_key(key, value)], then, now + self.gap_s, Priority.NORMAL
+            ),
         )
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -11,7 +11,12 @@
 from copperpass.core.autoscaling.provisioning import longest_boot
 from copperpass.core.election.authority import GRANT_PER_TTL, LEAD, TOKEN, Authority, times_of
 from copperpass.core.jobs.job_table import COMPLETIONS, LEAST_KNOWN_CANCELLED, LIVE, JobTable
-from copperpass.core.kvstore.transactions import GATHERED, INVALID, Operation, TransactionQueue
+from copperpass.core.kvstore.transactions import (
+    Operation,
+    Priority,
+    TransactionOutcome,
+    TransactionQueue,
+)
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.membership.version_registry import VersionRegistry
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
@@ -514,8 +519,8 @@
             self.types_too_large = True
             return
 
-        def then(n: float, how: str, revision: int) -> None:
-            self.types_too_large = self.types_too_large or how == INVALID
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+            self.types_too_large = self.types_too_large or outcome is TransactionOutcome.INVALID
 
         self.transactions.submit(
             now,
@@ -525,6 +530,6 @@
                 [put_key(TYPES, msgspec.to_builtins(offer))],
                 then,
                 now + self.ttl,
-                GATHERED,
+                Priority.BATCHED,
             ),
         )
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job_table import LIVE, OVER, Job
-from copperpass.core.kvstore.transactions import APPLIED, Operation
+from copperpass.core.kvstore.transactions import Operation, TransactionOutcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import StopReason
 from copperpass.core.scheduling.state import ShardState
@@ -48,9 +48,9 @@
         key = LIVE + job.spec.id
         final = {"final": JobState.DONE, "count": job.spec.tasks}
 
-        def then(at: float, how: str, revision: int) -> None:
+        def then(at: float, outcome: TransactionOutcome, revision: int) -> None:
             job.storing = False
-            if how == APPLIED:
+            if outcome is TransactionOutcome.APPLIED:
                 job.version = max(job.version, revision)
                 job.stored(list(job.finished))
                 self.context.jobs.jobs.pop(job.spec.id, None)
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -29,10 +29,9 @@
     split_segment,
 )
 from copperpass.core.kvstore.transactions import (
-    APPLIED,
-    GATHERED,
-    INVALID,
     Operation,
+    Priority,
+    TransactionOutcome,
     TransactionQueue,
 )
 from copperpass.protocol.kvstore import put_key
@@ -330,9 +329,9 @@
         jobs, gone = set(page.jobs), dict(page.gone)
         version = max(page.version, self.versions.get(page.key, 0))
 
-        def then(n: float, how: str, revision: int) -> None:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             page.writing = False
-            if how == APPLIED:
+            if outcome is TransactionOutcome.APPLIED:
                 page.version = max(page.version, revision)
                 for job_id, (job, ends) in noted.items():
                     if self.jobs.jobs.get(job_id) is job:
@@ -340,7 +339,7 @@
                 self._arrived(page, jobs)
                 self._left(n, page, gone)
                 return
-            if how == INVALID:
+            if outcome is TransactionOutcome.INVALID:
                 self._resize(page)
             if page.since is None:
                 # Not stored, or not known to be: the watch brings the record's version.
@@ -353,7 +352,7 @@
                 [put_key(page.key, self._value(page))],
                 then,
                 now + self.deadline_s,
-                GATHERED,
+                Priority.BATCHED,
             ),
         )
 
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -27,13 +27,10 @@
 
 from copperpass.core.election.authority import TOKEN
 from copperpass.core.kvstore.transactions import (
-    APPLIED,
-    CONFLICT,
-    INVALID,
-    PLAIN,
-    UNKNOWN,
     Operation,
+    Priority,
     TokenBucket,
+    TransactionOutcome,
     TransactionQueue,
 )
 from copperpass.protocol.json_codec import decode, encode
@@ -441,9 +438,9 @@
     def _remove_record(self, now: float) -> None:
         """The last step of a move: all pages are stored, so the one record may go."""
 
-        def then(n: float, how: str, revision: int) -> None:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
-            if how == APPLIED:
+            if outcome is TransactionOutcome.APPLIED:
                 self._moved(n)
             else:
                 # If it was applied after all, the watch will say so.
@@ -452,7 +449,8 @@
         self.writing = self.removing = True
         guards = {TOKEN: self.token_version(), FLEET: self.version}
         self._submit(
-            now, Operation(guards, [delete_key(FLEET)], then, now + self.deadline_s, PLAIN)
+            now,
+            Operation(guards, [delete_key(FLEET)], then, now + self.deadline_s, Priority.NORMAL),
         )
 
     def _remove_leftover(self, now: float) -> None:
@@ -461,9 +459,9 @@
         guards = {TOKEN: self.token_version()}
         guards.update({f"{PAGES}{n}": self.leftover[n] for n in numbers})
 
-        def then(n: float, how: str, revision: int) -> None:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
-            if how == APPLIED:
+            if outcome is TransactionOutcome.APPLIED:
                 for number in numbers:
                     self.leftover.pop(number, None)
             else:
@@ -471,7 +469,7 @@
 
         self.writing = True
         writes = [delete_key(f"{PAGES}{n}") for n in numbers]
-        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, PLAIN))
+        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
         self.next_write = now + len(numbers) * self.gap_s
 
     # -- writing ---------------------------------------------------------------------------------
@@ -533,17 +531,17 @@
         value = msgspec.to_builtins(self._record(items))
         token, version = self.token_version(), self.version
 
-        def then(n: float, how: str, revision: int) -> None:
-            if how == UNKNOWN and version == 0:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+            if outcome is TransactionOutcome.UNKNOWN and version == 0:
                 self.unsure_at = token
-            self._written(n, how, revision, waits, marked)
+            self._written(n, outcome, revision, waits, marked)
 
         op = Operation(
             {TOKEN: token, FLEET: version},
             [put_key(FLEET, value)],
             then,
             now + self.deadline_s,
-            PLAIN,
+            Priority.NORMAL,
         )
         self._submit(now, op)
         self.size = op.size
@@ -551,20 +549,20 @@
     def _written(
         self,
         now: float,
-        how: str,
+        outcome: TransactionOutcome,
         revision: int,
         waits: list[Wait],
         marked: set[str],
     ) -> None:
         self.writing = False
-        if how == APPLIED:
+        if outcome is TransactionOutcome.APPLIED:
             self.version = max(self.version, revision)
             self._mark(now, marked)
         else:
             # Not stored, or not known to be: write again at the version that the watch brings.
             self.dirty = True
             self.next_write = now + 4 * self.gap_s
-            if how == INVALID:
+            if outcome is TransactionOutcome.INVALID:
                 self.waits = [*waits, *self.waits]
                 self._consider(now, refused=True)
                 if self.moving or self.paged:
@@ -573,7 +571,7 @@
                     return
                 self.waits = self.waits[len(waits) :]
         for then in waits:
-            then(now, how == APPLIED)
+            then(now, outcome is TransactionOutcome.APPLIED)
 
     def _write_pages(self, now: float, due: list[InventoryPage]) -> None:
         pages: list[tuple[InventoryPage, list[Wait], set[str]]] = []
@@ -595,14 +593,16 @@
             waits, page.waits, page.due = page.waits, [], None
             pages.append((page, waits, set(page.items)))
 
-        def then(n: float, how: str, revision: int) -> None:
+        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
-            learnt = how == INVALID and self._refused(pages[0][0], largest, len(pages))
+            learnt = outcome is TransactionOutcome.INVALID and self._refused(
+                pages[0][0], largest, len(pages)
+            )
             for page, waits, names in pages:
-                if how == APPLIED:
+                if outcome is TransactionOutcome.APPLIED:
                     page.version = max(page.version, revision)
                     self._page_stored(n, names, marked, waits)
-                elif self.moving or how == CONFLICT or learnt:
+                elif self.moving or outcome is TransactionOutcome.CONFLICT or learnt:
                     # Not the truth yet, or certainly not stored: the bookings needn't fail.
                     page.waits = [*waits, *page.waits]
                     page.touch(n)
@@ -610,12 +610,12 @@
                     page.touch(n)
                     for wait in waits:
                         wait(n, False)
-            if how != APPLIED:
+            if outcome is not TransactionOutcome.APPLIED:
                 self.next_write = n + 4 * self.gap_s
 
         self.writing = True
         marked = set(self.up)
-        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, PLAIN))
+        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
 
     def _refused(self, page: InventoryPage, size: int, count: int) -> bool:
         """The state service has refused pages as invalid; returns whether that taught anything.
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -2,7 +2,7 @@
 
 import json
 
-from copperpass.core.kvstore.transactions import GATHERED, URGENT, Operation, TransactionQueue
+from copperpass.core.kvstore.transactions import Operation, Priority, TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.storage.machine_inventory import MachineInventoryStore
@@ -18,11 +18,16 @@
         transactions.submit(
             0.0,
             Operation(
-                {}, [put_key(f"g/{n}", 1)], lambda *a, n=n: order.append(f"g{n}"), 99.0, GATHERED
+                {},
+                [put_key(f"g/{n}", 1)],
+                lambda *a, n=n: order.append(f"g{n}"),
+                99.0,
+                Priority.BATCHED,
             ),
         )
     transactions.submit(
-        0.0, Operation({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, URGENT)
+        0.0,
+        Operation({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, Priority.URGENT),
     )
     now = 0.0
     while "user" not in order and now < 5.0:
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,10 +1,9 @@
 """The transaction queue when the state service's limits drop unannounced."""
 
 from copperpass.core.kvstore.transactions import (
-    APPLIED,
-    INVALID,
-    PLAIN,
     Operation,
+    Priority,
+    TransactionOutcome,
     TransactionQueue,
 )
 from copperpass.core.ports import CallOutcome
@@ -23,7 +22,7 @@
             Operation(
                 {},
                 [put_key(f"k/{n}", value)],
-                lambda now, how, rev, n=n: ends.append((n, how)),
+                lambda now, outcome, revision, n=n: ends.append((n, outcome)),
                 999.0,
             ),
         )
@@ -34,7 +33,10 @@
             call.then(service.now, CallOutcome(*service.serve(call)))
         service.now += 0.05
         transactions.pump(service.now)
-    assert sorted(ends) == [(n, INVALID if n == 33 else APPLIED) for n in range(120)]
+    assert sorted(ends) == [
+        (n, TransactionOutcome.INVALID if n == 33 else TransactionOutcome.APPLIED)
+        for n in range(120)
+    ]
     assert (
         transactions.txn_ops <= 5 and service.state.too_large <= 12 and service.state.too_fast == 0
     )
@@ -48,7 +50,11 @@
         transactions.submit(
             service.now,
             Operation(
-                {}, [put_key(f"k/{n}", n)], lambda now, how, rev: ends.append(how), 999.0, PLAIN
+                {},
+                [put_key(f"k/{n}", n)],
+                lambda now, outcome, revision: ends.append(outcome),
+                999.0,
+                Priority.NORMAL,
             ),
         )
     for _ in range(1200):
@@ -60,7 +66,7 @@
         transactions.pump(service.now)
         if len(ends) == 150:
             break
-    assert ends == [APPLIED] * 150
+    assert ends == [TransactionOutcome.APPLIED] * 150
     # Batches of up to 16 never fit into 5 a second: the pace finds what does, without a storm.
     assert service.state.too_fast < 0.2 * sent + 60
     slow = transactions.budget.rate
