--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -20,16 +20,16 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: InstanceRequests,
+        instance_requests: InstanceRequests,
     ) -> None:
-        self.state, self.records, self.rentals = state, records, rentals
+        self.state, self.records, self.instance_requests = state, records, instance_requests
         self.out, self.cloud = context.out, context.cluster.cloud
         self.next_list = state.won_at
         self.listing = False
 
     def tick(self, now: float) -> None:
         """Start a reading when one is due."""
-        if now < self.next_list or self.listing or not self.rentals.calls.take(now, 1.0):
+        if now < self.next_list or self.listing or not self.instance_requests.calls.take(now, 1.0):
             return
         self.listing = True
         self.next_list = now + max(self.cloud.list_lag_s / 2, 4 / self.cloud.rps)
@@ -61,7 +61,7 @@
         if machine is None:
             place = MachineGroup(item.type, item.zone, item.spot)
             machine = records.add(now, item.id, place, NO_SHARD, Occupancy.EMPTY)
-            machine.rented_at = now - item.age_s
+            machine.created_at = now - item.age_s
             state.fleet_store.rented(now, item.id, place)
         machine.listed = True
         if item.address and machine.entry.contact is None:
@@ -69,4 +69,4 @@
         if item.state == "failed" and not machine.entry.failed:
             # It has stopped on its own: nothing runs there any more.
             records.update(machine, failed=True, may_hold=Occupancy.EMPTY)
-            self.rentals.release(now, [machine])
+            self.instance_requests.release(now, [machine])
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -39,11 +39,11 @@
         self.table, self.machines = state.table, state.machines
         self.shards, self.grantees = state.shards, state.grantees
         self.records = MachineRecords(context, state)
-        self.rentals = InstanceRequests(context, state, self.records)
-        self.listing = CloudListing(context, state, self.records, self.rentals)
-        self.following = MachineTracker(context, state, self.records, self.rentals)
+        self.instance_requests = InstanceRequests(context, state, self.records)
+        self.listing = CloudListing(context, state, self.records, self.instance_requests)
+        self.following = MachineTracker(context, state, self.records, self.instance_requests)
         self.grants = ShardGrants(context, state, self.records)
-        self.planner = Planner(context, state, self.records, self.rentals)
+        self.planner = Planner(context, state, self.records, self.instance_requests)
         self.fleet_store = state.fleet_store
         self.saw_fleet(context.fleet)
         self.fleet_store.on_stored = self.records.mark_recorded
@@ -57,9 +57,9 @@
         return self.state.ready
 
     @property
-    def dear_excess(self) -> bool:
+    def on_demand_excess(self) -> bool:
         """Whether there is more room than has to be kept."""
-        return self.state.dear_excess
+        return self.state.on_demand_excess
 
     @property
     def boot_s(self) -> float:
@@ -84,7 +84,7 @@
         """The view has caught up with the win: know the machines that may hold tasks."""
         self.state.ready = True
         self.records.restore(now)
-        self.rentals.resume(now)
+        self.instance_requests.resume(now)
         self.fleet_store.begin(now)
 
     def saw_fleet(self, fleet: StoredInventory, key: str = FLEET, version: int = 0) -> None:
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -9,7 +9,7 @@
 from copperpass.core.scheduling import objectives
 
 # A shard's own peak is kept for longer: the fewer its jobs, the more they vary.
-POOL_WINDOW = 2.4
+SHARD_WINDOW = 2.4
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,11 +40,11 @@
         self.scarce = objectives.ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
         self.peak = provisioning.SlidingMaximum(warm_s)
-        self.cheap_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
-        window = POOL_WINDOW * tuning.warm_window_boots * state.boot_s
+        self.spot_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
+        window = SHARD_WINDOW * tuning.warm_window_boots * state.boot_s
         self.peaks = {number: provisioning.SlidingMaximum(window) for number in state.shards}
         # Urgent work that may use ordinary machines only.
-        self.ordinary_peaks = {
+        self.on_demand_peaks = {
             number: provisioning.SlidingMaximum(warm_s) for number in state.shards
         }
 
@@ -74,18 +74,18 @@
         limit = sum(team.cpus_limit for team in self.cluster.teams)
         total = demand.total_urgent
         self.peak.add(now, min(total, limit))
-        self.cheap_peak.add(now, min(total, limit))
+        self.spot_peak.add(now, min(total, limit))
         for number, cpus in demand.urgent.items():
             self.peaks[number].add(now, cpus)
-            self.ordinary_peaks[number].add(now, demand.ordinary[number])
+            self.on_demand_peaks[number].add(now, demand.ordinary[number])
 
-    def sample_pool(self, now: float, number: int, demand: Demand) -> None:
+    def sample_shard(self, now: float, number: int, demand: Demand) -> None:
         """Take a measure into one shard's peak, between plans."""
         self.peaks[number].add(now, demand.urgent[number])
 
     def warm(self) -> provisioning.WarmTargets:
         """The room to keep up for urgent work."""
-        return provisioning.WarmTargets(self.peak.value(), self.cheap_peak.value())
+        return provisioning.WarmTargets(self.peak.value(), self.spot_peak.value())
 
     def scarce_types(self) -> set[str]:
         """The types that are kept for work that fits no other."""
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -53,7 +53,7 @@
         """Ask again for the bookings of terms before: they may have been carried out."""
         for request, (stored, count) in list(self.fleet_store.booked.items()):
             booking = InstanceRequest(MachineGroup(*stored), count, self.state.neediest_shard())
-            self.state.renting[request] = booking
+            self.state.pending_requests[request] = booking
             self._book(now, booking, request, TRIES)
 
     def rent(self, now: float, place: MachineGroup, count: int, shard: int) -> None:
@@ -62,13 +62,13 @@
         # The token is this authority's alone, so the name is never used again by any node.
         request = f"b-{self.state.epoch}-{self.booking}"
         booking = InstanceRequest(place, count, shard)
-        self.state.renting[request] = booking
+        self.state.pending_requests[request] = booking
 
         def stored(n: float, ok: bool) -> None:
             if ok and self.authority.entitled(n):
                 self._book(n, booking, request, TRIES)
             else:
-                self.state.renting.pop(request, None)
+                self.state.pending_requests.pop(request, None)
                 self.fleet_store.ended(n, request, [])
 
         self.fleet_store.book(now, request, place, count, stored)
@@ -84,8 +84,8 @@
             if outcome.status in (NO_ANSWER, 429) and tries > 1 and self.authority.entitled(n):
                 self._book(n, booking, request, tries - 1)
                 return
-            self.state.renting.pop(request, None)
-            self.state.refusals.refused(place, n, self.state.boot_s / 2)
+            self.state.pending_requests.pop(request, None)
+            self.state.backoff.refused(place, n, self.state.boot_s / 2)
             if outcome.status != NO_ANSWER:
                 self.fleet_store.ended(n, request, [])
 
@@ -95,14 +95,14 @@
     def _rented(self, now: float, booking: InstanceRequest, request: str, body: bytes) -> None:
         """The cloud has carried out a booking, in full or in part."""
         state, place = self.state, booking.place
-        known = state.renting.pop(request, None)
+        known = state.pending_requests.pop(request, None)
         shard = known.shard if known is not None else state.neediest_shard()
         rented = decode(body, InstanceAnswer)
         names = rented.machines if rented else []
         if len(names) < booking.machines:
-            state.refusals.refused(place, now, state.boot_s / 2)
+            state.backoff.refused(place, now, state.boot_s / 2)
         else:
-            state.refusals.granted(place)
+            state.backoff.granted(place)
         self.out.log("info", "rented", place=str(tuple(place)), count=len(names), shard=shard)
         self.fleet_store.ended(now, request, names)
         for name in names:
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -25,9 +25,9 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: InstanceRequests,
+        instance_requests: InstanceRequests,
     ) -> None:
-        self.state, self.records, self.rentals = state, records, rentals
+        self.state, self.records, self.instance_requests = state, records, instance_requests
         self.jobs: JobTable = context.jobs
         # How long a deleted machine is remembered.
         self.gone_s = 20 * context.cluster.cloud.list_lag_s + 4 * state.lease_s
@@ -62,7 +62,7 @@
             machine.back_for = None
             records.update(machine, back=False)
         if status.release and not machine.releasing:
-            self.rentals.release(now, [machine])
+            self.instance_requests.release(now, [machine])
 
     def _note_changes(
         self, now: float, machine: ManagedMachine, status: MachineStatus
@@ -90,7 +90,7 @@
             self.records.rebase(machine, machine.back_for, Occupancy.EMPTY, status)
         else:
             self.records.rebase(machine, NO_SHARD, Occupancy.EMPTY, status)
-            self.rentals.release(now, [machine])
+            self.instance_requests.release(now, [machine])
 
     # -- machines that nobody owns ----------------------------------------------------------
 
@@ -128,10 +128,10 @@
         state = self.state
         for machine in list(state.machines.values()):
             slow = BOOTS_TO_COME_UP * machine.type.boot_s
-            never = not machine.status.up and now - machine.rented_at > slow
+            never = not machine.status.up and now - machine.created_at > slow
             again = machine.releasing and now - machine.release_sent > RELEASE_AGAIN_S
             if again or (never and not machine.releasing):
-                self.rentals.release(now, [machine])
+                self.instance_requests.release(now, [machine])
             unclaimed = (
                 machine.entry.may_hold != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
             )
@@ -139,6 +139,6 @@
                 # Nobody has answered it in this term, nor under a grant of the term before, so its
                 # session is over; it is gone.
                 self.records.update(machine, may_hold=Occupancy.EMPTY)
-                self.rentals.release(now, [machine])
+                self.instance_requests.release(now, [machine])
         for name in [name for name, at in state.gone.items() if now - at > self.gone_s]:
             del state.gone[name]
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -37,17 +37,17 @@
     spare: list[ManagedMachine]
     cover: provisioning.CoverageRatio
     # About what the shard's own machines have left; None until a gang asks.
-    own_rooms: list[provisioning.FreeCapacity] | None = None
+    own_capacities: list[provisioning.FreeCapacity] | None = None
 
     def own(self) -> list[provisioning.FreeCapacity]:
         """The room that is left on the shard's own machines."""
-        if self.own_rooms is None:
-            self.own_rooms = [
-                provisioning.left_room(machine.type, machine.place, machine.used_cpus)
+        if self.own_capacities is None:
+            self.own_capacities = [
+                provisioning.remaining_capacity(machine.type, machine.place, machine.used_cpus)
                 for machine in self.serving
                 if machine.entry.shard == self.shard.number
             ]
-        return self.own_rooms
+        return self.own_capacities
 
 
 @dataclass(slots=True)
@@ -77,9 +77,9 @@
         state: ManagerState,
         records: MachineRecords,
         tracker: DemandTracker,
-        lending: Rebalancer,
+        rebalancer: Rebalancer,
     ) -> None:
-        self.state, self.records, self.lending = state, records, lending
+        self.state, self.records, self.rebalancer = state, records, rebalancer
         self.cluster, self.tuning = context.cluster, context.tuning
         self.scarce, self.fleet_store = tracker.scarce, state.fleet_store
 
@@ -109,13 +109,13 @@
     def _offer(self, shard: Shard, serving: list[ManagedMachine]) -> ShardOffer:
         """Gather what is on its way to a shard and what others could lend."""
         rooms = [
-            provisioning.new_room(self.state.types[place.type], place)
-            for place, count, number in self.state.renting.values()
+            provisioning.empty_machine_capacity(self.state.types[place.type], place)
+            for place, count, number in self.state.pending_requests.values()
             if number == shard.number
             for _ in range(count)
         ]
         rooms += [
-            provisioning.new_room(machine.type, machine.place)
+            provisioning.empty_machine_capacity(machine.type, machine.place)
             for machine in serving
             if machine.back_for == shard.number and machine.entry.back
         ]
@@ -128,13 +128,13 @@
             and machine.entry.shard != NO_SHARD
         ]
         spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
-        return ShardOffer(shard, serving, rooms, spare, self.lending.cover(serving))
+        return ShardOffer(shard, serving, rooms, spare, self.rebalancer.cover(serving))
 
     def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
         """Start a request's search with the room that is on its way."""
         job, count, horizon = request
         tied_to = offer.shard.ties.get(job.spec.id)
-        spec = provisioning.tied(job.spec, [tied_to] if tied_to else [])
+        spec = provisioning.with_zone_affinity(job.spec, [tied_to] if tied_to else [])
         closed = self.scarce.closed_to(spec)
         zone: str | None = None
         rooms = offer.rooms
@@ -144,7 +144,7 @@
             rooms = rooms + offer.own()
             zone = spec.zone or self._gang_zone(now, spec, count, rooms, offer.spare)
             rooms = [room for room in rooms if room.zone == zone]
-        left = provisioning.fill(rooms, spec, count, horizon, closed)
+        left = provisioning.pack_tasks(rooms, spec, count, horizon, closed)
         # Work that can wait for longer than a boot asks only for the cheap kind at first.
         # Not for the rest of a gang, for which other machines are kept idle meanwhile.
         long = horizon > self.tuning.patient_boots * self.state.boot_s
@@ -162,14 +162,16 @@
         """The zone where most of a gang's tasks find room already and the rest can be rented."""
         state = self.state
         slots: dict[str, int] = {}
-        offers = rooms + [provisioning.new_room(machine.type, machine.place) for machine in spare]
+        offers = rooms + [
+            provisioning.empty_machine_capacity(machine.type, machine.place) for machine in spare
+        ]
         for room in offers:
             slots[room.zone] = slots.get(room.zone, 0) + room.slots(spec, count, state.boot_s)
         for zone in sorted(slots, key=lambda z: (-slots[z], z)):
             if slots[zone] > 0 and (
                 slots[zone] >= count
-                or provisioning.choose_place(
-                    spec, 1, state.types, {}, state.refusals, now, False, set(), zone
+                or provisioning.choose_machine_group(
+                    spec, 1, state.types, {}, state.backoff, now, False, set(), zone
                 )
             ):
                 return zone
@@ -184,31 +186,31 @@
             lender = machine.entry.shard
             if search.zone is not None and machine.entry.zone != search.zone:
                 continue
-            if not self.lending.may_leave(machine) or machine.type.name in search.closed:
+            if not self.rebalancer.may_leave(machine) or machine.type.name in search.closed:
                 continue
-            if search.patient and self.state.dear_excess and not machine.entry.spot:
+            if search.patient and self.state.on_demand_excess and not machine.entry.spot:
                 continue
-            if not offer.cover.may_lend(lender, number, machine.type.cpus):
+            if not offer.cover.may_donate(lender, number, machine.type.cpus):
                 continue
-            room = provisioning.new_room(machine.type, machine.place)
+            room = provisioning.empty_machine_capacity(machine.type, machine.place)
             taken = room.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
                 offer.cover.move(lender, number, machine.type.cpus)
                 offer.rooms.append(room)
                 offer.spare.remove(machine)
-                self.lending.let_go(now, machine, number)
+                self.rebalancer.let_go(now, machine, number)
 
     def _rent(self, now: float, offer: ShardOffer, search: Search, plan: ScaleOutPlan) -> None:
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
-            place = provisioning.choose_place(
+            place = provisioning.choose_machine_group(
                 spec,
                 search.left,
                 state.types,
                 plan.zones,
-                state.refusals,
+                state.backoff,
                 now,
                 search.patient,
                 search.closed,
@@ -218,7 +220,7 @@
                 break
             if spec.gang and spec.one_zone:
                 search.zone = place.zone
-            room = provisioning.new_room(state.types[place.type], place)
+            room = provisioning.empty_machine_capacity(state.types[place.type], place)
             taken = room.take(spec, search.left, search.horizon)
             if taken <= 0:
                 break
@@ -235,13 +237,13 @@
                 break
             if machine.type.name in search.closed or search.zone not in (None, machine.entry.zone):
                 continue
-            if not self.lending.may_leave(machine):
+            if not self.rebalancer.may_leave(machine):
                 continue
-            room = provisioning.new_room(machine.type, machine.place)
+            room = provisioning.empty_machine_capacity(machine.type, machine.place)
             taken = room.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
-                self.lending.let_go(now, machine, offer.shard.number)
+                self.rebalancer.let_go(now, machine, offer.shard.number)
         offer.spare = [machine for machine in offer.spare if not machine.entry.back]
 
     def _reclaim_guarantee(self, now: float, offer: ShardOffer, search: Search) -> None:
@@ -257,7 +259,7 @@
                 used = machine.used_cpus
                 if other is offer.shard or left <= 0 or beyond < used or machine.entry.back:
                     break
-                room = provisioning.new_room(machine.type, machine.place)
+                room = provisioning.empty_machine_capacity(machine.type, machine.place)
                 taken = room.take(spec, left, 0.0)
                 if taken > 0 and machine.type.name not in self.scarce.closed_to(spec):
                     left -= taken
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -12,7 +12,7 @@
 from copperpass.core.autoscaling.scale_out_plan import (
     MACHINES_PER_CALL,
     ScaleOutPlan,
-    most_per_plan,
+    max_machines_per_plan,
 )
 from copperpass.core.autoscaling.state import (
     CapacityRequest,
@@ -39,18 +39,18 @@
         context: ManagerContext,
         state: ManagerState,
         records: MachineRecords,
-        rentals: InstanceRequests,
+        instance_requests: InstanceRequests,
     ) -> None:
-        self.state, self.rentals = state, rentals
+        self.state, self.instance_requests = state, instance_requests
         self.cluster, self.jobs, self.out = context.cluster, context.jobs, context.out
         self.tracker = DemandTracker(context, state)
-        self.lending = Rebalancer(state, records, self.tracker)
-        self.placement = PlacementPlanner(context, state, records, self.tracker, self.lending)
-        self.warm_room = WarmCapacity(context, state, self.tracker, self.lending)
+        self.rebalancer = Rebalancer(state, records, self.tracker)
+        self.placement = PlacementPlanner(context, state, records, self.tracker, self.rebalancer)
+        self.warm_capacity = WarmCapacity(context, state, self.tracker, self.rebalancer)
         self.next_plan = self.next_summary = state.won_at
         cloud_rps = context.cluster.cloud.rps
         self.plan_s = max(state.report_s / 4, 2.0 / cloud_rps)
-        self.most_per_plan = most_per_plan(cloud_rps, self.plan_s)
+        self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_s)
 
     def due(self, now: float) -> bool:
         """Whether it is time for the next plan; needs the cloud's offer."""
@@ -74,7 +74,7 @@
         shard.wants_at = now
         if shard.wants and len(state.shards) > 1 and state.ready:
             # Idle machines of others can serve at once; renting waits for the next plan.
-            self.tracker.sample_pool(now, shard.number, self.tracker.measure(now))
+            self.tracker.sample_shard(now, shard.number, self.tracker.measure(now))
             self.placement.serve(now, shard, state.serving(), None)
 
     def plan(self, now: float) -> None:
@@ -83,10 +83,10 @@
         self.tracker.sample(now, demand)
         warm = self.tracker.warm()
         serving = self.state.serving()
-        self.lending.recount(serving)
+        self.rebalancer.recount(serving)
         taken = self._taken_by_patient(serving, demand)
         room = sum(machine.type.cpus for machine in serving)
-        self.state.dear_excess = room - taken > warm.any
+        self.state.on_demand_excess = room - taken > warm.any
         remaining = remaining_by_team(self.cluster, self.jobs.jobs.values())
         allocated = allocate(self.cluster, serving, remaining)
         order = sorted(
@@ -98,7 +98,7 @@
         if now >= self.next_summary:
             self.next_summary = now + SUMMARY_REPORTS * self.state.report_s
             self._summary(warm.any, demand.total_urgent, allocated)
-        self.warm_room.return_idle(now, warm, taken)
+        self.warm_capacity.return_idle(now, warm, taken)
 
     def _taken_by_patient(self, serving: list[ManagedMachine], demand: Demand) -> float:
         """The CPUs in use by work that can wait.
@@ -119,14 +119,14 @@
         taken: float,
     ) -> None:
         """Serve the shards in their order, keep warm room, rent what was planned."""
-        plan = ScaleOutPlan.beside(serving, self.most_per_plan)
+        plan = ScaleOutPlan.beside(serving, self.max_machines_per_plan)
         for shard in order:
             self.placement.serve(now, shard, serving, plan)
-        self.warm_room.keep(now, warm, serving, taken, plan)
-        self.warm_room.balance(now, serving)
+        self.warm_capacity.keep(now, warm, serving, taken, plan)
+        self.warm_capacity.balance(now, serving)
         for (place, number), count in plan.counts.items():
-            if not any(booking.place == place for booking in self.state.renting.values()):
-                self.rentals.rent(now, place, min(count, MACHINES_PER_CALL), number)
+            if not any(booking.place == place for booking in self.state.pending_requests.values()):
+                self.instance_requests.rent(now, place, min(count, MACHINES_PER_CALL), number)
 
     def _summary(self, warm: float, tight: float, allocated: allocation.Allocation) -> None:
         """Say for the log how the fleet stands."""
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -98,7 +98,7 @@
         """The shard that is covered least."""
         return min(self.have, key=lambda n: (self.of(n), n))
 
-    def may_lend(self, lender: int, borrower: int, cpus: float) -> bool:
+    def may_donate(self, lender: int, borrower: int, cpus: float) -> bool:
         """Whether the lender stays covered at least as far as the borrower was."""
         return self.of(lender, -cpus) >= self.of(borrower)
 
@@ -153,7 +153,7 @@
         return slots
 
 
-def fill_gang(
+def pack_gang(
     rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
 ) -> int:
     """Give room to a gang's tasks, to all of them or to none; returns how many are left."""
@@ -193,17 +193,17 @@
     return min(count, int(min(per) + 1e-6)) if per else count
 
 
-def choose_place(
+def choose_machine_group(
     spec: JobSpec | None,
     count: int,
     types: dict[str, MachineType],
     zones: dict[str, int],
-    refusals: CapacityBackoff,
+    backoff: CapacityBackoff,
     now: float,
     spot_only: bool,
     closed: set[str],
     within: str | None = None,
-    dear_only: bool = False,
+    on_demand_only: bool = False,
 ) -> MachineGroup | None:
     """The cheapest place for tasks of a shape, spread over zones; or `within` one of them.
 
@@ -219,7 +219,7 @@
         slots = machine_type.cpus if spec is None else slots_on_new(machine_type, spec, count)
         for spot in (True, False):
             unoffered = spot and machine_type.spot_price is None
-            if unoffered or (spot_only and not spot) or (dear_only and spot):
+            if unoffered or (spot_only and not spot) or (on_demand_only and spot):
                 continue
             price = price_of(machine_type, spot)
             for zone in machine_type.zones:
@@ -228,7 +228,7 @@
                 if spec is not None and not allows(spec, machine_type, zone, spot):
                     continue
                 place = MachineGroup(machine_type.name, zone, spot)
-                if not refusals.open(place, now):
+                if not backoff.open(place, now):
                     continue
                 score = (price / max(slots, 1e-6), zones.get(zone, 0), zone)
                 if best_score is None or score < best_score:
@@ -236,7 +236,7 @@
     return best
 
 
-def rooms_of(machines: Iterable[Machine], now: float, silence: float) -> list[FreeCapacity]:
+def free_capacities(machines: Iterable[Machine], now: float, silence: float) -> list[FreeCapacity]:
     """What the machines that serve, or will soon, have to offer."""
     rooms = []
     for m in machines:
@@ -244,7 +244,7 @@
             continue
         if m.up and (now - m.last_report > silence or m.deaf_since is not None):
             continue
-        cpus, gpus, memory = m.room()
+        cpus, gpus, memory = m.free_capacity()
         frees = [
             # A gang's task that waits for the others ends after them, not by itself.
             (remaining(p, now), p.cpus, p.gpus, p.memory_gb)
@@ -266,12 +266,14 @@
     return aims.guarantee is not None and aims.guarantee < boot_s and job.guaranteed
 
 
-def needs_ordinary(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
+def needs_on_demand(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
     """Whether a job may use ordinary machines only and can't wait for one to boot."""
     return not job.spec.spot and cannot_wait(job, aims, boot_s)
 
 
-def left_room(machine_type: MachineType, place: MachineGroup, used_cpus: float) -> FreeCapacity:
+def remaining_capacity(
+    machine_type: MachineType, place: MachineGroup, used_cpus: float
+) -> FreeCapacity:
     """About what a machine offers beside what runs there; its memory is taken to be as full."""
     part = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
     return FreeCapacity(
@@ -285,7 +287,7 @@
     )
 
 
-def new_room(machine_type: MachineType, place: MachineGroup) -> FreeCapacity:
+def empty_machine_capacity(machine_type: MachineType, place: MachineGroup) -> FreeCapacity:
     """What an empty machine offers."""
     return FreeCapacity(
         machine_type,
@@ -298,7 +300,7 @@
     )
 
 
-def tied(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
+def with_zone_affinity(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
     """A job as it may still be placed: in one zone for all, where its other tasks are.
 
     Counted and rented elsewhere, room is of no use to it: machines came up, idled and went back.
@@ -314,7 +316,7 @@
     return [room for room in rooms if room.most + 1e-6 >= least_cpus]
 
 
-def fill(
+def pack_tasks(
     rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
 ) -> int:
     """Give room to tasks that may start within the horizon; returns how many are left."""
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -34,7 +34,7 @@
         number = machine.entry.shard
         if machine.entry.spot or number not in self.state.shards:
             return True
-        need = self.tracker.ordinary_peaks[number].value()
+        need = self.tracker.on_demand_peaks[number].value()
         return need <= 0 or self.ordinary_cpus.get(number, 0.0) - machine.type.cpus >= need
 
     def let_go(self, now: float, machine: ManagedMachine, shard: int | None) -> None:
@@ -54,7 +54,7 @@
                 number = machine.back_for
             if number in have:
                 have[number] += machine.type.cpus
-        for place, count, number in state.renting.values():
+        for place, count, number in state.pending_requests.values():
             have[number] += state.types[place.type].cpus * count
         need = {number: peak.value() for number, peak in self.tracker.peaks.items()}
         return provisioning.CoverageRatio(have, need)
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -14,7 +14,7 @@
 CALLS_PART = 0.1
 
 
-def most_per_plan(cloud_rps: float, plan_s: float) -> int:
+def max_machines_per_plan(cloud_rps: float, plan_s: float) -> int:
     """The machines that one plan may rent: a large fleet on a fast cloud isn't built in fifties."""
     return MACHINES_PER_CALL * max(1, int(CALLS_PART * cloud_rps * plan_s))
 
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -29,7 +29,7 @@
 
     entry: MachineRoute
     type: MachineType
-    rented_at: float
+    created_at: float
     status: MachineStatus
     up_at: float = 0.0
     idle_since: float = 0.0
@@ -164,10 +164,10 @@
         self.shards: dict[int, Shard] = {}
         for team, number in context.shards.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
-        self.renting: dict[str, InstanceRequest] = {}
-        self.refusals = provisioning.CapacityBackoff()
+        self.pending_requests: dict[str, InstanceRequest] = {}
+        self.backoff = provisioning.CapacityBackoff()
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
-        self.dear_excess = True
+        self.on_demand_excess = True
         state = context.cluster.state
         self.fleet_store = MachineInventoryStore(
             context.transactions,
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -24,9 +24,9 @@
         context: ManagerContext,
         state: ManagerState,
         tracker: DemandTracker,
-        lending: Rebalancer,
+        rebalancer: Rebalancer,
     ) -> None:
-        self.state, self.tracker, self.lending = state, tracker, lending
+        self.state, self.tracker, self.rebalancer = state, tracker, rebalancer
         self.fleet_store, self.tuning = state.fleet_store, context.tuning
 
     def keep(
@@ -38,16 +38,18 @@
         plan: ScaleOutPlan,
     ) -> None:
         """Plan machines until there is the warm room, for the shards that are covered least."""
-        types, refusals = self.state.types, self.state.refusals
+        types, backoff = self.state.types, self.state.backoff
         total = sum(machine.type.cpus for machine in serving) - taken
-        total += sum(types[p.type].cpus * count for p, count, _ in self.state.renting.values())
+        total += sum(
+            types[p.type].cpus * count for p, count, _ in self.state.pending_requests.values()
+        )
         total += sum(types[d.place.type].cpus * count for d, count in plan.counts.items())
         scarce = self.tracker.scarce_types()
-        cover = self.lending.cover(serving)
+        cover = self.rebalancer.cover(serving)
         for cpus, spot_only in ((warm.any, False), (warm.cheap, True)):
             while total < cpus and not plan.full and not self.fleet_store.full():
-                place = provisioning.choose_place(
-                    None, 1, types, plan.zones, refusals, now, spot_only, scarce
+                place = provisioning.choose_machine_group(
+                    None, 1, types, plan.zones, backoff, now, spot_only, scarce
                 )
                 if place is None:
                     break
@@ -71,7 +73,7 @@
         In the zone that has most of it, since a gang needs room in one zone; elsewhere when that
         zone has no more.
         """
-        need = self.tracker.ordinary_peaks[number].value()
+        need = self.tracker.on_demand_peaks[number].value()
         zones = self._ordinary_by_zone(number, serving, plan)
         while sum(zones.values()) < need and not plan.full and not self.fleet_store.full():
             most = max(sorted(zones), key=lambda zone: zones[zone], default=None)
@@ -100,7 +102,7 @@
 
     def _coming(self, number: int, plan: ScaleOutPlan) -> Iterator[tuple[MachineGroup, int]]:
         """The machines booked or planned for a shard."""
-        for booking in self.state.renting.values():
+        for booking in self.state.pending_requests.values():
             if booking.shard == number:
                 yield booking.place, booking.machines
         for destination, count in plan.counts.items():
@@ -112,15 +114,15 @@
     ) -> MachineGroup | None:
         """The cheapest place for an ordinary machine, in one zone or in any."""
         state = self.state
-        return provisioning.choose_place(
-            None, 1, state.types, {}, state.refusals, now, False, closed, within, dear_only=True
+        return provisioning.choose_machine_group(
+            None, 1, state.types, {}, state.backoff, now, False, closed, within, on_demand_only=True
         )
 
     def balance(self, now: float, serving: list[ManagedMachine]) -> None:
         """Move idle machines to the shard whose peak is covered least, before it asks."""
         if len(self.state.shards) == 1:
             return
-        cover = self.lending.cover(serving)
+        cover = self.rebalancer.cover(serving)
         scarce = self.tracker.scarce_types()
         for machine in serving:
             short, own = cover.least(), machine.entry.shard
@@ -128,11 +130,11 @@
                 break
             if not machine.spare or machine.entry.back or own not in cover.have or own == short:
                 continue
-            if machine.type.name in scarce or not self.lending.may_leave(machine):
+            if machine.type.name in scarce or not self.rebalancer.may_leave(machine):
                 continue
-            if cover.may_lend(own, short, machine.type.cpus):
+            if cover.may_donate(own, short, machine.type.cpus):
                 cover.move(own, short, machine.type.cpus)
-                self.lending.let_go(now, machine, short)
+                self.rebalancer.let_go(now, machine, short)
 
     def return_idle(self, now: float, warm: provisioning.WarmTargets, taken: float) -> None:
         """Ask back the dearest idle machines beyond the warm room."""
@@ -149,6 +151,6 @@
         idle.sort(key=lambda m: -objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
         for machine in idle:
             kept = warm.cheap if machine.entry.spot else warm.any
-            if total - machine.type.cpus >= kept and self.lending.may_leave(machine):
+            if total - machine.type.cpus >= kept and self.rebalancer.may_leave(machine):
                 total -= machine.type.cpus
-                self.lending.let_go(now, machine, None)
+                self.rebalancer.let_go(now, machine, None)
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -36,7 +36,7 @@
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
         if not waiting:
             return []
-        rooms = provisioning.rooms_of(self.machines.values(), now, timing.silence_s)
+        rooms = provisioning.free_capacities(self.machines.values(), now, timing.silence_s)
         unseen = self.unseen()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
@@ -54,10 +54,10 @@
                 # The rest of a gang waits for it: what they take isn't free before.
                 horizon = 0.0
             where = (self.machines[m].zone for m in job.placed.values() if m in self.machines)
-            spec = provisioning.tied(job.spec, where)
+            spec = provisioning.with_zone_affinity(job.spec, where)
             if spec.one_zone and spec.zone is not None:
                 self.ties[spec.id] = spec.zone
-            fill = provisioning.fill_gang if spec.gang else provisioning.fill
+            fill = provisioning.pack_gang if spec.gang else provisioning.pack_tasks
             closed = self.reservations.scarce.closed_to(spec)
             left = fill(rooms, spec, count, horizon, closed)
             if left > 0:
@@ -90,7 +90,7 @@
         unidentified = [0.0, 0.0]
         for name in state.unsettled | state.tally.unidentified:
             # What is there is not known: count all that could be, against every team.
-            cpus, gpus, _ = self.machines[name].room()
+            cpus, gpus, _ = self.machines[name].free_capacity()
             unidentified[0] += max(0.0, cpus)
             unidentified[1] += max(0.0, gpus)
         for kind, _, _ in state.elsewhere.values():
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -279,7 +279,7 @@
     ) -> Machine | None:
         """The best machine for the job's next task."""
         spec = job.spec
-        patient = self.state.dear_excess and spec.spot and can_wait
+        patient = self.state.on_demand_excess and spec.spot and can_wait
         shape = None
         if not (spec.types or spec.zone or spec.one_zone or spec.spread or spec.id in self.held):
             # What large tasks leave is open to short work only.
--- a/src/copperpass/core/scheduling/gang_planning.py
+++ b/src/copperpass/core/scheduling/gang_planning.py
@@ -84,7 +84,9 @@
     for name in job.placed.values():
         where = machines[name].zone if name in machines else "?"
         counts[where] = counts.get(where, 0) + 1
-    here = [(score, machine, _slots(spec, machine.room(), need)) for score, machine in offers]
+    here = [
+        (score, machine, _slots(spec, machine.free_capacity(), need)) for score, machine in offers
+    ]
     # Where it has failed last, without a fetch first, whole before in parts, cheap before dear.
     here.sort(key=lambda o: (o[0][0], o[0][3], -o[2], *o[0][1:], o[1].name))
     places: list[tuple[int, Machine]] = []
@@ -160,7 +162,7 @@
 ) -> list[Offer]:
     """A machine's free places, one after the other, by when they are there."""
     offers: list[Offer] = []
-    room, had = list(machine.room()), 0
+    room, had = list(machine.free_capacity()), 0
     tasks = sorted(
         ((remaining(p, now), p) for p in machine.tasks.values() if p.active),
         key=lambda pair: pair[0],
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -179,7 +179,7 @@
         self.by_team, self.lowest, self.unidentified = by_team, lowest, unidentified
         self.stale = False
 
-    def room(self) -> tuple[float, float, float]:
+    def free_capacity(self) -> tuple[float, float, float]:
         """Free CPUs, GPUs and memory."""
         return (
             self.type.cpus - self.used_cpus,
--- a/src/copperpass/core/scheduling/reclaimable_capacity.py
+++ b/src/copperpass/core/scheduling/reclaimable_capacity.py
@@ -52,7 +52,7 @@
             continue
         if machine.held_from(spec.id, now):
             continue
-        cpus, gpus, memory = machine.room()
+        cpus, gpus, memory = machine.free_capacity()
         ready = 0.0
         tasks = sorted(
             ((remaining(p, now), p) for p in machine.tasks.values() if p.active),
@@ -93,7 +93,7 @@
         return None
     candidates = _stoppable(job, machine, jobs, over_guarantee, under)
     candidates.sort(key=lambda placement: (placement.priority, _stop_cost(placement, jobs, now)))
-    cpus, gpus, memory = machine.room()
+    cpus, gpus, memory = machine.free_capacity()
     for placement in machine.tasks.values():
         if placement.active and placement.stop is not None:
             cpus, gpus = cpus + placement.cpus, gpus + placement.gpus
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -59,7 +59,7 @@
             sum(
                 job.spec.cpus * (job.spec.tasks - job.done_count)
                 for job in jobs
-                if provisioning.needs_ordinary(job, aims, boot_s)
+                if provisioning.needs_on_demand(job, aims, boot_s)
             ),
         )
         need = self.ordinary_peak.value()
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -173,13 +173,13 @@
         self.state.revision = value
 
     @property
-    def dear_excess(self) -> bool:
+    def on_demand_excess(self) -> bool:
         """Whether dear machines could go back."""
-        return self.state.dear_excess
+        return self.state.on_demand_excess
 
-    @dear_excess.setter
-    def dear_excess(self, value: bool) -> None:
-        self.state.dear_excess = value
+    @on_demand_excess.setter
+    def on_demand_excess(self, value: bool) -> None:
+        self.state.on_demand_excess = value
 
     @property
     def needs_machines(self) -> bool:
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -41,7 +41,7 @@
         # What the leader should be told at once: tasks in need of machines, machines given back.
         self.needs_machines = self.returning = False
         # Whether dear machines could go back: else they stay up, and any work may use them.
-        self.dear_excess = True
+        self.on_demand_excess = True
         self.machines: dict[str, Machine] = {}
         self.tally = QuotaUsage()
         # Machines taken over that may hold tasks which haven't been reported yet.
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -80,7 +80,7 @@
         self.until = float("-inf")
         self.number = self.latest = 0
         self.asked: OrderedDict[int, float] = OrderedDict()
-        self.dear_excess = True
+        self.on_demand_excess = True
         self.next_pull = self.next_status = self.next_wants = float("-inf")
 
     # -- whom to follow ---------------------------------------------------------------
@@ -129,7 +129,7 @@
             known = share.revision != UNKNOWN_REVISION and view_revision >= share.revision
             if not owner.ready and known and self.inbox.applied >= share.at:
                 owner.begin(now)
-            owner.dear_excess = self.dear_excess
+            owner.on_demand_excess = self.on_demand_excess
             owner.tick(now)
         if (now >= self.next_status or any(o.returning for o in self.schedulers.values())) and (
             self.entitled(now)
@@ -155,7 +155,7 @@
         assert self.local is not None
         _, upto, entries = self.local.next(1 << 30)
         self.inbox.applied = upto
-        self.dear_excess = cluster_manager.dear_excess
+        self.on_demand_excess = cluster_manager.on_demand_excess
         self.token_version = cluster_manager.token_version()
         self._learn(now, entries)
         self._share(now, cluster_manager.shares())
@@ -209,7 +209,7 @@
         self.latest = grant.number
         # Counted from the asking, by a clock that may run slow against the leader's.
         self.until = max(self.until, asked + grant.length_ms / 1000 * (1 - 2 * DRIFT))
-        self.token_version, self.dear_excess = grant.token_version, grant.dear_excess
+        self.token_version, self.on_demand_excess = grant.token_version, grant.on_demand_excess
         self.feed.acknowledged(grant.applied)
         self._share(now, grant.shares)
 
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -66,7 +66,7 @@
             pull.number,
             int(length * 1000),
             state.token_version(),
-            state.dear_excess,
+            state.on_demand_excess,
             grantee.inbox.applied,
             self.shares(),
         )
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -335,7 +335,7 @@
         frame.number,
         frame.length_ms,
         frame.token_version,
-        frame.dear_excess,
+        frame.on_demand_excess,
         frame.applied,
         len(frame.shares),
     )
@@ -343,7 +343,7 @@
 
 
 def _decode_grant(reader: PayloadReader) -> Grant:
-    epoch, incarnation, number, length_ms, token_version, dear_excess, applied, count = (
+    epoch, incarnation, number, length_ms, token_version, on_demand_excess, applied, count = (
         reader.unpack(_GRANT)
     )
     return Grant(
@@ -352,7 +352,7 @@
         number=number,
         length_ms=length_ms,
         token_version=token_version,
-        dear_excess=bool(dear_excess),
+        on_demand_excess=bool(on_demand_excess),
         applied=applied,
         shares=tuple(_decode_share(reader) for _ in range(count)),
     )
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -166,7 +166,7 @@
     number: int
     length_ms: int
     token_version: int
-    dear_excess: bool
+    on_demand_excess: bool
     applied: int
     shares: tuple[ShardAssignment, ...] = ()
 
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -322,8 +322,8 @@
 
 
 def test_the_zone_that_a_job_is_tied_to_gets_the_machines():
-    # Holds `provisioning.tied`. Rented elsewhere, machines were of no use to it: they idled, went
-    # back, and were rented again.
+    # Guards `provisioning.with_zone_affinity`. Provisioned elsewhere, machines were of no use: they
+    # idled, were returned, and were requested again.
     simulation = Simulation(seed=2)
     simulation.cloud.capacity = {(z, s): 6 for z in "abc" for s in (True, False)}
     simulation.run_until(simulation.leader)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,7 +5,7 @@
 import pytest
 
 from copperpass.core.autoscaling import provisioning
-from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, most_per_plan
+from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, max_machines_per_plan
 from copperpass.core.node.node import shards_of
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.relay import HeartbeatRelay
@@ -113,8 +113,8 @@
 
 def test_a_plan_rents_more_where_the_cloud_takes_more_calls():
     # Fifty in each plan took a minute for 4,000 machines, whatever the cloud allowed.
-    assert most_per_plan(cloud_rps=6.0, plan_s=1 / 3) == MACHINES_PER_CALL
-    assert most_per_plan(cloud_rps=36.0, plan_s=1.0) == 3 * MACHINES_PER_CALL
+    assert max_machines_per_plan(cloud_rps=6.0, plan_s=1 / 3) == MACHINES_PER_CALL
+    assert max_machines_per_plan(cloud_rps=36.0, plan_s=1.0) == 3 * MACHINES_PER_CALL
 
 
 @pytest.mark.parametrize("value_kb", [2.0, 4.0])
@@ -146,7 +146,7 @@
     rooms = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
     waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
-        assert provisioning.fill(rooms, each.spec, 2, 0.0, set()) == 2
+        assert provisioning.pack_tasks(rooms, each.spec, 2, 0.0, set()) == 2
         rooms = provisioning.without_exhausted(rooms, least_cpus=4.0)
     assert looks == ["req-000001"] * machines, "only the first job looks at all of them"
 
