--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from copperpass.core.jobs.job_table import LIVE, OVER, fits
+from copperpass.core.jobs.job_table import LIVE, OVER, fits_within
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -16,7 +16,7 @@
     TransactionQueue,
 )
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
-from copperpass.core.scheduling.machines import fits_machine_type
+from copperpass.core.scheduling.machines import feasible_on_type
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
 from copperpass.protocol.kvstore import KeyValue, delete_key, key_path, put_key
@@ -72,7 +72,7 @@
     team = next((t for t in cluster.teams if t.name == spec.team), None)
     if team is None:
         raise Rejection(422, "desk: unknown team")
-    if not fits(spec.cpus, team.cpus_limit) or not fits(spec.gpus, team.gpus_limit):
+    if not fits_within(spec.cpus, team.cpus_limit) or not fits_within(spec.gpus, team.gpus_limit):
         raise Rejection(422, "a task needs more than the team's limit")
     zones = {
         zone
@@ -80,7 +80,7 @@
         for zone in machine_type.zones
         if (spec.types is None or machine_type.name in spec.types)
         and spec.zone in (None, zone)
-        and fits_machine_type(spec, machine_type)
+        and feasible_on_type(spec, machine_type)
     }
     if not zones:
         raise Rejection(422, "a task fits no allowed machine type")
@@ -90,7 +90,7 @@
 
 def _check_gang(spec: JobSpec, team: Team, zones: set[str]) -> None:
     """Raise a Rejection when a gang, whose tasks all run at once, can never run."""
-    if not fits(spec.cpus * spec.tasks, team.cpus_limit) or not fits(
+    if not fits_within(spec.cpus * spec.tasks, team.cpus_limit) or not fits_within(
         spec.gpus * spec.tasks, team.gpus_limit
     ):
         raise Rejection(422, "the gang needs more than the team's limit")
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -119,7 +119,7 @@
         """An owner says in which zone jobs must find room; older owners don't."""
         shard = self.shards.get(frame.shard)
         if shard is not None:
-            shard.ties = dict(frame.zones)
+            shard.zone_affinities = dict(frame.zones)
 
     def asked(self, now: float, wants: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -36,8 +36,8 @@
     def __init__(self, context: ManagerContext, state: ManagerState) -> None:
         tuning = context.tuning
         self.state, self.cluster, self.jobs = state, context.cluster, context.jobs
-        self.aims = objectives.ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
-        self.scarce = objectives.ReservedTypes(context.types, tuning.keep_scarce_s)
+        self.slos = objectives.ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
+        self.reserved_types = objectives.ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
         self.peak = provisioning.SlidingMaximum(warm_s)
         self.spot_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
@@ -55,10 +55,10 @@
         ordinary: dict[int, float] = dict.fromkeys(state.shards, 0.0)
         patient = 0.0
         jobs = list(self.jobs.jobs.values())
-        objectives.judge_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
-        self.scarce.note(now, jobs)
+        objectives.assess_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
+        self.reserved_types.observe(now, jobs)
         for job in jobs:
-            cannot_wait = provisioning.cannot_wait(job, self.aims, state.boot_s)
+            cannot_wait = provisioning.cannot_wait(job, self.slos, state.boot_s)
             if cannot_wait and job.spec.team in state.shard_of:
                 left = job.spec.tasks - job.done_count - len(job.finished)
                 number = state.shard_of[job.spec.team]
@@ -87,6 +87,6 @@
         """The room to keep up for urgent work."""
         return provisioning.WarmTargets(self.peak.value(), self.spot_peak.value())
 
-    def scarce_types(self) -> set[str]:
+    def reserved_type_names(self) -> set[str]:
         """The types that are kept for work that fits no other."""
-        return {name for names in self.scarce.seen for name in names}
+        return {name for names in self.reserved_types.last_demand for name in names}
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -81,7 +81,7 @@
     ) -> None:
         self.state, self.records, self.rebalancer = state, records, rebalancer
         self.cluster, self.tuning = context.cluster, context.tuning
-        self.scarce, self.fleet_store = tracker.scarce, state.fleet_store
+        self.reserved_types, self.fleet_store = tracker.reserved_types, state.fleet_store
 
     def serve(
         self, now: float, shard: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
@@ -127,15 +127,15 @@
             and not machine.entry.back
             and machine.entry.shard != NO_SHARD
         ]
-        spare.sort(key=lambda m: objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
+        spare.sort(key=lambda m: objectives.hourly_price(m.type, m.entry.spot) / m.type.cpus)
         return ShardOffer(shard, serving, rooms, spare, self.rebalancer.cover(serving))
 
     def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
         """Start a request's search with the room that is on its way."""
         job, count, horizon = request
-        tied_to = offer.shard.ties.get(job.spec.id)
+        tied_to = offer.shard.zone_affinities.get(job.spec.id)
         spec = provisioning.with_zone_affinity(job.spec, [tied_to] if tied_to else [])
-        closed = self.scarce.closed_to(spec)
+        closed = self.reserved_types.reserved_from(spec)
         zone: str | None = None
         rooms = offer.rooms
         if spec.gang and spec.one_zone:
@@ -261,7 +261,7 @@
                     break
                 room = provisioning.empty_machine_capacity(machine.type, machine.place)
                 taken = room.take(spec, left, 0.0)
-                if taken > 0 and machine.type.name not in self.scarce.closed_to(spec):
+                if taken > 0 and machine.type.name not in self.reserved_types.reserved_from(spec):
                     left -= taken
                     beyond -= used
                     self.records.ask_back(now, machine, offer.shard.number, vacate=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -107,7 +107,7 @@
         that can wait, and a good deal is paid for it.
         """
         used = sum(machine.used_cpus for machine in serving)
-        apart = PATIENT_PART if self.tracker.aims.urgent(self.state.boot_s) else 0.0
+        apart = PATIENT_PART if self.tracker.slos.has_start_target_below(self.state.boot_s) else 0.0
         return apart * min(demand.patient, max(0.0, used - demand.total_urgent))
 
     def _change(
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.machines import Machine, allows, fits_machine_type
-from copperpass.core.scheduling.objectives import ServiceLevelObjectives, price_of, remaining
+from copperpass.core.scheduling.machines import Machine, feasible_on_type, satisfies_constraints
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives, hourly_price, remaining_s
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
@@ -129,7 +129,7 @@
         """For how many tasks, up to `count`, that may start within the horizon there is room."""
         if count <= 0 or spec.cpus > self.most + 1e-6:
             return 0
-        if not allows(spec, self.type, self.zone, self.spot):
+        if not satisfies_constraints(spec, self.type, self.zone, self.spot):
             return 0
         cpus, gpus, memory = self.cpus, self.gpus, self.memory
         for at, c, g, m in self.frees:
@@ -159,7 +159,9 @@
     """Give room to a gang's tasks, to all of them or to none; returns how many are left."""
     zones: dict[str, list[FreeCapacity]] = {}
     for room in rooms:
-        if room.type.name not in closed and allows(spec, room.type, room.zone, room.spot):
+        if room.type.name not in closed and satisfies_constraints(
+            spec, room.type, room.zone, room.spot
+        ):
             zones.setdefault(room.zone if spec.one_zone else "", []).append(room)
     most = (spec.tasks + 1) // 2 if spec.spread else count
     for zone in sorted(zones):
@@ -213,7 +215,7 @@
     best_score: tuple[float, int, str] | None = None
     for machine_type in types.values():
         if machine_type.name in closed or (
-            spec is not None and not fits_machine_type(spec, machine_type)
+            spec is not None and not feasible_on_type(spec, machine_type)
         ):
             continue
         slots = machine_type.cpus if spec is None else slots_on_new(machine_type, spec, count)
@@ -221,11 +223,11 @@
             unoffered = spot and machine_type.spot_price is None
             if unoffered or (spot_only and not spot) or (on_demand_only and spot):
                 continue
-            price = price_of(machine_type, spot)
+            price = hourly_price(machine_type, spot)
             for zone in machine_type.zones:
                 if within is not None and zone != within:
                     continue
-                if spec is not None and not allows(spec, machine_type, zone, spot):
+                if spec is not None and not satisfies_constraints(spec, machine_type, zone, spot):
                     continue
                 place = MachineGroup(machine_type.name, zone, spot)
                 if not backoff.open(place, now):
@@ -247,7 +249,7 @@
         cpus, gpus, memory = m.free_capacity()
         frees = [
             # A gang's task that waits for the others ends after them, not by itself.
-            (remaining(p, now), p.cpus, p.gpus, p.memory_gb)
+            (remaining_s(p, now), p.cpus, p.gpus, p.memory_gb)
             for p in m.tasks.values()
             if p.active and p.state != TaskState.GATHERING
         ]
@@ -255,20 +257,22 @@
     return rooms
 
 
-def cannot_wait(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
+def cannot_wait(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
     """Whether a job must start before a machine could boot for it.
 
     By its class's objective, or as a guaranteed job by the objective for guarantees.
     """
-    wait = aims.tightest_wait(job.spec.job_class)
+    wait = slos.tightest_start_target(job.spec.job_class)
     if wait is not None and wait < boot_s:
         return True
-    return aims.guarantee is not None and aims.guarantee < boot_s and job.guaranteed
+    return (
+        slos.guarantee_target_s is not None and slos.guarantee_target_s < boot_s and job.guaranteed
+    )
 
 
-def needs_on_demand(job: Job, aims: ServiceLevelObjectives, boot_s: float) -> bool:
+def needs_on_demand(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
     """Whether a job may use ordinary machines only and can't wait for one to boot."""
-    return not job.spec.spot and cannot_wait(job, aims, boot_s)
+    return not job.spec.spot and cannot_wait(job, slos, boot_s)
 
 
 def remaining_capacity(
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -91,7 +91,7 @@
     wants: list[CapacityRequest] = field(default_factory=list)
     wants_at: float = float("-inf")
     # The zones that jobs in it are tied to, as the owner says.
-    ties: dict[str, str] = field(default_factory=dict)
+    zone_affinities: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -44,12 +44,12 @@
             types[p.type].cpus * count for p, count, _ in self.state.pending_requests.values()
         )
         total += sum(types[d.place.type].cpus * count for d, count in plan.counts.items())
-        scarce = self.tracker.scarce_types()
+        reserved_types = self.tracker.reserved_type_names()
         cover = self.rebalancer.cover(serving)
         for cpus, spot_only in ((warm.any, False), (warm.cheap, True)):
             while total < cpus and not plan.full and not self.fleet_store.full():
                 place = provisioning.choose_machine_group(
-                    None, 1, types, plan.zones, backoff, now, spot_only, scarce
+                    None, 1, types, plan.zones, backoff, now, spot_only, reserved_types
                 )
                 if place is None:
                     break
@@ -58,7 +58,7 @@
                 cover.have[number] += types[place.type].cpus
                 plan.add(place, number)
         for number in self.state.shards:
-            self._keep_ordinary(now, number, serving, scarce, plan)
+            self._keep_ordinary(now, number, serving, reserved_types, plan)
 
     def _keep_ordinary(
         self,
@@ -123,14 +123,14 @@
         if len(self.state.shards) == 1:
             return
         cover = self.rebalancer.cover(serving)
-        scarce = self.tracker.scarce_types()
+        reserved_types = self.tracker.reserved_type_names()
         for machine in serving:
             short, own = cover.least(), machine.entry.shard
             if cover.of(short) >= 1.0:
                 break
             if not machine.spare or machine.entry.back or own not in cover.have or own == short:
                 continue
-            if machine.type.name in scarce or not self.rebalancer.may_leave(machine):
+            if machine.type.name in reserved_types or not self.rebalancer.may_leave(machine):
                 continue
             if cover.may_donate(own, short, machine.type.cpus):
                 cover.move(own, short, machine.type.cpus)
@@ -148,7 +148,7 @@
             and not machine.entry.back
             and now - max(machine.idle_since, machine.up_at) >= idle_s
         ]
-        idle.sort(key=lambda m: -objectives.price_of(m.type, m.entry.spot) / m.type.cpus)
+        idle.sort(key=lambda m: -objectives.hourly_price(m.type, m.entry.spot) / m.type.cpus)
         for machine in idle:
             kept = warm.cheap if machine.entry.spot else warm.any
             if total - machine.type.cpus >= kept and self.rebalancer.may_leave(machine):
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -13,13 +13,13 @@
 from copperpass.protocol.users import JobSpec
 
 LIVE, OVER, COMPLETIONS = "c/live/", "d/job/", "c/ends/"
-EPS = 1e-6
+CAPACITY_TOLERANCE = 1e-6
 LEAST_KNOWN_CANCELLED = 2000
 
 
-def fits(amount: float, room: float) -> bool:
+def fits_within(amount: float, room: float) -> bool:
     """Whether an amount fits into a room; the one place with a tolerance for decimals."""
-    return amount <= room + EPS
+    return amount <= room + CAPACITY_TOLERANCE
 
 
 def pack_done(done: bytearray) -> str:
@@ -78,9 +78,9 @@
     failures: int = 0
     # Tasks that were stopped once for more urgent work.
     preempted: set[int] = field(default_factory=set)
-    hold_until: float = 0.0
+    backoff_until: float = 0.0
     guaranteed: bool = False
-    judged: bool = False
+    guarantee_assessed: bool = False
     # Another member has stored its cancellation, which the view may be late to show.
     announce_cancelled: bool = False
     # Of a gang: the attempt that all its tasks share (0: none), whether one of them was seen to
@@ -139,7 +139,7 @@
         self.failed_on.clear()
         self.preempted.clear()
         self.next_index = self.failures = 0
-        self.storing, self.hold_until = False, 0.0
+        self.storing, self.backoff_until = False, 0.0
         self.attempt, self.begun, self.ending = 0, False, False
         self.short_since = None
 
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from copperpass.core.autoscaling import provisioning
-from copperpass.core.jobs.job_table import EPS, Job
+from copperpass.core.jobs.job_table import CAPACITY_TOLERANCE, Job
 from copperpass.core.scheduling import allocation, objectives
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import allows, fits_machine_type
+from copperpass.core.scheduling.machines import feasible_on_type, satisfies_constraints
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
@@ -28,7 +28,7 @@
         self.types, self.machines = context.types, state.machines
         self.gpus_matter = context.cluster.gpus_matter
         # Jobs in need of machines that may only run in the zone where others of their tasks are.
-        self.ties: dict[str, str] = {}
+        self.zone_affinities: dict[str, str] = {}
 
     def wants(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no room for in time, the most urgent first."""
@@ -40,25 +40,25 @@
         unseen = self.unseen()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
-        self.ties.clear()
+        self.zone_affinities.clear()
         taken = {team: state.tally.of(team)[0] for team in state.by_team}
-        for job in objectives.task_order(waiting, state.aims, now, timing.boot_s / 2):
+        for job in objectives.task_order(waiting, state.slos, now, timing.boot_s / 2):
             # Tasks that may be running where we have not looked yet need no machines.
-            if not self.startable(job, now, unseen):
+            if not self.is_startable(job, now, unseen):
                 continue
             count = self._count_under_limit(job, taken)
             if count is None:
                 continue
-            horizon = max(0.0, state.aims.needed(job, now) - now)
+            horizon = max(0.0, state.slos.capacity_deadline(job, now) - now)
             if job.spec.gang and job.placed:
                 # The rest of a gang waits for it: what they take isn't free before.
                 horizon = 0.0
             where = (self.machines[m].zone for m in job.placed.values() if m in self.machines)
             spec = provisioning.with_zone_affinity(job.spec, where)
             if spec.one_zone and spec.zone is not None:
-                self.ties[spec.id] = spec.zone
+                self.zone_affinities[spec.id] = spec.zone
             fill = provisioning.pack_gang if spec.gang else provisioning.pack_tasks
-            closed = self.reservations.scarce.closed_to(spec)
+            closed = self.reservations.reserved_types.reserved_from(spec)
             left = fill(rooms, spec, count, horizon, closed)
             if left > 0:
                 unmet.append(PendingTasks(spec.id, left, horizon))
@@ -78,7 +78,7 @@
             count = 1
         taken[spec.team] += count * spec.cpus
         if spec.cpus > 0:
-            under = max(0.0, room / spec.cpus + EPS)
+            under = max(0.0, room / spec.cpus + CAPACITY_TOLERANCE)
             if spec.gang and under < count:
                 return None
             count = int(min(count, under))
@@ -100,13 +100,13 @@
         used = {team.name: state.tally.of(team.name) for team in state.teams}
         return {name: (u[0] + unidentified[0], u[1] + unidentified[1]) for name, u in used.items()}
 
-    def startable(self, job: Job, now: float, unseen: set[MachineKind] | None = None) -> bool:
+    def is_startable(self, job: Job, now: float, unseen: set[MachineKind] | None = None) -> bool:
         """Whether tasks of a job may be started, room or not.
 
         Who asks for many jobs at once passes `unseen()`, so that the machines are gone over once.
         """
         state = self.state
-        if now < job.hold_until or job.ending or job.announce_cancelled:
+        if now < job.backoff_until or job.ending or job.announce_cancelled:
             return False
         if job.created > state.revision or not (state.unsettled or state.elsewhere):
             return True
@@ -116,8 +116,8 @@
         return not any(
             kind not in types
             or (
-                allows(job.spec, types[kind], zone, spot)
-                and fits_machine_type(job.spec, types[kind])
+                satisfies_constraints(job.spec, types[kind], zone, spot)
+                and feasible_on_type(job.spec, types[kind])
             )
             for kind, zone, spot in (self.unseen() if unseen is None else unseen)
         )
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.jobs.job_table import Job, fits_within
 from copperpass.core.scheduling import allocation, objectives
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
@@ -17,7 +17,7 @@
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.ranking import Ranking
-from copperpass.core.scheduling.reclaimable_capacity import machine_to_hold
+from copperpass.core.scheduling.reclaimable_capacity import machine_to_reserve
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldQuota:
+class QuotaReservation:
     """Room under a team's limit that is held for one gang or large task."""
 
     # When its job came: what has waited for longer isn't held up.
@@ -44,7 +44,7 @@
     gpus: float
 
 
-NOTHING_HELD = HeldQuota(0.0, 0.0, 0.0)
+NO_RESERVATION = QuotaReservation(0.0, 0.0, 0.0)
 
 
 class Dispatcher:
@@ -68,9 +68,9 @@
         self.allocations: allocation.Allocation | None = None
         # Jobs that found no room in the latest round and are due before a machine would boot.
         self.urgent: set[str] = set()
-        self.next_round = now
+        self.next_round_at = now
 
-    def round(self, now: float) -> None:
+    def run_round(self, now: float) -> None:
         """Start what can be started."""
         state = self.state
         state.dirty = False
@@ -78,17 +78,17 @@
         for job in jobs:
             if job.placed:
                 job.last_placed = now
-        self.reservations.scarce.note(now, jobs)
+        self.reservations.reserved_types.observe(now, jobs)
         if all(job.waiting() <= 0 for job in jobs):
             # Most reports of a quiet hour change nothing that could be started.
             state.needs_machines, self.urgent = False, set()
-            self.next_round = now + LEAST_PAUSE_S
+            self.next_round_at = now + LEAST_PAUSE_S
             return
         silence_s = state.timing.silence_s
         usable = [m for m in state.machines.values() if m.usable(now, silence_s)]
         capacity = self._capacity(usable)
         self.allocations = allocation.allocate(self.demand.claims(), capacity)
-        current = Round(self, now, jobs, usable, LATE_PART * capacity[0])
+        current = DispatchRound(self, now, jobs, usable, LATE_PART * capacity[0])
         self.reservations.keep_ordinary(now, jobs, usable)
         current.place_all()
         for machine in {m.name: m for m in current.log}.values():
@@ -98,7 +98,7 @@
             self.preemption.preempt(now, current.stuck, usable, current.used)
         # The next round comes sooner when idle and later under load: a batch widens with it.
         most = state.timing.report_s / 4
-        self.next_round = now + min(most, LEAST_PAUSE_S + PAUSE_PER_JOB_S * current.backlog)
+        self.next_round_at = now + min(most, LEAST_PAUSE_S + PAUSE_PER_JOB_S * current.backlog)
 
     def _capacity(self, usable: list[Machine]) -> tuple[float, float]:
         """CPUs, and the second resource that the allocation is about."""
@@ -110,13 +110,13 @@
 
     def _note_urgent(self, now: float, stuck: Iterable[Job]) -> None:
         """Have the leader told at once of jobs that have become urgent."""
-        aims, boot_s = self.state.aims, self.state.timing.boot_s
-        urgent = {job.spec.id for job in stuck if aims.due(job, now) - now < boot_s}
+        slos, boot_s = self.state.slos, self.state.timing.boot_s
+        urgent = {job.spec.id for job in stuck if slos.start_deadline(job, now) - now < boot_s}
         self.state.needs_machines = bool(urgent - self.urgent)
         self.urgent = urgent
 
 
-class Round:
+class DispatchRound:
     """One dispatch round: the queues, what teams use, and what has been started so far."""
 
     def __init__(
@@ -130,19 +130,19 @@
         self.now, self.usable, self.late_quota = now, usable, late_quota
         self.state, self.tasks = dispatcher.state, dispatcher.tasks
         self.reservations, self.gangs = dispatcher.reservations, dispatcher.gangs
-        self.tuning, self.aims = dispatcher.tuning, dispatcher.state.aims
+        self.tuning, self.slos = dispatcher.tuning, dispatcher.state.slos
         self.boot_s = dispatcher.state.timing.boot_s
         self.targets = dispatcher.allocations.tasks if dispatcher.allocations else {}
         self.used = dispatcher.demand.usage()
         self._fill_queues(dispatcher.demand, jobs)
         self.smallest = min((j.spec.cpus for j in jobs if j.spec.cpus > 0), default=0.0)
-        self.roomy = [m for m in usable if fits(self.smallest, m.type.cpus - m.used_cpus)]
+        self.roomy = [m for m in usable if fits_within(self.smallest, m.type.cpus - m.used_cpus)]
         # By team.
-        self.quota: dict[str, HeldQuota] = {}
+        self.quota: dict[str, QuotaReservation] = {}
         # For whom a large gap has been held in this round: teams, or `GANGS`.
         self.holding: set[str] = set()
         # Jobs that room is held for, by stopping tasks or for want of a large gap.
-        self.held = {m.held_for for m in usable if now < m.held_until}
+        self.held = {m.reserved_for_job for m in usable if now < m.reserved_until}
         # Jobs that found no room.
         self.stuck: list[Job] = []
         # Where tasks have been started, in order.
@@ -153,26 +153,26 @@
 
     def _fill_queues(self, demand: Demand, jobs: list[Job]) -> None:
         """Queue each team's jobs that may start, by urgency, and count its tasks."""
-        now, aims, teams = self.now, self.aims, self.state.teams
-        objectives.judge_guarantees(jobs, {team.name: team.cpus for team in teams})
+        now, slos, teams = self.now, self.slos, self.state.teams
+        objectives.assess_guarantees(jobs, {team.name: team.cpus for team in teams})
         self.running = {team.name: 0 for team in teams}
         queues: dict[str, list[Job]] = {team.name: [] for team in teams}
         unseen = demand.unseen()
         for job in jobs:
             name = job.spec.team
             self.running[name] = self.running.get(name, 0) + len(job.placed)
-            if job.waiting() > 0 and demand.startable(job, now, unseen):
+            if job.waiting() > 0 and demand.is_startable(job, now, unseen):
                 queues.setdefault(name, []).append(job)
         self.backlog = sum(len(queue) for queue in queues.values())
         bonus = self.boot_s / 2
         self.queues = {
-            name: objectives.task_order(queue, aims, now, bonus) for name, queue in queues.items()
+            name: objectives.task_order(queue, slos, now, bonus) for name, queue in queues.items()
         }
         self.late_used = sum(
-            len(job.placed) * job.spec.cpus for job in jobs if aims.overdue(job, now)
+            len(job.placed) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
         )
         for queue in self.queues.values():
-            objectives.share_late(queue, aims, now, self.late_used, self.late_quota)
+            objectives.limit_past_deadline_share(queue, slos, now, self.late_used, self.late_quota)
 
     def place_all(self) -> None:
         """Start tasks until no queue has one that finds room."""
@@ -208,10 +208,12 @@
             self.log += placed
             self._count(name, job, len(placed))
         elif placed is None:
-            if name not in self.quota and self.aims.due(job, now) - now < self.boot_s:
+            if name not in self.quota and self.slos.start_deadline(job, now) - now < self.boot_s:
                 # Tasks of the team that come after it would take each gap under the limit.
                 missing = len(job.missing())
-                self.quota[name] = HeldQuota(job.arrived, missing * spec.cpus, missing * spec.gpus)
+                self.quota[name] = QuotaReservation(
+                    job.arrived, missing * spec.cpus, missing * spec.gpus
+                )
         else:
             self.stuck.append(job)
             if GANGS not in self.holding:
@@ -228,7 +230,7 @@
         now = self.now
         left_out = self.reservations.left_out(job, now)
         # Work that can wait does so for cheap room; dear room is for what can't.
-        slack = self.aims.due(job, now) - now
+        slack = self.slos.start_deadline(job, now) - now
         can_wait = slack > self.tuning.patient_boots * self.boot_s and not left_out
         if self._over_limit(name, job, left_out):
             self.queues[name].pop(0)
@@ -244,21 +246,23 @@
         if left_out:
             # Its first task has room; for the rest what is kept for others is closed again.
             del self.rankings[job.spec.id]
-        if self.late_used < self.late_quota and self.aims.overdue(job, now):
+        if self.late_used < self.late_quota and self.slos.is_past_deadline(job, now):
             self.late_used += job.spec.cpus
             queue = self.queues[name]
-            objectives.share_late(queue, self.aims, now, self.late_used, self.late_quota)
+            objectives.limit_past_deadline_share(
+                queue, self.slos, now, self.late_used, self.late_quota
+            )
         self.log.append(machine)
         self._count(name, job, 1)
 
     def _over_limit(self, name: str, job: Job, left_out: bool) -> bool:
         """Whether one more task would exceed the team's limit, less what a gang waits for."""
         spec, team, used = job.spec, self.state.by_team[name], self.used[name]
-        held = self.quota.get(name, NOTHING_HELD)
+        held = self.quota.get(name, NO_RESERVATION)
         if job.arrived <= held.arrived or left_out:
             # What has waited for longer isn't held up: neither starves the other.
-            held = NOTHING_HELD
-        return not fits(used[0] + held.cpus + spec.cpus, team.cpus_limit) or not fits(
+            held = NO_RESERVATION
+        return not fits_within(used[0] + held.cpus + spec.cpus, team.cpus_limit) or not fits_within(
             used[1] + held.gpus + spec.gpus, team.gpus_limit
         )
 
@@ -268,7 +272,7 @@
         As with gangs: small tasks of its team would take each gap under the limit.
         """
         if name not in self.quota and not can_wait and self._is_large(job):
-            self.quota[name] = HeldQuota(job.arrived, job.spec.cpus, job.spec.gpus)
+            self.quota[name] = QuotaReservation(job.arrived, job.spec.cpus, job.spec.gpus)
 
     def _is_large(self, job: Job) -> bool:
         """Whether a job's tasks are large beside the smallest that are about."""
@@ -283,7 +287,7 @@
         shape = None
         if not (spec.types or spec.zone or spec.one_zone or spec.spread or spec.id in self.held):
             # What large tasks leave is open to short work only.
-            length_s = spec.estimate_s if self.reservations.scarce.smallest else 0.0
+            length_s = spec.estimate_s if self.reservations.reserved_types.smallest else 0.0
             shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.spot, patient, left_out, length_s)
         if shape in self.full:
             return None
@@ -307,8 +311,11 @@
         if name in self.holding or can_wait or not self._is_large(job):
             return
         self.holding.add(name)
-        machine = machine_to_hold(job, self.usable, self.state.machines, now)
+        machine = machine_to_reserve(job, self.usable, self.state.machines, now)
         if machine is not None:
-            machine.held_for, machine.held_until = spec.id, now + self.state.timing.report_s
-            machine.held_ready = 0.0
+            machine.reserved_for_job, machine.reserved_until = (
+                spec.id,
+                now + self.state.timing.report_s,
+            )
+            machine.reservation_ready_at = 0.0
             self.held.add(spec.id)
--- a/src/copperpass/core/scheduling/gang_planning.py
+++ b/src/copperpass/core/scheduling/gang_planning.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import EPS, Job
-from copperpass.core.scheduling.machines import Machine, allows, fits_machine_type
-from copperpass.core.scheduling.objectives import remaining
+from copperpass.core.jobs.job_table import CAPACITY_TOLERANCE, Job
+from copperpass.core.scheduling.machines import Machine, feasible_on_type, satisfies_constraints
+from copperpass.core.scheduling.objectives import remaining_s
 from copperpass.core.scheduling.ranking import Ranking
 from copperpass.protocol.users import JobSpec
 
@@ -37,7 +37,7 @@
     count = most
     for need, have in zip((spec.cpus, spec.gpus, spec.memory_gb), room, strict=True):
         if need > 0:
-            count = min(count, int((have + EPS) / need))
+            count = min(count, int((have + CAPACITY_TOLERANCE) / need))
     return max(0, count)
 
 
@@ -119,7 +119,7 @@
     )
 
 
-def gang_hold(
+def plan_gang_reservation(
     job: Job,
     usable: list[Machine],
     machines: dict[str, Machine],
@@ -134,9 +134,9 @@
     allowed = [
         machine
         for machine in usable
-        if allows(spec, machine.type, machine.zone, machine.spot)
-        and fits_machine_type(spec, machine.type)
-        and not machine.held_from(spec.id, now)
+        if satisfies_constraints(spec, machine.type, machine.zone, machine.spot)
+        and feasible_on_type(spec, machine.type)
+        and not machine.is_reserved_for_other(spec.id, now)
     ]
     best: tuple[tuple[int, float, int], list[Machine]] | None = None
     for zones in _zones(job, {machine.zone for machine in allowed}, machines):
@@ -164,7 +164,7 @@
     offers: list[Offer] = []
     room, had = list(machine.free_capacity()), 0
     tasks = sorted(
-        ((remaining(p, now), p) for p in machine.tasks.values() if p.active),
+        ((remaining_s(p, now), p) for p in machine.tasks.values() if p.active),
         key=lambda pair: pair[0],
     )
     ready = 0.0
--- a/src/copperpass/core/scheduling/gangs.py
+++ b/src/copperpass/core/scheduling/gangs.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job, fits
-from copperpass.core.scheduling.gang_planning import gang_hold, plan_gang
+from copperpass.core.jobs.job_table import Job, fits_within
+from copperpass.core.scheduling.gang_planning import plan_gang, plan_gang_reservation
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.ranking import Ranking
 from copperpass.core.scheduling.reservations import Reservations
@@ -18,7 +18,7 @@
     def __init__(self, state: ShardState, tasks: TaskLifecycle) -> None:
         self.state, self.tasks = state, tasks
 
-    def seen(self, now: float, job: Job, placement: Placement) -> None:
+    def on_task_active(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang is reported as active."""
         if job.ending and placement.stop is None:
             # Its machine was taken over only after the attempt had ended and the rest were told.
@@ -35,7 +35,7 @@
         elif placement.state in (TaskState.RUNNING, TaskState.SAVING):
             job.begun = True
 
-    def exited(self, now: float, job: Job, placement: Placement) -> None:
+    def on_task_exited(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang has ended without being done."""
         if job.ended():
             return
@@ -51,7 +51,7 @@
                 self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.why)
         job.settle_gang()
 
-    def reached(self, now: float, job: Job) -> bool:
+    def all_reachable(self, now: float, job: Job) -> bool:
         """Whether all tasks of a gang can be told to stop within the time that saving takes."""
         timing, machines = self.state.timing, self.state.machines
         longest = min(timing.silence_s, timing.gang_notice_s)
@@ -82,7 +82,7 @@
         """Start all missing tasks of a gang or none; None: the team's limit has no room for it."""
         spec, count = job.spec, len(job.missing())
         team = self.state.by_team[spec.team]
-        if not fits(used[0] + count * spec.cpus, team.cpus_limit) or not fits(
+        if not fits_within(used[0] + count * spec.cpus, team.cpus_limit) or not fits_within(
             used[1] + count * spec.gpus, team.gpus_limit
         ):
             return None
@@ -128,21 +128,21 @@
     def hold_room(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
         """Hold the room where a gang can start soonest; returns whom room is held for."""
         state, report_s = self.state, self.state.timing.report_s
-        found = gang_hold(job, usable, self.machines, now, self.reservations.kept)
+        found = plan_gang_reservation(job, usable, self.machines, now, self.reservations.kept)
         if found is None:
             return set()
         for machine in found.machines:
             # Not to be given back while a gang waits for the rest of its room, however long:
             # machines that come one by one and go back as idle never add up to its zone's part.
-            machine.wanted_until = now + report_s
+            machine.retain_until = now + report_s
         tuning = self.reservations.tuning
         late = now - job.arrived > tuning.patience_s
-        slack = state.aims.due(job, now) - now
+        slack = state.slos.start_deadline(job, now) - now
         if (late and not found.whole) or slack > tuning.patient_boots * state.timing.boot_s:
             # What comes last holds nothing up; and a part of a gang's room is no use to anybody
             # for as long as it is held, so that has a bound.
             return set()
         for machine in found.machines:
-            machine.held_for, machine.held_until = job.spec.id, now + report_s
-            machine.held_ready = found.ready
+            machine.reserved_for_job, machine.reserved_until = job.spec.id, now + report_s
+            machine.reservation_ready_at = found.ready
         return {job.spec.id}
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -269,11 +269,11 @@
                 job is not None
                 and job.spec.gang
                 and job.begun
-                and (job.spec.save_s > left or not self.gangs.reached(now, job))
+                and (job.spec.save_s > left or not self.gangs.all_reachable(now, job))
             ):
                 # It can't be saved in time: to run on may still complete it.
                 continue
-            if objectives.remaining(placement, now) > NOTICE_MARGIN * left:
+            if objectives.remaining_s(placement, now) > NOTICE_MARGIN * left:
                 self.tasks.stop(now, placement, StopReason.NOTICE)
 
     def direct_answer(
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.jobs.job_table import Job, fits_within
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import MachineStatus
 from copperpass.protocol.users import JobSpec
@@ -124,13 +124,13 @@
     releasing: bool = False
     fenced: bool = False
     idle_since: float = 0.0
-    hold_until: float = 0.0
-    held_for: str = ""
-    held_until: float = 0.0
+    backoff_until: float = 0.0
+    reserved_for_job: str = ""
+    reserved_until: float = 0.0
     # When all room that a gang waits for will be free, if it is held for one.
-    held_ready: float = 0.0
+    reservation_ready_at: float = 0.0
     # Until when it isn't idle, since a gang counts on its room.
-    wanted_until: float = 0.0
+    retain_until: float = 0.0
     do_in_flight: bool = False
     do_broken_until: float = 0.0
     errors: set[str] = field(default_factory=set)
@@ -191,9 +191,9 @@
         """Whether a task fits now."""
         kind = self.type
         return (
-            fits(spec.cpus, kind.cpus - self.used_cpus)
-            and fits(spec.memory_gb, kind.memory_gb - self.used_memory)
-            and fits(spec.gpus, kind.gpus - self.used_gpus)
+            fits_within(spec.cpus, kind.cpus - self.used_cpus)
+            and fits_within(spec.memory_gb, kind.memory_gb - self.used_memory)
+            and fits_within(spec.gpus, kind.gpus - self.used_gpus)
         )
 
     def fetch_s(self, spec: JobSpec) -> float:
@@ -211,9 +211,9 @@
             _, gone = self.images.popitem(last=False)
             total -= gone
 
-    def held_from(self, job_id: str, now: float) -> bool:
+    def is_reserved_for_other(self, job_id: str, now: float) -> bool:
         """Whether the free room is kept for another job."""
-        return now < self.held_until and self.held_for != job_id
+        return now < self.reserved_until and self.reserved_for_job != job_id
 
     def usable(self, now: float, silence: float) -> bool:
         """Whether tasks may be started here."""
@@ -228,12 +228,12 @@
             and not self.fenced
             and not self.failed
             and self.notice_until is None
-            and now >= self.hold_until
+            and now >= self.backoff_until
             and now - self.last_report <= silence
         )
 
 
-def allows(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
+def satisfies_constraints(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
     """Whether a job allows a type, a zone and a kind of machine."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
@@ -242,16 +242,16 @@
     return spec.spot or not spot
 
 
-def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
+def feasible_on_type(spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether one task fits an empty machine of a type."""
     return (
-        fits(spec.cpus, machine_type.cpus)
-        and fits(spec.gpus, machine_type.gpus)
-        and fits(spec.memory_gb, machine_type.memory_gb)
+        fits_within(spec.cpus, machine_type.cpus)
+        and fits_within(spec.gpus, machine_type.gpus)
+        and fits_within(spec.memory_gb, machine_type.memory_gb)
     )
 
 
-def zone_allows(job: Job, zone: str, machines: dict[str, Machine]) -> bool:
+def zone_feasible(job: Job, zone: str, machines: dict[str, Machine]) -> bool:
     """Whether one more task of the job may be in a zone, given where its others are."""
     spec = job.spec
     if not spec.one_zone and not spec.spread:
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from copperpass.core.jobs.job_table import Job, fits
-from copperpass.core.scheduling.machines import Placement, fits_machine_type
+from copperpass.core.jobs.job_table import Job, fits_within
+from copperpass.core.scheduling.machines import Placement, feasible_on_type
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import PRIORITY_LEVELS, JobSpec
 from copperpass.settings import Objective
@@ -19,35 +19,35 @@
     def __init__(self, objectives: Iterable[Objective], patience_s: float = 1e6) -> None:
         # Work whose aims have all passed is due this long after it came: waiting has a bound.
         self.patience_s = patience_s
-        self.waits: dict[str, list[float]] = {}
-        self.ends: dict[str, list[float]] = {}
-        self.guarantee: float | None = None
+        self.start_targets: dict[str, list[float]] = {}
+        self.completion_targets: dict[str, list[float]] = {}
+        self.guarantee_target_s: float | None = None
         for aim in objectives:
             if aim.within_s is None:
                 continue
             if aim.kind == "wait" and aim.job_class:
-                self.waits.setdefault(aim.job_class, []).append(aim.within_s)
+                self.start_targets.setdefault(aim.job_class, []).append(aim.within_s)
             elif aim.kind == "finished" and aim.job_class:
-                self.ends.setdefault(aim.job_class, []).append(aim.within_s)
+                self.completion_targets.setdefault(aim.job_class, []).append(aim.within_s)
             elif aim.kind == "guarantee":
-                self.guarantee = aim.within_s
+                self.guarantee_target_s = aim.within_s
 
-    def tightest_wait(self, job_class: str) -> float | None:
+    def tightest_start_target(self, job_class: str) -> float | None:
         """The shortest wait that the class's users expect."""
-        waits = self.waits.get(job_class)
+        waits = self.start_targets.get(job_class)
         return min(waits) if waits else None
 
-    def urgent(self, boot_s: float) -> bool:
+    def has_start_target_below(self, boot_s: float) -> bool:
         """Whether the tasks of some class should start sooner than a machine boots."""
-        return any(min(waits) < boot_s for waits in self.waits.values())
+        return any(min(waits) < boot_s for waits in self.start_targets.values())
 
-    def due(self, job: Job, now: float) -> float:
+    def start_deadline(self, job: Job, now: float) -> float:
         """When the next task must start for the nearest aim that can still be met."""
         spec = job.spec
-        moments = [job.arrived + w for w in self.waits.get(spec.job_class, ())]
-        ends = list(self.ends.get(spec.job_class, ()))
-        if self.guarantee is not None and job.guaranteed:
-            moments.append(job.arrived + self.guarantee)
+        moments = [job.arrived + w for w in self.start_targets.get(spec.job_class, ())]
+        ends = list(self.completion_targets.get(spec.job_class, ()))
+        if self.guarantee_target_s is not None and job.guaranteed:
+            moments.append(job.arrived + self.guarantee_target_s)
         if spec.deadline_s is not None:
             ends.append(spec.deadline_s)
         # Estimates are often wrong by half and more: leave room for twice as long, if there is.
@@ -60,23 +60,23 @@
         overdue = job.arrived + self.patience_s
         return overdue if now > overdue else job.arrived + LATE
 
-    def needed(self, job: Job, now: float) -> float:
-        """By when there should be room for the next task: as `due`, but never out of sight.
+    def capacity_deadline(self, job: Job, now: float) -> float:
+        """When there must be capacity for the next task: the start deadline, but always bounded.
 
         Work without an aim ahead comes last, yet its wait has a bound, and by then the machines
         must be there: counted as never due, it rented nothing while the fleet was busy with work
         whose aim was far off, and less than half of it was served.
         """
-        due = self.due(job, now)
+        due = self.start_deadline(job, now)
         return due if due < job.arrived + LATE else job.arrived + self.patience_s
 
-    def overdue(self, job: Job, now: float) -> bool:
+    def is_past_deadline(self, job: Job, now: float) -> bool:
         """Whether no aim can be met any more and the job has waited for longer than it should."""
-        return now > job.arrived + self.patience_s and self.due(job, now) < now
+        return now > job.arrived + self.patience_s and self.start_deadline(job, now) < now
 
 
-def share_late(
-    queue: list[Job], aims: ServiceLevelObjectives, now: float, used: float, quota: float
+def limit_past_deadline_share(
+    queue: list[Job], slos: ServiceLevelObjectives, now: float, used: float, quota: float
 ) -> None:
     """Put overdue work, which comes first, behind the rest while it has its part of the room.
 
@@ -85,29 +85,29 @@
     """
     if used < quota or not queue:
         return
-    late = [job for job in queue if aims.overdue(job, now)]
+    late = [job for job in queue if slos.is_past_deadline(job, now)]
     if late and len(late) < len(queue):
         behind = {job.spec.id for job in late}
         queue[:] = [job for job in queue if job.spec.id not in behind] + late
 
 
-def judge_guarantees(jobs: Iterable[Job], guarantees: dict[str, float]) -> None:
+def assess_guarantees(jobs: Iterable[Job], guarantees: dict[str, float]) -> None:
     """Note of each new job whether it fits its team's guarantee with the earlier ones."""
     jobs = list(jobs)
-    if all(job.judged for job in jobs):
+    if all(job.guarantee_assessed for job in jobs):
         return
     taken: dict[str, float] = {}
     for job in sorted(jobs, key=lambda j: (j.arrived, j.created)):
         spec = job.spec
         total = taken.get(spec.team, 0.0) + spec.cpus * spec.tasks
-        if not job.judged:
-            job.judged = True
-            job.guaranteed = fits(total, guarantees.get(spec.team, 0.0))
+        if not job.guarantee_assessed:
+            job.guarantee_assessed = True
+            job.guaranteed = fits_within(total, guarantees.get(spec.team, 0.0))
         taken[spec.team] = total
 
 
 def task_order(
-    jobs: Iterable[Job], aims: ServiceLevelObjectives, now: float, bonus_s: float = 0.0
+    jobs: Iterable[Job], slos: ServiceLevelObjectives, now: float, bonus_s: float = 0.0
 ) -> list[Job]:
     """Jobs by the nearest aim that can still be met; a higher priority counts as `bonus_s` sooner.
 
@@ -117,13 +117,13 @@
 
     def key(job: Job) -> tuple[bool, float, float, str]:
         level = PRIORITY_LEVELS[job.spec.priority]
-        due = aims.due(job, now) - level * bonus_s
+        due = slos.start_deadline(job, now) - level * bonus_s
         return (level < PRIORITY_LEVELS["production"], due, job.arrived, job.spec.id)
 
     return sorted(jobs, key=key)
 
 
-def price_of(machine_type: MachineType, spot: bool) -> float:
+def hourly_price(machine_type: MachineType, spot: bool) -> float:
     """What a machine costs an hour."""
     if spot and machine_type.spot_price is not None:
         return machine_type.spot_price
@@ -139,14 +139,14 @@
 
     def __init__(self, types: dict[str, MachineType], keep_s: float) -> None:
         self.types, self.keep_s = types, keep_s
-        self.seen: dict[frozenset[str], tuple[float, JobSpec]] = {}
+        self.last_demand: dict[frozenset[str], tuple[float, JobSpec]] = {}
         self.cache: dict[tuple[float, float, float], set[str]] = {}
         # The smallest of the tasks that are about now and that a type is kept for, by type.
         self.smallest: dict[str, JobSpec] = {}
 
-    def note(self, now: float, jobs: Iterable[Job]) -> None:
+    def observe(self, now: float, jobs: Iterable[Job]) -> None:
         """Take in the jobs that are about."""
-        before = set(self.seen)
+        before = set(self.last_demand)
         shapes: dict[tuple[float, float, float], JobSpec] = {}
         for job in jobs:
             spec = job.spec
@@ -155,10 +155,10 @@
         for spec in shapes.values():
             fitting = self.fitting(spec)
             if 0 < len(fitting) < len(self.types):
-                self.seen[fitting] = (now, spec)
+                self.last_demand[fitting] = (now, spec)
                 self._note_smallest(fitting, spec)
-        self.seen = {k: v for k, v in self.seen.items() if now - v[0] <= self.keep_s}
-        if set(self.seen) != before:
+        self.last_demand = {k: v for k, v in self.last_demand.items() if now - v[0] <= self.keep_s}
+        if set(self.last_demand) != before:
             self.cache.clear()
 
     def _note_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
@@ -169,16 +169,16 @@
 
     def fitting(self, spec: JobSpec) -> frozenset[str]:
         """The types that one task fits."""
-        return frozenset(t.name for t in self.types.values() if fits_machine_type(spec, t))
+        return frozenset(t.name for t in self.types.values() if feasible_on_type(spec, t))
 
-    def closed_to(self, spec: JobSpec) -> set[str]:
+    def reserved_from(self, spec: JobSpec) -> set[str]:
         """The types that are kept from a job's tasks."""
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
         closed = self.cache.get(shape)
         if closed is None:
             mine = self.fitting(spec) if spec.types is None else frozenset(spec.types)
             closed = set()
-            for theirs in self.seen:
+            for theirs in self.last_demand:
                 if theirs < mine:
                     closed |= theirs
             if spec.types is None:
@@ -186,7 +186,7 @@
         return closed
 
 
-def remaining(placement: Placement, now: float) -> float:
+def remaining_s(placement: Placement, now: float) -> float:
     """How long a task will still run, by its owner's estimate."""
     if not placement.running_at:
         return placement.estimate_s
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -128,7 +128,7 @@
         for machine in self.machines.values():
             # What is held for somebody must not be taken for idle and given back.
             idle = (
-                machine.up and machine.recorded and machine.empty() and now >= machine.wanted_until
+                machine.up and machine.recorded and machine.empty() and now >= machine.retain_until
             )
             settled = machine.settled and not machine.foreign
             if self._is_news(machine, idle, settled):
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -5,7 +5,7 @@
 import heapq
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job, fits
+from copperpass.core.jobs.job_table import Job, fits_within
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import (
@@ -13,9 +13,13 @@
     Machine,
     Placement,
     StopReason,
-    zone_allows,
+    zone_feasible,
+)
+from copperpass.core.scheduling.reclaimable_capacity import (
+    preemption_cost,
+    victims,
+    worth_checkpointing,
 )
-from copperpass.core.scheduling.reclaimable_capacity import stop_cost, victims, worth_saving
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.users import PRIORITY_LEVELS
@@ -63,13 +67,13 @@
         lowest = min((machine.lowest for machine in usable), default=NO_PRIORITY)
         for job in stuck:
             spec = job.spec
-            slack = state.aims.due(job, now) - now
+            slack = state.slos.start_deadline(job, now) - now
             if slack > state.timing.boot_s:
                 continue
             under = (
                 bool(over - {spec.team})
-                and state.aims.guarantee is not None
-                and fits(used[spec.team][0] + spec.cpus, state.by_team[spec.team].cpus)
+                and state.slos.guarantee_target_s is not None
+                and fits_within(used[spec.team][0] + spec.cpus, state.by_team[spec.team].cpus)
             )
             if lowest >= PRIORITY_LEVELS[spec.priority] and not under:
                 continue
@@ -105,9 +109,9 @@
             for placement in chosen:
                 self._stop(now, claimant, placement)
                 stopped += 1
-            machine.held_ready = 0.0
-            machine.held_for = claimant.job.spec.id
-            machine.held_until = now + HELD_REPORTS * self.state.timing.report_s
+            machine.reservation_ready_at = 0.0
+            machine.reserved_for_job = claimant.job.spec.id
+            machine.reserved_until = now + HELD_REPORTS * self.state.timing.report_s
             self.commands.send(now, machine)
         return stopped
 
@@ -118,7 +122,9 @@
             self.tasks.stop(now, placement, StopReason.PREEMPTED)
             return
         victim.preempted.add(placement.index)
-        save = victim.spec.gang or worth_saving(placement, victim.spec, claimant.slack_s, now)
+        save = victim.spec.gang or worth_checkpointing(
+            placement, victim.spec, claimant.slack_s, now
+        )
         self.tasks.stop(now, placement, StopReason.PREEMPTED, save)
 
     def _candidates(
@@ -130,9 +136,9 @@
         machines, jobs = self.state.machines, self.jobs.jobs
         found: list[tuple[float, str, Machine, list[Placement]]] = []
         for machine in usable:
-            if now < machine.held_until or (machine.lowest >= priority and not under):
+            if now < machine.reserved_until or (machine.lowest >= priority and not under):
                 continue
-            if not zone_allows(job, machine.zone, machines):
+            if not zone_feasible(job, machine.zone, machines):
                 continue
             if machine.fetch_s(job.spec) > claimant.slack_s:
                 # Its image would come too late for the aim that the room is for.
@@ -146,4 +152,4 @@
     def _cost(self, placement: Placement, now: float) -> float:
         """The CPU seconds that stopping a task costs."""
         victim = self.jobs.jobs.get(placement.job_id)
-        return stop_cost(placement, victim.spec if victim else None, now) * placement.cpus
+        return preemption_cost(placement, victim.spec if victim else None, now) * placement.cpus
--- a/src/copperpass/core/scheduling/ranking.py
+++ b/src/copperpass/core/scheduling/ranking.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.machines import Machine, allows, zone_allows
-from copperpass.core.scheduling.objectives import price_of, remaining
+from copperpass.core.scheduling.machines import Machine, satisfies_constraints, zone_feasible
+from copperpass.core.scheduling.objectives import hourly_price, remaining_s
 from copperpass.protocol.users import JobSpec
 
 # Tasks are taken to run for so many times their estimate when they use what others leave.
@@ -68,16 +68,18 @@
     def _score(self, machine: Machine) -> tuple[float, ...] | None:
         """The lower the better; None if no task of the job may start there."""
         spec, kind, policy = self.job.spec, machine.type, self.policy
-        if not machine.has_room(spec) or not allows(spec, kind, machine.zone, machine.spot):
+        if not machine.has_room(spec) or not satisfies_constraints(
+            spec, kind, machine.zone, machine.spot
+        ):
             return None
         if policy.spot_only and not machine.spot:
             return None
         if kind.name in policy.closed_types and not self._backfills(machine):
             return None
         if (
-            machine.held_from(spec.id, self.now)
+            machine.is_reserved_for_other(spec.id, self.now)
             and not policy.ignore_reservations
-            and not (self.now + 2 * spec.estimate_s < machine.held_ready)
+            and not (self.now + 2 * spec.estimate_s < machine.reservation_ready_at)
         ):
             # Room that was freed by stopping tasks is for the job they were stopped for; room that
             # is held for a gang serves short work until the gang's other room is free.
@@ -90,7 +92,7 @@
         return (
             float(machine.name in self.job.failed_on),
             fetch if policy.urgent else 0.0,
-            price_of(kind, machine.spot) / max(kind.cpus, 1e-6),
+            hourly_price(kind, machine.spot) / max(kind.cpus, 1e-6),
             fetch,
             (kind.cpus > 2 * spec.cpus and left) or 0.0,
             left,
@@ -106,7 +108,7 @@
         if large is None or machine.has_room(large):
             return False
         ends = [
-            remaining(placement, self.now)
+            remaining_s(placement, self.now)
             for placement in machine.tasks.values()
             if placement.active and placement.cpus >= large.cpus
         ]
@@ -122,7 +124,7 @@
         while self.heap:
             score, number, machine = self.heap[0]
             fresh = self._score(machine)
-            if fresh is None or not zone_allows(self.job, machine.zone, self.machines):
+            if fresh is None or not zone_feasible(self.job, machine.zone, self.machines):
                 # Within a round room only shrinks and zones only close.
                 heapq.heappop(self.heap)
             elif fresh != score:
--- a/src/copperpass/core/scheduling/reclaimable_capacity.py
+++ b/src/copperpass/core/scheduling/reclaimable_capacity.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import EPS, Job, fits
+from copperpass.core.jobs.job_table import CAPACITY_TOLERANCE, Job, fits_within
 from copperpass.core.scheduling.machines import (
     Machine,
     Placement,
-    allows,
-    fits_machine_type,
-    zone_allows,
+    feasible_on_type,
+    satisfies_constraints,
+    zone_feasible,
 )
-from copperpass.core.scheduling.objectives import remaining
+from copperpass.core.scheduling.objectives import remaining_s
 from copperpass.protocol.users import PRIORITY_LEVELS, JobSpec
 
 
-def unsaved_work(placement: Placement, spec: JobSpec | None, now: float) -> float:
+def work_since_checkpoint(placement: Placement, spec: JobSpec | None, now: float) -> float:
     """The work since a task's last checkpoint, about: all of it where it never saves."""
     if not placement.running_at:
         return 0.0
@@ -22,44 +22,48 @@
     return ran % spec.checkpoint_s if spec is not None and spec.checkpoint_s > 0 else ran
 
 
-def stop_cost(placement: Placement, spec: JobSpec | None, now: float) -> float:
+def preemption_cost(placement: Placement, spec: JobSpec | None, now: float) -> float:
     """The seconds of work that stopping a task costs: lost, or spent on saving if that is less."""
-    lost = unsaved_work(placement, spec, now)
+    lost = work_since_checkpoint(placement, spec, now)
     return min(lost, spec.save_s) if spec is not None and spec.checkpoint_s > 0 else lost
 
 
-def worth_saving(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
+def worth_checkpointing(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
     """Whether a task that is stopped to make room should save first.
 
     Not where saving takes longer than the work since its last checkpoint did, nor where the room
     would come too late for the task that it is for.
     """
-    return spec.save_s < min(unsaved_work(placement, spec, now), slack_s)
+    return spec.save_s < min(work_since_checkpoint(placement, spec, now), slack_s)
 
 
-def machine_to_hold(
+def machine_to_reserve(
     job: Job, usable: list[Machine], machines: dict[str, Machine], now: float
 ) -> Machine | None:
     """The machine that will have room for the job's next task soonest, if nothing else starts."""
     best: tuple[float, str, Machine] | None = None
     spec = job.spec
     for machine in usable:
-        if not allows(spec, machine.type, machine.zone, machine.spot):
+        if not satisfies_constraints(spec, machine.type, machine.zone, machine.spot):
             continue
-        if not fits_machine_type(spec, machine.type) or not zone_allows(
+        if not feasible_on_type(spec, machine.type) or not zone_feasible(
             job, machine.zone, machines
         ):
             continue
-        if machine.held_from(spec.id, now):
+        if machine.is_reserved_for_other(spec.id, now):
             continue
         cpus, gpus, memory = machine.free_capacity()
         ready = 0.0
         tasks = sorted(
-            ((remaining(p, now), p) for p in machine.tasks.values() if p.active),
+            ((remaining_s(p, now), p) for p in machine.tasks.values() if p.active),
             key=lambda pair: pair[0],
         )
         for left, p in tasks:
-            if fits(spec.cpus, cpus) and fits(spec.gpus, gpus) and fits(spec.memory_gb, memory):
+            if (
+                fits_within(spec.cpus, cpus)
+                and fits_within(spec.gpus, gpus)
+                and fits_within(spec.memory_gb, memory)
+            ):
                 break
             ready = left
             cpus, gpus, memory = cpus + p.cpus, gpus + p.gpus, memory + p.memory_gb
@@ -85,11 +89,11 @@
     needs = (spec.cpus * times, spec.gpus * times, spec.memory_gb * times)
     kind = machine.type
     if any(
-        need > have + EPS
+        need > have + CAPACITY_TOLERANCE
         for need, have in zip(needs, (kind.cpus, kind.gpus, kind.memory_gb), strict=True)
     ) or (spec.gang and spec.spread and times > 1):
         return None
-    if not allows(spec, machine.type, machine.zone, machine.spot):
+    if not satisfies_constraints(spec, machine.type, machine.zone, machine.spot):
         return None
     candidates = _stoppable(job, machine, jobs, over_guarantee, under)
     candidates.sort(key=lambda placement: (placement.priority, _stop_cost(placement, jobs, now)))
@@ -113,7 +117,7 @@
     """What stopping a task costs: to stop one task of a gang is to stop all."""
     job = jobs.get(placement.job_id)
     gang = job is not None and job.spec.gang
-    return gang, stop_cost(placement, job.spec if job else None, now)
+    return gang, preemption_cost(placement, job.spec if job else None, now)
 
 
 def _stoppable(
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -19,7 +19,7 @@
 
     def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.state, self.tuning = state, context.tuning
-        self.scarce = objectives.ReservedTypes(context.types, self.tuning.keep_scarce_s)
+        self.reserved_types = objectives.ReservedTypes(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
         self.kept: frozenset[str] = frozenset()
         self.ordinary_peak = provisioning.SlidingMaximum(
@@ -39,8 +39,8 @@
     def policy(self, job: Job, left_out: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
         """Where the job's tasks may be started in this round, whether a gang's or single ones."""
         return PlacementPolicy(
-            closed_types=frozenset() if left_out else self.scarce.closed_to(job.spec),
-            reserved_for=self.scarce.smallest,
+            closed_types=frozenset() if left_out else self.reserved_types.reserved_from(job.spec),
+            reserved_for=self.reserved_types.smallest,
             spot_only=spot_only,
             urgent=urgent,
             reserved=frozenset() if job.spec.gang else self.kept,
@@ -53,13 +53,13 @@
         Work that needs ordinary room and can't wait for a boot would otherwise find it taken by
         work that could have gone elsewhere; gangs need it in one zone at that, and whole.
         """
-        aims, boot_s = self.state.aims, self.state.timing.boot_s
+        slos, boot_s = self.state.slos, self.state.timing.boot_s
         self.ordinary_peak.add(
             now,
             sum(
                 job.spec.cpus * (job.spec.tasks - job.done_count)
                 for job in jobs
-                if provisioning.needs_on_demand(job, aims, boot_s)
+                if provisioning.needs_on_demand(job, slos, boot_s)
             ),
         )
         need = self.ordinary_peak.value()
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -64,7 +64,7 @@
         self.tally: QuotaUsage = state.tally
         self.by_team: dict[str, Team] = state.by_team
         self.timing: Timing = state.timing
-        self.ties: dict[str, str] = self.demand.ties
+        self.zone_affinities: dict[str, str] = self.demand.zone_affinities
         self.completions: CompletionStore = self.results.completions
         for job in state.own_jobs():
             job.forget_tasks()
@@ -110,8 +110,8 @@
         if self.unsettled:
             self.commands.probe(now)
         self.completions.tick(now)
-        if self.state.dirty and now >= self.dispatcher.next_round:
-            self.round(now)
+        if self.state.dirty and now >= self.dispatcher.next_round_at:
+            self.dispatch_round(now)
 
     def scan(self, now: float) -> None:
         """Look for leases that have ended, machines that are lost, and ends to be stored."""
@@ -119,9 +119,9 @@
         self.results.store_outstanding(now)
         self.state.dirty = True
 
-    def round(self, now: float) -> None:
+    def dispatch_round(self, now: float) -> None:
         """One dispatch round."""
-        self.dispatcher.round(now)
+        self.dispatcher.run_round(now)
 
     # -- what the leader is told -------------------------------------------------------
 
@@ -200,6 +200,6 @@
         self.state.returning = value
 
     @property
-    def next_round(self) -> float:
+    def next_round_at(self) -> float:
         """When the next dispatch round may be at the earliest."""
-        return self.dispatcher.next_round
+        return self.dispatcher.next_round_at
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -52,7 +52,7 @@
         self.given: dict[str, MachineStatus] = {}
         # The machines where a job has or had tasks.
         self.where: dict[str, set[str]] = {}
-        self.aims = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
+        self.slos = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
         # CPUs, GPUs and memory of the latest tasks started, by team.
         self.recent: dict[str, deque[tuple[float, float, float]]] = {
             team.name: deque(maxlen=RECENT_TASKS) for team in self.teams
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -55,7 +55,7 @@
             placement.running_at = now
         placement.state = task.state
         if job is not None and job.spec.gang:
-            self.gangs.seen(now, job, placement)
+            self.gangs.on_task_active(now, job, placement)
         if job is None and placement.stop is None and self.state.knows_over(placement):
             placement.stop, placement.stopping_for = 0.0, StopReason.JOB_OVER
 
@@ -127,12 +127,12 @@
         if placement.why == ExitCause.ERROR:
             self._failed(now, machine, job)
         elif placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
-            machine.hold_until = now + report_s
+            machine.backoff_until = now + report_s
         elif placement.why == ExitCause.UNKNOWN:
             # The worker fetches the description itself and may have been told nothing yet.
-            job.hold_until = now + report_s
+            job.backoff_until = now + report_s
         if job.spec.gang:
-            self.gangs.exited(now, job, placement)
+            self.gangs.on_task_exited(now, job, placement)
 
     def _failed(self, now: float, machine: Machine, job: Job) -> None:
         """Tell a sick machine (many jobs fail there) from a job with a mistake."""
@@ -143,7 +143,7 @@
         if len(job.failed_on) >= FAILED_MACHINES:
             # Guards the fleet against a job that fails everywhere: back off, longer each time.
             wait = timing.report_s * 2 ** min(job.failures, MOST_DOUBLINGS)
-            job.hold_until = max(job.hold_until, now + min(wait, timing.lease_s))
+            job.backoff_until = max(job.backoff_until, now + min(wait, timing.lease_s))
         jobs = self.jobs.jobs
         suspects = [
             name
@@ -158,7 +158,7 @@
         if len(suspects) >= SICK_JOBS or alone:
             self._fence(now, machine, len(suspects))
         else:
-            machine.hold_until = now + 2 * timing.report_s
+            machine.backoff_until = now + 2 * timing.report_s
 
     def _fence(self, now: float, machine: Machine, suspects: int) -> None:
         """Give a sick machine nothing new, and take back what doesn't run there yet."""
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -167,7 +167,11 @@
         frame = ZoneAffinities(
             self.epoch,
             number,
-            tuple((job, owner.ties[job]) for job, _, _ in wants if job in owner.ties),
+            tuple(
+                (job, owner.zone_affinities[job])
+                for job, _, _ in wants
+                if job in owner.zone_affinities
+            ),
         )
         if self.cluster_manager is not None:
             self.cluster_manager.tied(frame)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -110,7 +110,7 @@
         """A shard has lost its owner: every machine of it needs a higher token."""
         self.out.log("info", "shard without owner", shard=shard.number, owner=shard.owner)
         shard.owner, shard.revision, shard.free_at = "", UNKNOWN_REVISION, free_at
-        shard.wants, shard.reading, shard.ties = [], False, {}
+        shard.wants, shard.reading, shard.zone_affinities = [], False, {}
         for machine in list(self.state.machines.values()):
             if machine.entry.shard == shard.number:
                 may_hold = machine.entry.may_hold
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -101,7 +101,7 @@
         """Gather what comes in close together into one round."""
         if self.soon is not None:
             return
-        due = [owner.next_round for owner in self.node.schedulers if owner.dirty]
+        due = [owner.next_round_at for owner in self.node.schedulers if owner.dirty]
         if due:
             wait = max(0.01, min(due) - self.now())
             self.soon = self.reactor.callLater(wait, self._soon)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize("trouble", ["unreachable", "deaf", "mute", "hung"])
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_a_leader_ends_while_machines_with_long_tasks_do_not_hear_the_new_one(trouble, partitioned):
-    # Holds what is unseen in `Demand.startable`.
+    # Holds what is unseen in `Demand.is_startable`.
     simulation = started_simulation(
         [job(n, tasks=4, run_s=100.0, slot="slow") for n in (1, 2)], 8, partitioned=partitioned
     )
@@ -305,7 +305,7 @@
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_jobs_bound_to_one_zone_lose_machines(partitioned):
-    # Holds `zone_allows`.
+    # Holds `zone_feasible`.
     simulation = Simulation(seed=2, partitioned=partitioned)
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=6, cpus=8.0, run_s=15.0, hall="b"))
@@ -580,7 +580,7 @@
         (probe,) = bench.take("worker")
         probe.then(bench.now, CallOutcome(status, said("m-9", [], token, 4, seq)))
         bench.owner.commands.probe(bench.now)
-    bench.owner.machines["m-1"].hold_until = bench.now + 99.0
+    bench.owner.machines["m-1"].backoff_until = bench.now + 99.0
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -28,7 +28,7 @@
 
     def starts(self):
         """The attempts of the starts that a round sends, each answered."""
-        self.owner.round(self.now)
+        self.owner.dispatch_round(self.now)
         found = []
         while calls := self.take("worker"):
             for call in calls:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -10,7 +10,7 @@
 from copperpass.core.scheduling.objectives import (
     ReservedTypes,
     ServiceLevelObjectives,
-    share_late,
+    limit_past_deadline_share,
     task_order,
 )
 from copperpass.core.scheduling.ranking import PlacementPolicy, Ranking
@@ -30,14 +30,14 @@
 
 def start_of_the_old_job(patience_s):
     """One job's aims have passed; five fresh ones come each second and one starts."""
-    aims = ServiceLevelObjectives(AIMS, patience_s)
+    slos = ServiceLevelObjectives(AIMS, patience_s)
     waiting = [made(1, 0.0, slot="slow", run_s=30.0, urgency="normal")]
     number = 1
     for second in range(100, 400):
         for _ in range(5):
             number += 1
             waiting.append(made(number, float(second)))
-        first = task_order(waiting, aims, float(second), bonus_s=5.0)[0]
+        first = task_order(waiting, slos, float(second), bonus_s=5.0)[0]
         waiting.remove(first)
         if first.spec.id == "req-000001":
             return second
@@ -57,39 +57,39 @@
 
 
 def test_types_that_large_tasks_need_are_kept_from_small_ones_while_large_ones_are_about():
-    scarce = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
     small, large = made(1, 0.0, cpus=4.0), made(2, 0.0, cpus=32.0)
-    scarce.note(0.0, [small])
-    assert scarce.closed_to(small.spec) == set()
-    scarce.note(10.0, [small, large])
-    assert scarce.closed_to(small.spec) == {"large"}
-    assert scarce.closed_to(large.spec) == set()
-    scarce.note(200.0, [small])
-    assert scarce.closed_to(small.spec) == {"large"}
-    scarce.note(311.0, [small])
-    assert scarce.closed_to(small.spec) == set()
+    reserved_types.observe(0.0, [small])
+    assert reserved_types.reserved_from(small.spec) == set()
+    reserved_types.observe(10.0, [small, large])
+    assert reserved_types.reserved_from(small.spec) == {"large"}
+    assert reserved_types.reserved_from(large.spec) == set()
+    reserved_types.observe(200.0, [small])
+    assert reserved_types.reserved_from(small.spec) == {"large"}
+    reserved_types.observe(311.0, [small])
+    assert reserved_types.reserved_from(small.spec) == set()
 
 
 @pytest.mark.parametrize("allowed", [["large"], ["small", "large"]])
 def test_a_job_that_names_its_types_is_not_shut_out_of_all(allowed):
-    scarce = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
-    scarce.note(0.0, [made(2, 0.0, cpus=32.0)])
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types.observe(0.0, [made(2, 0.0, cpus=32.0)])
     named = made(3, 0.0, cpus=4.0, racks=allowed)
-    assert set(allowed) - scarce.closed_to(named.spec)
+    assert set(allowed) - reserved_types.reserved_from(named.spec)
 
 
 def test_overdue_work_gets_a_part_of_the_room_and_no_more():
     # Work without aims, overdue first, took all room from work whose one aim was far off.
-    aims = ServiceLevelObjectives(AIMS, 120.0)
+    slos = ServiceLevelObjectives(AIMS, 120.0)
     old, new = made(1, 0.0, slot="none"), made(2, 190.0, slot="slow")
-    queue = task_order([new, old], aims, 200.0)
+    queue = task_order([new, old], slos, 200.0)
     assert queue == [old, new]
-    share_late(queue, aims, 200.0, used=8.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used=8.0, quota=16.0)
     assert queue == [old, new]
-    share_late(queue, aims, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used=16.0, quota=16.0)
     assert queue == [new, old]
     alone = [old]
-    share_late(alone, aims, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(alone, slos, 200.0, used=16.0, quota=16.0)
     assert alone == [old]
 
 
@@ -171,8 +171,10 @@
 
 
 def test_the_smallest_task_that_a_type_is_reserved_for_is_known():
-    scarce = ReservedTypes(types(("box", 16.0), ("crate", 64.0)), 300.0)
-    scarce.note(0.0, [made(1, 0.0, cpus=40.0), made(2, 0.0, cpus=24.0), made(3, 0.0, cpus=4.0)])
-    assert {name: spec.cpus for name, spec in scarce.smallest.items()} == {"crate": 24.0}
-    scarce.note(1.0, [made(3, 0.0, cpus=4.0)])
-    assert scarce.smallest == {}
+    reserved_types = ReservedTypes(types(("box", 16.0), ("crate", 64.0)), 300.0)
+    reserved_types.observe(
+        0.0, [made(1, 0.0, cpus=40.0), made(2, 0.0, cpus=24.0), made(3, 0.0, cpus=4.0)]
+    )
+    assert {name: spec.cpus for name, spec in reserved_types.smallest.items()} == {"crate": 24.0}
+    reserved_types.observe(1.0, [made(3, 0.0, cpus=4.0)])
+    assert reserved_types.smallest == {}
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from copperpass.core.scheduling.reclaimable_capacity import stop_cost, worth_saving
+from copperpass.core.scheduling.reclaimable_capacity import preemption_cost, worth_checkpointing
 from copperpass.protocol.workers import TaskState
 from tests.bodies import job
 from tests.test_shard_scheduler import Bench
@@ -19,7 +19,7 @@
     def __init__(self, **more):
         super().__init__()
         self.submit(1, **{"tasks": 4, "run_s": 100.0, **PATIENT, **more})
-        self.owner.round(self.now)
+        self.owner.dispatch_round(self.now)
         self.take("worker")
         self.run_all()
 
@@ -44,7 +44,7 @@
         return sorted(f"{t.job_id}/{t.index}" for t in tasks if t.active and t.stop is not None)
 
     def round(self):
-        self.owner.round(self.now)
+        self.owner.dispatch_round(self.now)
         self.take("worker")
         return self.stopped()
 
@@ -100,7 +100,7 @@
     placement = next(iter(bench.owner.machines["m-1"].tasks.values()))
     spec = bench.jobs.jobs[placement.job_id].spec
     placement.running_at = 100.0
-    assert worth_saving(placement, spec, slack_s, 100.0 + ran_s) == saves
+    assert worth_checkpointing(placement, spec, slack_s, 100.0 + ran_s) == saves
 
 
 def test_room_for_a_wait_of_seconds_does_not_come_after_a_save():
@@ -118,7 +118,7 @@
     placement = next(iter(bench.owner.machines["m-1"].tasks.values()))
     spec = bench.jobs.jobs[placement.job_id].spec
     placement.running_at = 100.0
-    costs = [stop_cost(placement, spec, 100.0 + ran_s) for ran_s in (4.0, 9.0, 41.0)]
+    costs = [preemption_cost(placement, spec, 100.0 + ran_s) for ran_s in (4.0, 9.0, 41.0)]
     assert costs == [4.0, 6.0, 1.0]
     never = msgspec.structs.replace(spec, checkpoint_s=0.0)
-    assert stop_cost(placement, never, 141.0) == 41.0
+    assert preemption_cost(placement, never, 141.0) == 41.0
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -479,10 +479,10 @@
     machine = bench.owner.machines["m-1"]
     machine.recorded = False
     bench.add()
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker")
     machine.recorded = True
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     assert bench.take("worker")
 
 
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -107,7 +107,7 @@
 
     def start(self, tasks=1):
         self.add(tasks=tasks)
-        self.owner.round(self.now)
+        self.owner.dispatch_round(self.now)
         (call,) = self.take("worker")
         orders = json.loads(call.body)["orders"]
         assert [o["verb"] for o in orders] == ["run"] * tasks
@@ -142,7 +142,7 @@
     bench.add()
     machine = bench.owner.machines["m-1"]
     machine.do_broken_until = bench.now + 100
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     assert bench.take("worker") == []
     answer = bench.report([])
     assert [c.op for c in answer.commands] == [CommandKind.START]
@@ -230,7 +230,7 @@
     bench = Bench()
     running = job(1, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000001", json.dumps({"spec": running}).encode(), 70)
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
     call.then(bench.now, CallOutcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
@@ -286,8 +286,8 @@
     for number, record in ((1, young), (2, old)):
         bench.jobs.saw(bench.now, f"c/live/req-{number:06d}", record, 90)
     jobs = bench.jobs.jobs
-    assert bench.owner.demand.startable(jobs["req-000001"], bench.now)
-    assert not bench.owner.demand.startable(jobs["req-000002"], bench.now)
+    assert bench.owner.demand.is_startable(jobs["req-000001"], bench.now)
+    assert not bench.owner.demand.is_startable(jobs["req-000002"], bench.now)
 
 
 def test_what_is_unseen_holds_up_only_jobs_that_may_be_there():
@@ -296,8 +296,10 @@
     for number, zone in ((1, None), (2, "b"), (3, "a")):
         record = json.dumps({"spec": job(number, hall=zone)}).encode()
         bench.jobs.saw(bench.now, f"c/live/req-{number:06d}", record, 40)
-    startable = {i: bench.owner.demand.startable(j, bench.now) for i, j in bench.jobs.jobs.items()}
-    assert startable == {"req-000001": False, "req-000002": True, "req-000003": False}
+    is_startable = {
+        i: bench.owner.demand.is_startable(j, bench.now) for i, j in bench.jobs.jobs.items()
+    }
+    assert is_startable == {"req-000001": False, "req-000002": True, "req-000003": False}
 
 
 def test_a_machine_taken_over_is_asked_at_once_and_its_answer_settles_it():
@@ -335,7 +337,7 @@
         probe.then(bench.now, CallOutcome(0))
         bench.owner.tick(bench.now)
         assert not bench.take("worker")
-        assert not bench.owner.demand.startable(bench.job, bench.now)
+        assert not bench.owner.demand.is_startable(bench.job, bench.now)
         bench.now += bench.owner.timing.report_s
     assert machine.name in bench.owner.unsettled and not machine.settled
 
@@ -354,7 +356,7 @@
     bench.seq += 1
     bench.now += 60.0
     bench.report(ended)
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (again,) = bench.take("worker")
     assert json.loads(again.body)["orders"][0]["take"] > attempt
 
@@ -363,7 +365,7 @@
     bench = Bench()
     for number in (1, 2):
         bench.add(number, tasks=2)
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
@@ -423,15 +425,15 @@
     bench = Bench()
     machine = bench.owner.machines["m-1"]
     bench.add(tasks=3)
-    machine.held_for, machine.held_until = "req-000099", bench.now + 1000.0
-    bench.owner.round(bench.now)
+    machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
+    bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another"
     for _ in range(80):
         bench.report([])
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker"), "the rest of the room is still held"
 
 
@@ -446,7 +448,7 @@
     bench.jobs.saw_completions("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
     assert bench.job.is_done(0) and 0 in bench.job.placed
     assert bench.job.waiting() == 1
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert [(o["verb"], o["page"]) for o in json.loads(call.body)["orders"]] == [
         ("run", "req-000001/1")
@@ -468,16 +470,16 @@
     bench.add(tasks=3)
     bench.job.mark_done(0)
     bench.job.arrived = bench.now - 500.0
-    machine.held_for, machine.held_until = "req-000099", bench.now + 1000.0
+    machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
     bench.job.placed[1] = "m-1"
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     bench.job.placed.clear()
     for _ in range(70):
         bench.report([])
-        bench.owner.round(bench.now)
+        bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another, and it had a place not long ago"
     for _ in range(10):
         bench.report([])
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -63,10 +63,10 @@
     assert len(requests) > 4000
     frame = CapacityRequests(7, 0, 5, requests)
     assert unpacked(frame) == frame
-    ties = ZoneAffinities(
+    zone_affinities = ZoneAffinities(
         7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests)
     )
-    assert unpacked(ties) == ties
+    assert unpacked(zone_affinities) == zone_affinities
     entries = tuple(
         MachineRoute(
             f"m-{n:06d}",
@@ -161,7 +161,7 @@
         )
         bench.owner.machines[name].settled = True
     bench.add(1, tasks=2)
-    bench.owner.round(bench.now)
+    bench.owner.dispatch_round(bench.now)
     for _ in range(3):
         bench.report([])
     lines = 0
