--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from copperpass.core.jobs.job_table import LIVE, OVER, fits_within
+from copperpass.core.jobs.job_table import fits_within
+from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -177,8 +178,8 @@
                 self._submitted(n, outcome, request, spec.id)
 
         op = Operation(
-            {LIVE + spec.id: 0, OVER + spec.id: 0},
-            [put_key(LIVE + spec.id, record)],
+            {LIVE_JOBS_PREFIX + spec.id: 0, COMPLETED_JOBS_PREFIX + spec.id: 0},
+            [put_key(LIVE_JOBS_PREFIX + spec.id, record)],
             stored,
             now + self.read_timeout,
             Priority.URGENT,
@@ -225,8 +226,11 @@
             self.transactions.submit(
                 n,
                 Operation(
-                    {LIVE + job_id: version},
-                    [delete_key(LIVE + job_id), put_key(OVER + job_id, final)],
+                    {LIVE_JOBS_PREFIX + job_id: version},
+                    [
+                        delete_key(LIVE_JOBS_PREFIX + job_id),
+                        put_key(COMPLETED_JOBS_PREFIX + job_id, final),
+                    ],
                     stored,
                     n + self.read_timeout,
                     Priority.URGENT,
@@ -248,7 +252,7 @@
 
         def live(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 404:
-                self._get(OVER + job_id, over)
+                self._get(COMPLETED_JOBS_PREFIX + job_id, over)
                 return
             final = self.finals.get(job_id)
             read = _read(outcome)
@@ -256,7 +260,7 @@
                 # Guards against going back: this node has told the job's end since it asked.
                 found(n, final, 0)
             elif job_id in self.removed:
-                self._get(OVER + job_id, over)
+                self._get(COMPLETED_JOBS_PREFIX + job_id, over)
             elif read is None:
                 failed(n)
             else:
@@ -273,7 +277,7 @@
                 self.note_final(job_id, read[0])
                 found(n, *read)
 
-        self._get(LIVE + job_id, live)
+        self._get(LIVE_JOBS_PREFIX + job_id, live)
 
     def note_removed(self, job_id: str) -> None:
         """The view has seen a live record go: an older answer about it is not to be told."""
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -10,8 +10,9 @@
 from copperpass.core.autoscaling.machine_tracking import MachineTracker
 from copperpass.core.autoscaling.planner import Planner
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
+from copperpass.core.kvstore.keys import INVENTORY_KEY
 from copperpass.core.shards.grants import ShardGrants
-from copperpass.core.storage.machine_inventory import FLEET, StoredInventory, page_number
+from copperpass.core.storage.machine_inventory import StoredInventory, page_number
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
     Grant,
@@ -87,7 +88,7 @@
         self.instance_requests.resume(now)
         self.fleet_store.begin(now)
 
-    def saw_fleet(self, fleet: StoredInventory, key: str = FLEET, version: int = 0) -> None:
+    def saw_fleet(self, fleet: StoredInventory, key: str = INVENTORY_KEY, version: int = 0) -> None:
         """The watch brings a change of the fleet's records.
 
         Until this term begins it may be a late write of an earlier leader's; afterwards only this
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/authority.py
@@ -21,6 +21,7 @@
 
 import msgspec
 
+from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, LEADER_KEY
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -41,7 +42,6 @@
 from copperpass.settings import Cluster, SettingsError
 
 DRIFT = 0.0005
-LEAD, TOKEN = "c/lead", "c/token"
 # The length of a grant, as a part of the leader key's life.
 GRANT_PER_TTL = 0.6
 
@@ -151,7 +151,7 @@
 
     def saw(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         """Take in a change of the leader key or of the token counter."""
-        if key == LEAD:
+        if key == LEADER_KEY:
             if version < self.lead_version and raw is not None:
                 return
             had = self.lead
@@ -174,7 +174,7 @@
             ):
                 # Our own earlier run still holds the key: that process is gone, so end its lease.
                 self._end_key(now, self.lead.lease)
-        elif key == TOKEN and raw is not None and version > self.counter_version:
+        elif key == FENCING_TOKEN_KEY and raw is not None and version > self.counter_version:
             record = decode(raw, FencingTokenRecord)
             # Every campaign is guarded by the counter's version: an older one can't win any more.
             self.doubtful.clear()
@@ -329,10 +329,10 @@
         self.transactions.submit(
             now,
             Operation(
-                {LEAD: 0, TOKEN: self.counter_version},
+                {LEADER_KEY: 0, FENCING_TOKEN_KEY: self.counter_version},
                 [
-                    put_key(LEAD, msgspec.to_builtins(record), made.lease),
-                    put_key(TOKEN, {"token": token, "member": self.member}),
+                    put_key(LEADER_KEY, msgspec.to_builtins(record), made.lease),
+                    put_key(FENCING_TOKEN_KEY, {"token": token, "member": self.member}),
                 ],
                 lambda n, outcome, revision: self._campaigned(
                     n, outcome, revision, token, made.lease
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from copperpass.core.kvstore.keys import LIVE_JOBS_PREFIX
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobSpec
 
-LIVE, OVER, COMPLETIONS = "c/live/", "d/job/", "c/ends/"
 CAPACITY_TOLERANCE = 1e-6
 LEAST_KNOWN_CANCELLED = 2000
 
@@ -257,7 +257,7 @@
 
     def saw(self, now: float, key: str, raw: bytes | None, version: int) -> tuple[Job | None, bool]:
         """Take in a change; returns the job it concerns and whether it is over."""
-        job_id = key[len(LIVE) :]
+        job_id = key[len(LIVE_JOBS_PREFIX) :]
         job = self.jobs.get(job_id)
         if raw is None:
             if job is not None and version >= job.version:
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
+from copperpass.core.kvstore.keys import WATCHED_PREFIX
 from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyPage, WatchAnswer, list_path, watch_path
 
-PREFIX = "c/"
 OnWatchChange = Callable[[float, str, bytes | None, int], None]
 
 
@@ -43,7 +43,7 @@
 
     def _list(self, after: str) -> None:
         self.out.calls.append(
-            Call("state", "GET", list_path(PREFIX, after), self._page, b"", self.timeout)
+            Call("state", "GET", list_path(WATCHED_PREFIX, after), self._page, b"", self.timeout)
         )
 
     def _page(self, now: float, outcome: CallOutcome) -> None:
@@ -70,7 +70,7 @@
         self.tick(now)
 
     def _follow(self) -> None:
-        path = watch_path(PREFIX, self.revision, int(self.wait_s * 1000))
+        path = watch_path(WATCHED_PREFIX, self.revision, int(self.wait_s * 1000))
         self.out.calls.append(
             Call("state", "GET", path, self._news, b"", self.wait_s + self.timeout)
         )
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 from copperpass import __version__
+from copperpass.core.kvstore.keys import MEMBER_VERSIONS_PREFIX
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -20,8 +21,6 @@
 from copperpass.protocol.kvstore import KeyValue, key_path, put_key
 from copperpass.protocol.records import VersionRecord
 
-# Outside the prefix that all versions list and watch.
-VERSIONS = "v/"
 FORMAT = 1
 
 
@@ -76,11 +75,11 @@
                 self._write(now, item.version if item is not None else 0)
 
         self.out.calls.append(
-            Call("state", "GET", key_path(VERSIONS + member), then, b"", self.timeout)
+            Call("state", "GET", key_path(MEMBER_VERSIONS_PREFIX + member), then, b"", self.timeout)
         )
 
     def _write(self, now: float, version: int) -> None:
-        key, member = VERSIONS + self.member, self.member
+        key, member = MEMBER_VERSIONS_PREFIX + self.member, self.member
         self.busy.add(member)
 
         def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -9,8 +9,15 @@
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
 from copperpass.core.autoscaling.provisioning import longest_boot
-from copperpass.core.election.authority import GRANT_PER_TTL, LEAD, TOKEN, Authority, times_of
-from copperpass.core.jobs.job_table import COMPLETIONS, LEAST_KNOWN_CANCELLED, LIVE, JobTable
+from copperpass.core.election.authority import GRANT_PER_TTL, Authority, times_of
+from copperpass.core.jobs.job_table import LEAST_KNOWN_CANCELLED, JobTable
+from copperpass.core.kvstore.keys import (
+    COMPLETIONS_PREFIX,
+    FENCING_TOKEN_KEY,
+    LEADER_KEY,
+    LIVE_JOBS_PREFIX,
+    MACHINE_TYPES_KEY,
+)
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -49,8 +56,6 @@
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
 
-TYPES = "c/types"
-
 
 def shards_of(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
     """The shard of each team: one each, or one for all where a controller can carry them.
@@ -362,24 +367,24 @@
     # -- what happens inside -------------------------------------------------------------
 
     def _saw(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        if key in (LEAD, TOKEN):
+        if key in (LEADER_KEY, FENCING_TOKEN_KEY):
             self.authority.saw(now, key, raw, version)
-        elif key == TYPES and raw is not None:
+        elif key == MACHINE_TYPES_KEY and raw is not None:
             # A node that has just started can judge submissions and command workers before
             # the cloud has answered it.
             offer = decode(raw, MachineTypes)
             self.stored_types = raw
             if offer is not None and not self.types:
                 self._use_types(offer)
-        elif key.startswith(LIVE):
+        elif key.startswith(LIVE_JOBS_PREFIX):
             job, over = self.jobs.saw(now, key, raw, version)
             if raw is None:
-                self.user_api.note_removed(key[len(LIVE) :])
+                self.user_api.note_removed(key[len(LIVE_JOBS_PREFIX) :])
             for owner in self.schedulers:
                 if over and job is not None:
                     owner.job_ended(now, job)
                 owner.dirty = True
-        elif key.startswith(COMPLETIONS):
+        elif key.startswith(COMPLETIONS_PREFIX):
             self.jobs.saw_completions(key, raw)
             self.versions[key] = version if raw is not None else 0
         elif self.fleet.saw(key, raw, version) and self.cluster_manager is not None:
@@ -526,8 +531,8 @@
             now,
             # Written once: a late copy must not bring an older offer back.
             Operation(
-                {TOKEN: self.authority.win_revision, TYPES: 0},
-                [put_key(TYPES, msgspec.to_builtins(offer))],
+                {FENCING_TOKEN_KEY: self.authority.win_revision, MACHINE_TYPES_KEY: 0},
+                [put_key(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))],
                 then,
                 now + self.ttl,
                 Priority.BATCHED,
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import LIVE, OVER, Job
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.transactions import Operation, TransactionOutcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import StopReason
@@ -45,7 +46,7 @@
                 self.completions.note(now, job)
             return
         job.storing = True
-        key = LIVE + job.spec.id
+        key = LIVE_JOBS_PREFIX + job.spec.id
         final = {"final": JobState.DONE, "count": job.spec.tasks}
 
         def then(at: float, outcome: TransactionOutcome, revision: int) -> None:
@@ -57,7 +58,7 @@
                 self.job_ended(at, job)
             # On a conflict the watch brings the newer record; the next scan tries again.
 
-        writes = [delete_key(key), put_key(OVER + job.spec.id, final)]
+        writes = [delete_key(key), put_key(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
         deadline = now + 2 * self.state.timing.lease_s
         operation = Operation({key: job.version}, writes, then, deadline)
         self.context.transactions.submit(now, operation)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -10,7 +10,8 @@
     ManagerState,
     Shard,
 )
-from copperpass.core.election.authority import DRIFT, TOKEN
+from copperpass.core.election.authority import DRIFT
+from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
 from copperpass.protocol.frames.messages import (
@@ -243,7 +244,7 @@
                 "POST",
                 TRANSACTION_PATH,
                 then,
-                transaction_body({TOKEN: self.state.token_version()}, []),
+                transaction_body({FENCING_TOKEN_KEY: self.state.token_version()}, []),
                 self.authority.ttl / 3,
             )
         )
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -19,15 +19,8 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from copperpass.core.election.authority import TOKEN
-from copperpass.core.jobs.job_table import (
-    COMPLETIONS,
-    Job,
-    JobTable,
-    pack_done,
-    segment_key,
-    split_segment,
-)
+from copperpass.core.jobs.job_table import Job, JobTable, pack_done, segment_key, split_segment
+from copperpass.core.kvstore.keys import COMPLETIONS_PREFIX, FENCING_TOKEN_KEY
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -94,7 +87,7 @@
         self.free: list[str] = []
         # Versions as the watch saw them; shared with the node, which keeps them up.
         self.versions = versions
-        self.prefix = f"{COMPLETIONS}{shard}."
+        self.prefix = f"{COMPLETIONS_PREFIX}{shard}."
         self._load()
 
     def _load(self) -> None:
@@ -348,7 +341,7 @@
         self.transactions.submit(
             now,
             Operation(
-                {TOKEN: self.token_version(), page.key: version},
+                {FENCING_TOKEN_KEY: self.token_version(), page.key: version},
                 [put_key(page.key, self._value(page))],
                 then,
                 now + self.deadline_s,
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from copperpass.core.election.authority import TOKEN
+from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, INVENTORY_KEY, INVENTORY_PAGES_PREFIX
 from copperpass.core.kvstore.transactions import (
     Operation,
     Priority,
@@ -38,8 +38,6 @@
 from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
 from copperpass.protocol.users import MAX_BODY_BYTES
 
-FLEET = "c/fleet"
-PAGES = "c/fleet/"
 MachineGroup = tuple[str, str, bool]
 Wait = Callable[[float, bool], None]
 # The part of the smallest allowed value that a page fills: the service may count a value's bytes
@@ -57,8 +55,8 @@
 
 def page_number(key: str) -> int | None:
     """The number of a page of the fleet, or None for any other key."""
-    number = key[len(PAGES) :]
-    return int(number) if key.startswith(PAGES) and number.isdecimal() else None
+    number = key[len(INVENTORY_PAGES_PREFIX) :]
+    return int(number) if key.startswith(INVENTORY_PAGES_PREFIX) and number.isdecimal() else None
 
 
 @dataclass(slots=True)
@@ -73,7 +71,7 @@
     def saw(self, key: str, raw: bytes | None, version: int) -> bool:
         """Take in a change; returns whether it concerns the fleet."""
         number = page_number(key)
-        if key != FLEET and number is None:
+        if key != INVENTORY_KEY and number is None:
             return False
         record = decode(raw, InventoryRecord) if raw is not None else None
         if number is None:
@@ -102,7 +100,7 @@
     @property
     def key(self) -> str:
         """Where it is stored."""
-        return f"{PAGES}{self.number}"
+        return f"{INVENTORY_PAGES_PREFIX}{self.number}"
 
     def cost(self, place: MachineGroup, item: int) -> int:
         """How much larger an item of that many bytes makes the page."""
@@ -447,17 +445,19 @@
                 self.next_write = n + 4 * self.gap_s
 
         self.writing = self.removing = True
-        guards = {TOKEN: self.token_version(), FLEET: self.version}
+        guards = {FENCING_TOKEN_KEY: self.token_version(), INVENTORY_KEY: self.version}
         self._submit(
             now,
-            Operation(guards, [delete_key(FLEET)], then, now + self.deadline_s, Priority.NORMAL),
+            Operation(
+                guards, [delete_key(INVENTORY_KEY)], then, now + self.deadline_s, Priority.NORMAL
+            ),
         )
 
     def _remove_leftover(self, now: float) -> None:
         """Pages of an interrupted move that are not in use: no truth, but keys for ever."""
         numbers = sorted(self.leftover)[: self.txn_ops]
-        guards = {TOKEN: self.token_version()}
-        guards.update({f"{PAGES}{n}": self.leftover[n] for n in numbers})
+        guards = {FENCING_TOKEN_KEY: self.token_version()}
+        guards.update({f"{INVENTORY_PAGES_PREFIX}{n}": self.leftover[n] for n in numbers})
 
         def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
@@ -468,7 +468,7 @@
                 self.next_write = n + 4 * self.gap_s
 
         self.writing = True
-        writes = [delete_key(f"{PAGES}{n}") for n in numbers]
+        writes = [delete_key(f"{INVENTORY_PAGES_PREFIX}{n}") for n in numbers]
         self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
         self.next_write = now + len(numbers) * self.gap_s
 
@@ -537,8 +537,8 @@
             self._written(n, outcome, revision, waits, marked)
 
         op = Operation(
-            {TOKEN: token, FLEET: version},
-            [put_key(FLEET, value)],
+            {FENCING_TOKEN_KEY: token, INVENTORY_KEY: version},
+            [put_key(INVENTORY_KEY, value)],
             then,
             now + self.deadline_s,
             Priority.NORMAL,
@@ -575,10 +575,10 @@
 
     def _write_pages(self, now: float, due: list[InventoryPage]) -> None:
         pages: list[tuple[InventoryPage, list[Wait], set[str]]] = []
-        guards = {TOKEN: self.token_version()}
+        guards = {FENCING_TOKEN_KEY: self.token_version()}
         if not self.moving:
             # Pages count only without it: no write of theirs may come to stand beside it.
-            guards[FLEET] = 0
+            guards[INVENTORY_KEY] = 0
         writes: list[dict[str, Any]] = []
         size = largest = 0
         for page in due:
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from copperpass.core.election.authority import TOKEN, Authority, times_of
+from copperpass.core.election.authority import Authority, times_of
+from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.protocol.frames.messages import LeaseExtensionRequest, MachineContact
@@ -676,7 +677,7 @@
         (drop,) = out.calls
         drop.then(51.1, CallOutcome(200))
     else:
-        core.saw(51.1, TOKEN, b'{"token":0,"member":"n1"}', 9)
+        core.saw(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
     assert promised()
 
 
