--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from copperpass.core.jobs.job_table import fits_within
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.transactions import (
     Operation,
@@ -17,7 +16,7 @@
     TransactionQueue,
 )
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
-from copperpass.core.scheduling.machines import feasible_on_type
+from copperpass.core.scheduling.bin_packing.feasibility import feasible_on_type, fits_within
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
 from copperpass.protocol.kvstore import KeyValue, delete_key, key_path, put_key
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -6,7 +6,9 @@
 
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
-from copperpass.core.scheduling import objectives
+from copperpass.core.scheduling.guarantees import assess_guarantees
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.core.scheduling.reserved_types import ReservedTypes
 
 # A shard's own peak is kept for longer: the fewer its jobs, the more they vary.
 SHARD_WINDOW = 2.4
@@ -36,8 +38,8 @@
     def __init__(self, context: ManagerContext, state: ManagerState) -> None:
         tuning = context.tuning
         self.state, self.cluster, self.jobs = state, context.cluster, context.jobs
-        self.slos = objectives.ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
-        self.reserved_types = objectives.ReservedTypes(context.types, tuning.keep_scarce_s)
+        self.slos = ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
+        self.reserved_types = ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
         self.peak = provisioning.SlidingMaximum(warm_s)
         self.spot_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
@@ -55,7 +57,7 @@
         ordinary: dict[int, float] = dict.fromkeys(state.shards, 0.0)
         patient = 0.0
         jobs = list(self.jobs.jobs.values())
-        objectives.assess_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
+        assess_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
         self.reserved_types.observe(now, jobs)
         for job in jobs:
             cannot_wait = provisioning.cannot_wait(job, self.slos, state.boot_s)
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -17,7 +17,7 @@
     Shard,
 )
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling import objectives
+from copperpass.core.scheduling.prices import hourly_price
 from copperpass.protocol.frames.messages import NO_SHARD
 from copperpass.protocol.users import JobSpec
 
@@ -127,7 +127,7 @@
             and not machine.entry.back
             and machine.entry.shard != NO_SHARD
         ]
-        spare.sort(key=lambda m: objectives.hourly_price(m.type, m.entry.spot) / m.type.cpus)
+        spare.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
         return ShardOffer(shard, serving, rooms, spare, self.rebalancer.cover(serving))
 
     def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -10,8 +10,14 @@
 import msgspec
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.machines import Machine, feasible_on_type, satisfies_constraints
-from copperpass.core.scheduling.objectives import ServiceLevelObjectives, hourly_price, remaining_s
+from copperpass.core.scheduling.bin_packing.feasibility import (
+    feasible_on_type,
+    satisfies_constraints,
+)
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.core.scheduling.prices import hourly_price
+from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -10,7 +10,7 @@
 from copperpass.core.autoscaling.rebalancing import Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
-from copperpass.core.scheduling import objectives
+from copperpass.core.scheduling.prices import hourly_price
 
 
 class WarmCapacity:
@@ -148,7 +148,7 @@
             and not machine.entry.back
             and now - max(machine.idle_since, machine.up_at) >= idle_s
         ]
-        idle.sort(key=lambda m: -objectives.hourly_price(m.type, m.entry.spot) / m.type.cpus)
+        idle.sort(key=lambda m: -hourly_price(m.type, m.entry.spot) / m.type.cpus)
         for machine in idle:
             kept = warm.cheap if machine.entry.spot else warm.any
             if total - machine.type.cpus >= kept and self.rebalancer.may_leave(machine):
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -13,15 +13,9 @@
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobSpec
 
-CAPACITY_TOLERANCE = 1e-6
 LEAST_KNOWN_CANCELLED = 2000
 
 
-def fits_within(amount: float, room: float) -> bool:
-    """Whether an amount fits into a room; the one place with a tolerance for decimals."""
-    return amount <= room + CAPACITY_TOLERANCE
-
-
 def pack_done(done: bytearray) -> str:
     """The done tasks as text, short while few or all of the last are missing."""
     return base64.b64encode(bytes(done).rstrip(b"\0")).decode()
--- a/src/copperpass/core/scheduling/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -7,8 +7,10 @@
 from dataclasses import dataclass, field
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.machines import Machine, satisfies_constraints, zone_feasible
-from copperpass.core.scheduling.objectives import hourly_price, remaining_s
+from copperpass.core.scheduling.bin_packing.feasibility import satisfies_constraints, zone_feasible
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.prices import hourly_price
+from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.protocol.users import JobSpec
 
 # Tasks are taken to run for so many times their estimate when they use what others leave.
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -3,12 +3,17 @@
 from __future__ import annotations
 
 from copperpass.core.autoscaling import provisioning
-from copperpass.core.jobs.job_table import CAPACITY_TOLERANCE, Job
-from copperpass.core.scheduling import allocation, objectives
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling import allocation
+from copperpass.core.scheduling.bin_packing.feasibility import (
+    CAPACITY_TOLERANCE,
+    feasible_on_type,
+    satisfies_constraints,
+)
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import feasible_on_type, satisfies_constraints
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_order import task_order
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
 from copperpass.protocol.frames.messages import PendingTasks
 
@@ -42,7 +47,7 @@
         unmet = []
         self.zone_affinities.clear()
         taken = {team: state.tally.of(team)[0] for team in state.by_team}
-        for job in objectives.task_order(waiting, state.slos, now, timing.boot_s / 2):
+        for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
             # Tasks that may be running where we have not looked yet need no machines.
             if not self.is_startable(job, now, unseen):
                 continue
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -8,18 +8,21 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job, fits_within
-from copperpass.core.scheduling import allocation, objectives
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling import allocation
+from copperpass.core.scheduling.bin_packing.feasibility import fits_within
+from copperpass.core.scheduling.bin_packing.ranking import Ranking
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.demand import Demand
-from copperpass.core.scheduling.gangs import GangPlacer
+from copperpass.core.scheduling.gang_placer import GangPlacer
+from copperpass.core.scheduling.guarantees import assess_guarantees
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.preemption import Preemption
-from copperpass.core.scheduling.ranking import Ranking
-from copperpass.core.scheduling.reclaimable_capacity import machine_to_reserve
+from copperpass.core.scheduling.reservation_planning import machine_to_reserve
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
 # The part of a shard's room that overdue work gets before work that can still be in time.
@@ -154,7 +157,7 @@
     def _fill_queues(self, demand: Demand, jobs: list[Job]) -> None:
         """Queue each team's jobs that may start, by urgency, and count its tasks."""
         now, slos, teams = self.now, self.slos, self.state.teams
-        objectives.assess_guarantees(jobs, {team.name: team.cpus for team in teams})
+        assess_guarantees(jobs, {team.name: team.cpus for team in teams})
         self.running = {team.name: 0 for team in teams}
         queues: dict[str, list[Job]] = {team.name: [] for team in teams}
         unseen = demand.unseen()
@@ -165,14 +168,12 @@
                 queues.setdefault(name, []).append(job)
         self.backlog = sum(len(queue) for queue in queues.values())
         bonus = self.boot_s / 2
-        self.queues = {
-            name: objectives.task_order(queue, slos, now, bonus) for name, queue in queues.items()
-        }
+        self.queues = {name: task_order(queue, slos, now, bonus) for name, queue in queues.items()}
         self.late_used = sum(
             len(job.placed) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
         )
         for queue in self.queues.values():
-            objectives.limit_past_deadline_share(queue, slos, now, self.late_used, self.late_quota)
+            limit_past_deadline_share(queue, slos, now, self.late_used, self.late_quota)
 
     def place_all(self) -> None:
         """Start tasks until no queue has one that finds room."""
@@ -249,9 +250,7 @@
         if self.late_used < self.late_quota and self.slos.is_past_deadline(job, now):
             self.late_used += job.spec.cpus
             queue = self.queues[name]
-            objectives.limit_past_deadline_share(
-                queue, self.slos, now, self.late_used, self.late_quota
-            )
+            limit_past_deadline_share(queue, self.slos, now, self.late_used, self.late_quota)
         self.log.append(machine)
         self._count(name, job, 1)
 
--- /dev/null
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -0,0 +1,61 @@
+"""Gangs: what the reported states of their tasks mean for the attempt."""
+
+from __future__ import annotations
+
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling.machines import Placement, StopReason
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.protocol.workers import ExitCause, TaskState
+
+
+class GangMonitor:
+    """Judges the attempts of gangs by what is reported of their tasks."""
+
+    def __init__(self, state: ShardState, tasks: TaskLifecycle) -> None:
+        self.state, self.tasks = state, tasks
+
+    def on_task_active(self, now: float, job: Job, placement: Placement) -> None:
+        """A task of a gang is reported as active."""
+        if job.ending and placement.stop is None:
+            # Its machine was taken over only after the attempt had ended and the rest were told.
+            self.tasks.stop(now, placement, StopReason.ATTEMPT_OVER)
+        if not job.attempt and not job.ending:
+            if placement.stop is not None:
+                # The second copy of a task, which must go: nobody may join its attempt.
+                return
+            # Taken over from an earlier owner: what is missing joins its attempt.
+            job.attempt = placement.attempt
+        if placement.attempt != job.attempt:
+            # Of another attempt, which only a leftover can be: neither may be added to.
+            self.tasks.end_gang(now, job, StopReason.TWO_ATTEMPTS, 0.0)
+        elif placement.state in (TaskState.RUNNING, TaskState.SAVING):
+            job.begun = True
+
+    def on_task_exited(self, now: float, job: Job, placement: Placement) -> None:
+        """A task of a gang has ended without being done."""
+        if job.ended():
+            return
+        if placement.attempt == job.attempt and not job.ending:
+            refused = placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN)
+            waiting = not job.begun and (
+                refused
+                or placement.stop is not None
+                or (placement.why == ExitCause.ERROR and not placement.running_at)
+            )
+            if not waiting:
+                # Whatever the rest does now, it can't complete under this attempt.
+                self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.why)
+        job.settle_gang()
+
+    def all_reachable(self, now: float, job: Job) -> bool:
+        """Whether all tasks of a gang can be told to stop within the time that saving takes."""
+        timing, machines = self.state.timing, self.state.machines
+        longest = min(timing.silence_s, timing.gang_notice_s)
+        for name in job.placed.values():
+            machine = machines.get(name)
+            if machine is None or machine.deaf_since is not None:
+                return False
+            if now - machine.last_report > longest:
+                return False
+        return True
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -4,12 +4,12 @@
 
 from copperpass.core.jobs.job_table import Job, parse_task
 from copperpass.core.ports import NOT_SENT, CallOutcome
-from copperpass.core.scheduling import objectives
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.gangs import GangMonitor
+from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.shards.routing import HANDOVER_SHIFT
@@ -273,7 +273,7 @@
             ):
                 # It can't be saved in time: to run on may still complete it.
                 continue
-            if objectives.remaining_s(placement, now) > NOTICE_MARGIN * left:
+            if remaining_s(placement, now) > NOTICE_MARGIN * left:
                 self.tasks.stop(now, placement, StopReason.NOTICE)
 
     def direct_answer(
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from copperpass.core.jobs.job_table import Job, fits_within
+from copperpass.core.scheduling.bin_packing.feasibility import fits_within
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import MachineStatus
 from copperpass.protocol.users import JobSpec
@@ -233,38 +233,6 @@
         )
 
 
-def satisfies_constraints(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
-    """Whether a job allows a type, a zone and a kind of machine."""
-    if spec.types is not None and machine_type.name not in spec.types:
-        return False
-    if spec.zone is not None and spec.zone != zone:
-        return False
-    return spec.spot or not spot
-
-
-def feasible_on_type(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether one task fits an empty machine of a type."""
-    return (
-        fits_within(spec.cpus, machine_type.cpus)
-        and fits_within(spec.gpus, machine_type.gpus)
-        and fits_within(spec.memory_gb, machine_type.memory_gb)
-    )
-
-
-def zone_feasible(job: Job, zone: str, machines: dict[str, Machine]) -> bool:
-    """Whether one more task of the job may be in a zone, given where its others are."""
-    spec = job.spec
-    if not spec.one_zone and not spec.spread:
-        return True
-    counts: dict[str, int] = {}
-    for name in job.placed.values():
-        where = machines[name].zone if name in machines else "?"
-        counts[where] = counts.get(where, 0) + 1
-    if spec.one_zone and any(z != zone for z in counts):
-        return False
-    return not spec.spread or counts.get(zone, 0) + 1 <= (spec.tasks + 1) // 2
-
-
 class QuotaUsage:
     """What each team's tasks take on an owner's machines: sums kept up machine by machine."""
 
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -5,23 +5,15 @@
 import heapq
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job, fits_within
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling.bin_packing.feasibility import fits_within, zone_feasible
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import (
-    NO_PRIORITY,
-    Machine,
-    Placement,
-    StopReason,
-    zone_feasible,
-)
-from copperpass.core.scheduling.reclaimable_capacity import (
-    preemption_cost,
-    victims,
-    worth_checkpointing,
-)
+from copperpass.core.scheduling.machines import NO_PRIORITY, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_estimates import preemption_cost, worth_checkpointing
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.core.scheduling.victims import victims
 from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Room is freed for as many tasks of a job at a time.
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -4,10 +4,10 @@
 
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling import objectives
+from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.scheduling.ranking import PlacementPolicy
+from copperpass.core.scheduling.reserved_types import ReservedTypes
 from copperpass.core.scheduling.state import ShardState
 
 # The part of its patience after which a job none of whose tasks has started finds any room.
@@ -19,7 +19,7 @@
 
     def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.state, self.tuning = state, context.tuning
-        self.reserved_types = objectives.ReservedTypes(context.types, self.tuning.keep_scarce_s)
+        self.reserved_types = ReservedTypes(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
         self.kept: frozenset[str] = frozenset()
         self.ordinary_peak = provisioning.SlidingMaximum(
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -11,7 +11,8 @@
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
 from copperpass.core.scheduling.dispatch_round import Dispatcher
-from copperpass.core.scheduling.gangs import GangMonitor, GangPlacer
+from copperpass.core.scheduling.gang_monitor import GangMonitor
+from copperpass.core.scheduling.gang_placer import GangPlacer
 from copperpass.core.scheduling.heartbeat_timeouts import HeartbeatTimeoutScan
 from copperpass.core.scheduling.heartbeats import HeartbeatHandler
 from copperpass.core.scheduling.job_results import JobResults
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.gangs import GangMonitor
+from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.job_results import JobResults
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -6,14 +6,11 @@
 import pytest
 
 from copperpass.core.jobs.job_table import make_job
+from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy, Ranking
 from copperpass.core.scheduling.machines import Machine, Placement
-from copperpass.core.scheduling.objectives import (
-    ReservedTypes,
-    ServiceLevelObjectives,
-    limit_past_deadline_share,
-    task_order,
-)
-from copperpass.core.scheduling.ranking import PlacementPolicy, Ranking
+from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.core.scheduling.reserved_types import ReservedTypes
+from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 from copperpass.settings import Objective
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from copperpass.core.scheduling.reclaimable_capacity import preemption_cost, worth_checkpointing
+from copperpass.core.scheduling.task_estimates import preemption_cost, worth_checkpointing
 from copperpass.protocol.workers import TaskState
 from tests.bodies import job
 from tests.test_shard_scheduler import Bench
