--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -6,7 +6,7 @@
 import sys
 
 from copperpass import __version__
-from copperpass.core.election.authority import times_of
+from copperpass.core.election.leader_election import election_timings
 from copperpass.settings import SettingsError, load
 from copperpass.tuning import Tuning, load_tuning
 
@@ -36,7 +36,7 @@
     args = parser().parse_args(argv)
     try:
         settings = load(args.config)
-        times_of(settings.cluster)
+        election_timings(settings.cluster)
         tuning = Tuning()
         if args.operator:
             tuning = load_tuning(args.operator)
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, context: ManagerContext, now: float) -> None:
-        self.out, self.authority = context.out, context.authority
+        self.out, self.election = context.out, context.election
         self.state = state = ManagerState(context, now)
         self.epoch, self.won_at = state.epoch, state.won_at
         self.table, self.machines = state.table, state.machines
@@ -134,14 +134,14 @@
 
     def tick(self, now: float) -> None:
         """Everything that the passing of time asks for."""
-        if not self.state.ready or not self.authority.entitled(now):
+        if not self.state.ready or not self.election.has_authority(now):
             return
         if self.records.used_up():
             # Only a new term has tokens for more handovers.
-            self.authority.step_down(now, "handovers used up")
+            self.election.step_down(now, "handovers used up")
             return
         if self.fleet_store.stuck():
-            self.authority.step_down(now, "a write of the fleet's record is in doubt")
+            self.election.step_down(now, "a write of the fleet's record is in doubt")
             return
         self.grants.expire(now)
         self.grants.relieve(now)
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -44,7 +44,7 @@
         self, context: ManagerContext, state: ManagerState, records: MachineRecords
     ) -> None:
         self.state, self.records, self.fleet_store = state, records, state.fleet_store
-        self.out, self.authority = context.out, context.authority
+        self.out, self.election = context.out, context.election
         rps = context.cluster.cloud.rps
         self.calls = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
         self.booking = 0
@@ -65,7 +65,7 @@
         self.state.pending_requests[request] = booking
 
         def stored(n: float, ok: bool) -> None:
-            if ok and self.authority.entitled(n):
+            if ok and self.election.has_authority(n):
                 self._book(n, booking, request, TRIES)
             else:
                 self.state.pending_requests.pop(request, None)
@@ -81,7 +81,7 @@
             if outcome.status == 200:
                 self._rented(n, booking, request, outcome.body)
                 return
-            if outcome.status in (NO_ANSWER, 429) and tries > 1 and self.authority.entitled(n):
+            if outcome.status in (NO_ANSWER, 429) and tries > 1 and self.election.has_authority(n):
                 self._book(n, booking, request, tries - 1)
                 return
             self.state.pending_requests.pop(request, None)
@@ -111,7 +111,7 @@
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
         """Return machines, with those whose return hasn't been confirmed."""
-        if not self.authority.entitled(now):
+        if not self.election.has_authority(now):
             return
         for machine in machines:
             machine.releasing = True
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -8,7 +8,11 @@
 
 from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.provisioning import MachineGroup
-from copperpass.core.election.authority import GRANT_PER_TTL, Authority, certain_lease_s
+from copperpass.core.election.leader_election import (
+    GRANT_TTL_RATIO,
+    LeaderElection,
+    worker_lease_expiry_s,
+)
 from copperpass.core.jobs.job_table import Job, JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
@@ -102,7 +106,7 @@
     # When this run of the member first asked.
     since: float = float("inf")
     heard: float = float("-inf")
-    granted_until: float = float("-inf")
+    grants_expire_at: float = float("-inf")
     feed: ReplicationSender[MachineRoute] | None = None
     inbox: ReplicationReceiver = field(default_factory=ReplicationReceiver)
 
@@ -120,7 +124,7 @@
     tuning: Tuning
     out: Outbox
     transactions: TransactionQueue
-    authority: Authority
+    election: LeaderElection
     jobs: JobTable
     types: dict[str, MachineType]
     fleet: StoredInventory
@@ -132,7 +136,7 @@
     # Whether a member's heartbeats come in at a moment.
     linked: Callable[[float, str], bool]
     # Whether all members are certainly of this version or a later one.
-    proven: Callable[[], bool] = lambda: False
+    all_upgraded: Callable[[], bool] = lambda: False
 
 
 class ManagerState:
@@ -143,14 +147,14 @@
     """
 
     def __init__(self, context: ManagerContext, now: float) -> None:
-        self.cluster, self.types, self.authority = context.cluster, context.types, context.authority
-        self.member = context.authority.member
-        self.epoch = context.authority.token
+        self.cluster, self.types, self.election = context.cluster, context.types, context.election
+        self.member = context.election.member
+        self.epoch = context.election.token
         self.won_at = now
         self.ready = False
-        self.grant_s = GRANT_PER_TTL * context.authority.ttl
+        self.grant_s = GRANT_TTL_RATIO * context.election.leader_ttl_s
         self.report_s = context.cluster.workers.report_s
-        self.lease_s = certain_lease_s(context.cluster)
+        self.lease_s = worker_lease_expiry_s(context.cluster)
         self.boot_s = provisioning.longest_boot(context.types)
         self.table: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
@@ -177,13 +181,13 @@
             context.cluster.workers.lease_s,
             state.least_value_bytes,
             state.least_txn_ops,
-            context.proven,
+            context.all_upgraded,
             state.next is not None,
         )
 
     def token_version(self) -> int:
         """The version of the token counter that guards this term's writes."""
-        return self.authority.win_revision
+        return self.election.election_revision
 
     def serving(self) -> list[ManagedMachine]:
         """The machines that are neither going nor broken."""
--- a/src/copperpass/core/election/authority.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -43,55 +43,64 @@
 
 DRIFT = 0.0005
 # The length of a grant, as a part of the leader key's life.
-GRANT_PER_TTL = 0.6
+GRANT_TTL_RATIO = 0.6
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ElectionTimings:
     """The lengths that the safety argument is about."""
 
-    ttl: float
-    promise: float
-    extension: float
-    lease: float
-    cancel: float
+    leader_ttl_s: float
+    vote_s: float
+    max_extension_s: float
+    worker_lease_s: float
+    cancel_deadline_s: float
 
     def check(self) -> None:
         """Refuse lengths for which the argument does not hold."""
         slack = 1 + 4 * DRIFT
-        if not 0 < self.promise * slack < self.ttl:
-            raise SettingsError("promise must be shorter than the leader key's life")
-        if (self.ttl + 2 * self.promise) * slack >= self.lease:
+        if not 0 < self.vote_s * slack < self.leader_ttl_s:
+            raise SettingsError("a vote must be shorter than the leader key's life")
+        if (self.leader_ttl_s + 2 * self.vote_s) * slack >= self.worker_lease_s:
             raise SettingsError("workers.lease_s: too short for a change of leader")
-        if self.extension < 0 or (self.extension + self.lease) * slack > self.cancel:
+        if (
+            self.max_extension_s < 0
+            or (self.max_extension_s + self.worker_lease_s) * slack > self.cancel_deadline_s
+        ):
             raise SettingsError(
                 "workers.cancel_s: too short for an extension of authority and a worker's lease"
             )
 
 
-def times_of(cluster: Cluster) -> Times:
+def election_timings(cluster: Cluster) -> ElectionTimings:
     """The lengths as ratios of the workers' figures."""
     lease, cancel = cluster.workers.lease_s, cluster.workers.cancel_s
     ttl = 0.22 * lease
-    times = Times(ttl, 0.35 * ttl, max(0.0, 0.95 * (cancel - 1.01 * lease)), lease, cancel)
-    times.check()
-    return times
-
-
-def certain_lease_s(cluster: Cluster) -> float:
+    timings = ElectionTimings(
+        leader_ttl_s=ttl,
+        vote_s=0.35 * ttl,
+        max_extension_s=max(0.0, 0.95 * (cancel - 1.01 * lease)),
+        worker_lease_s=lease,
+        cancel_deadline_s=cancel,
+    )
+    timings.check()
+    return timings
+
+
+def worker_lease_expiry_s(cluster: Cluster) -> float:
     """How long after an answer's receipt a worker's lease is over for certain."""
     workers = cluster.workers
     return workers.lease_s * (1 + 4 * DRIFT) + 0.05 * workers.report_s
 
 
-class Authority:
+class LeaderElection:
     """The election core of one node."""
 
     def __init__(
         self,
         member: str,
         others: list[str],
-        times: Times,
+        times: ElectionTimings,
         out: Outbox,
         transactions: TransactionQueue,
         rng: random.Random,
@@ -100,285 +109,291 @@
         fresh_at: Callable[[], float] = lambda: float("inf"),
         granted_s: float = 0.0,
     ) -> None:
-        self.member, self.others, self.times = member, others, times
-        self.ttl = times.ttl
+        self.member, self.peers, self.timings = member, others, times
+        self.leader_ttl_s = times.leader_ttl_s
         self.out, self.transactions, self.rng = out, transactions, rng
         self.on_change = on_change
         # What was confirmed before this moment is known here.
         self.fresh_at = fresh_at
-        self.lead: LeaderRecord | None = None
-        self.lead_version = 0
-        self.counter = 0
-        self.counter_version = 0
-        self.counter_holder = ""
-        self.known = False
+        self.leader: LeaderRecord | None = None
+        self.leader_version = 0
+        self.token_counter = 0
+        self.token_counter_version = 0
+        self.token_counter_holder = ""
+        self.records_synced = False
         # Until when the grants last that were given under this member's authority, in its present
         # run or an earlier one. Its key must not end sooner by its own doing: the next leader would
         # give away shards whose owners, under such a grant, still start tasks.
-        self.granted_until = now + granted_s
+        self.grants_expire_at = now + granted_s
         # The key's lease, to be ended once those grants are over.
-        self.ending: int | None = None
+        self.lease_to_revoke: int | None = None
         # As a leader.
-        self.leading = False
+        self.is_leader = False
         self.token = 0
-        self.win_revision = 0
+        self.election_revision = 0
         self.lease_until = 0.0
         self.extension_until = 0.0
         self.lease: int | None = None
         self.next_renewal = 0.0
         self.renewing = False
-        self.next_ask = 0.0
-        self.number = rng.getrandbits(32)
-        self.asked: dict[int, float] = {}
-        self.promised: dict[str, float] = {}
+        self.next_vote_request = 0.0
+        self.vote_request_number = rng.getrandbits(32)
+        self.vote_requests: dict[int, float] = {}
+        self.votes_until: dict[str, float] = {}
         # As a candidate.
         self.campaigning = False
         self.new_lease: int | None = None
         # Leases of campaigns without an answer, whose transactions may be carried out yet.
-        self.doubtful: set[int] = set()
-        self.new_lease_sent = 0.0
+        self.unresolved_leases: set[int] = set()
+        self.campaign_started_at = 0.0
         # Members campaign one after the other, so that they seldom meet.
         rank = sorted([member, *others]).index(member)
-        self.turn = rank * times.ttl / 12
-        self.next_campaign = now + self.turn
-        self.shun_until = 0.0
+        self.campaign_stagger_s = rank * times.leader_ttl_s / 12
+        self.next_campaign = now + self.campaign_stagger_s
+        self.backoff_until = 0.0
         # As a member that promises. A restart forgets promises: keep still until any has run out.
-        self.quiet_until = now + times.promise * (1 + 4 * DRIFT)
-        self.promise_until = 0.0
-        self.highest = 0
+        self.holdoff_until = now + times.vote_s * (1 + 4 * DRIFT)
+        self.vote_until = 0.0
+        self.highest_token = 0
 
     # -- what the watch saw ---------------------------------------------------
 
-    def saw(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+    def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         """Take in a change of the leader key or of the token counter."""
         if key == LEADER_KEY:
-            if version < self.lead_version and raw is not None:
+            if version < self.leader_version and raw is not None:
                 return
-            had = self.lead
-            self.lead = decode(raw, LeaderRecord) if raw is not None else None
-            self.lead_version = version if raw is not None else 0
-            if self.lead is None:
+            had = self.leader
+            self.leader = decode(raw, LeaderRecord) if raw is not None else None
+            self.leader_version = version if raw is not None else 0
+            if self.leader is None:
                 if had is not None:
-                    soon = now + self.turn + self.rng.uniform(0, self.ttl / 40)
-                    self.next_campaign = max(soon, self.shun_until)
-                if self.leading:
+                    soon = (
+                        now + self.campaign_stagger_s + self.rng.uniform(0, self.leader_ttl_s / 40)
+                    )
+                    self.next_campaign = max(soon, self.backoff_until)
+                if self.is_leader:
                     # The key has ended: from here on only promises carry the authority.
                     self.lease_until = min(self.lease_until, now)
                     self.lease = None
                 return
-            if self.leading and self.lead.token > self.token:
+            if self.is_leader and self.leader.token > self.token:
                 self.step_down(now, "another leads")
-            if self.lead.member == self.member and self.lead.lease not in (
+            if self.leader.member == self.member and self.leader.lease not in (
                 self.lease,
                 self.new_lease,
             ):
                 # Our own earlier run still holds the key: that process is gone, so end its lease.
-                self._end_key(now, self.lead.lease)
-        elif key == FENCING_TOKEN_KEY and raw is not None and version > self.counter_version:
+                self._release_lease(now, self.leader.lease)
+        elif key == FENCING_TOKEN_KEY and raw is not None and version > self.token_counter_version:
             record = decode(raw, FencingTokenRecord)
             # Every campaign is guarded by the counter's version: an older one can't win any more.
-            self.doubtful.clear()
+            self.unresolved_leases.clear()
             if record:
-                self.counter, self.counter_version = record.token, version
-                self.counter_holder = record.member
+                self.token_counter, self.token_counter_version = record.token, version
+                self.token_counter_holder = record.member
 
-    def fresh_until(self) -> float:
+    def watch_cache_valid_until(self) -> float:
         """Until when this node's view is fresh enough to command anybody.
 
         Guards cancelled jobs: a key that is renewed, or a grant that is pulled, says nothing of
         what this node has seen. Who acts on an older view may keep alive what it never saw end.
         """
-        return self.fresh_at() + self.times.extension * (1 - 2 * DRIFT)
+        return self.fresh_at() + self.timings.max_extension_s * (1 - 2 * DRIFT)
 
-    def entitled(self, now: float) -> bool:
+    def has_authority(self, now: float) -> bool:
         """Whether this node may act for the controllers at this moment."""
-        backed = now < self.lease_until or self.extended(now)
-        return self.leading and backed and now < self.fresh_until()
+        backed = now < self.lease_until or self.has_quorum_extension(now)
+        return self.is_leader and backed and now < self.watch_cache_valid_until()
 
-    def remaining(self, now: float) -> float:
+    def remaining_authority_s(self, now: float) -> float:
         """For how long the authority certainly lasts from here on."""
-        if not self.leading:
+        if not self.is_leader:
             return 0.0
-        promised = min((self.promised.get(o, 0.0) for o in self.others), default=float("inf"))
+        promised = min((self.votes_until.get(o, 0.0) for o in self.peers), default=float("inf"))
         backed = max(self.lease_until, min(promised, self.extension_until))
-        return max(0.0, min(backed, self.fresh_until()) - now)
+        return max(0.0, min(backed, self.watch_cache_valid_until()) - now)
 
-    def extended(self, now: float) -> bool:
+    def has_quorum_extension(self, now: float) -> bool:
         """Whether the others' promises carry the authority without the key."""
-        backed = all(now < self.promised.get(other, 0.0) for other in self.others)
-        return self.leading and backed and now < self.extension_until
+        backed = all(now < self.votes_until.get(other, 0.0) for other in self.peers)
+        return self.is_leader and backed and now < self.extension_until
 
-    def extending(self, now: float) -> bool:
+    def is_on_extension(self, now: float) -> bool:
         """Whether only promises carry the authority."""
-        return self.leading and now >= self.lease_until
+        return self.is_leader and now >= self.lease_until
 
     def leader_name(self) -> str | None:
         """The member that leads, as far as this node knows."""
-        return self.lead.member if self.lead else None
+        return self.leader.member if self.leader else None
 
     # -- time -----------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         """Campaign, renew, ask for promises or step down as the time asks for."""
-        if self.leading:
-            if not self.entitled(now):
+        if self.is_leader:
+            if not self.has_authority(now):
                 self.step_down(now, "authority ran out")
                 return
             if self.lease is not None and now >= self.next_renewal and not self.renewing:
                 self._renew(now)
-            if now >= self.next_ask:
-                self._ask(now)
-        if self.ending is not None and now >= self.granted_until:
-            self._drop(self.ending)
-            self.ending = None
-        free = self.known and self.lead is None and not self.campaigning
-        if free and now >= max(self.next_campaign, self.shun_until):
+            if now >= self.next_vote_request:
+                self._request_votes(now)
+        if self.lease_to_revoke is not None and now >= self.grants_expire_at:
+            self._revoke_lease(self.lease_to_revoke)
+            self.lease_to_revoke = None
+        free = self.records_synced and self.leader is None and not self.campaigning
+        if free and now >= max(self.next_campaign, self.backoff_until):
             self._campaign(now)
 
-    def step_down(self, now: float, why: str, shun: float = 0.0) -> None:
-        """Give the authority up at once; `shun` keeps this node from campaigning."""
-        if self.leading:
-            self.out.log("info", "stepping down", why=why, token=self.token)
-            self.leading = False
+    def step_down(self, now: float, reason: str, backoff_s: float = 0.0) -> None:
+        """Give the authority up at once; `backoff_s` keeps this node from campaigning."""
+        if self.is_leader:
+            self.out.log("info", "stepping down", why=reason, token=self.token)
+            self.is_leader = False
             self.lease_until = self.extension_until = 0.0
-            self.promised.clear()
-            self.asked.clear()
+            self.votes_until.clear()
+            self.vote_requests.clear()
             self.on_change(now, False, False)
         if self.lease is not None:
-            self._end_key(now, self.lease)
+            self._release_lease(now, self.lease)
             self.lease = None
-        self.shun_until = max(self.shun_until, now + shun)
-        self.next_campaign = now + self.rng.uniform(0.2, 0.5) * self.ttl
+        self.backoff_until = max(self.backoff_until, now + backoff_s)
+        self.next_campaign = now + self.rng.uniform(0.2, 0.5) * self.leader_ttl_s
 
-    def _end_key(self, now: float, lease: int) -> None:
+    def _release_lease(self, now: float, lease: int) -> None:
         """End the lease that holds the key, at once or when no grant under it runs any more."""
-        if now >= self.granted_until:
-            self._drop(lease)
+        if now >= self.grants_expire_at:
+            self._revoke_lease(lease)
         else:
-            self.ending = lease
+            self.lease_to_revoke = lease
 
-    def _drop(self, lease: int) -> None:
+    def _revoke_lease(self, lease: int) -> None:
         def then(now: float, outcome: CallOutcome) -> None:
             if outcome.status in (200, 404):
                 # A late write of the key is refused from now on.
-                self.doubtful.discard(lease)
+                self.unresolved_leases.discard(lease)
 
-        self.out.calls.append(Call("state", "DELETE", lease_path(lease), then, b"", self.ttl))
+        self.out.calls.append(
+            Call("state", "DELETE", lease_path(lease), then, b"", self.leader_ttl_s)
+        )
 
     # -- frames from the others -----------------------------------------------
 
-    def received(self, now: float, sender: str, frame: Frame) -> None:
+    def on_frame(self, now: float, sender: str, frame: Frame) -> None:
         """Take a frame of the election."""
         if isinstance(frame, LeaseExtensionRequest):
-            granted = self._may_promise(frame.token)
+            granted = self._may_vote(frame.token)
             if granted:
-                self.promise_until = now + self.times.promise
-                self.highest = max(self.highest, frame.token)
+                self.vote_until = now + self.timings.vote_s
+                self.highest_token = max(self.highest_token, frame.token)
             self.out.send(sender, LeaseExtensionVote(frame.token, frame.number, granted))
         elif isinstance(frame, LeaseExtensionVote):
-            sent = self.asked.get(frame.number)
-            if frame.granted and sent is not None and frame.token == self.token and self.leading:
-                until = sent + self.times.promise * (1 - 2 * DRIFT)
-                self.promised[sender] = max(self.promised.get(sender, 0.0), until)
+            sent = self.vote_requests.get(frame.number)
+            if frame.granted and sent is not None and frame.token == self.token and self.is_leader:
+                until = sent + self.timings.vote_s * (1 - 2 * DRIFT)
+                self.votes_until[sender] = max(self.votes_until.get(sender, 0.0), until)
 
-    def _may_promise(self, token: int) -> bool:
+    def _may_vote(self, token: int) -> bool:
         # Until the counter is known, a higher token may have been won, by this very node too.
-        known = self.known and token >= max(self.highest, self.counter)
+        known = self.records_synced and token >= max(self.highest_token, self.token_counter)
         # A campaign that may yet be carried out would make this member the winner of the last
         # token, and one that has won it keeps no promise over a restart.
-        free = not self.leading and not self.campaigning and not self.doubtful
+        free = not self.is_leader and not self.campaigning and not self.unresolved_leases
         return known and free
 
     def _may_campaign(self, now: float) -> bool:
-        if now < self.promise_until:
+        if now < self.vote_until:
             return False
-        return now >= self.quiet_until or self.counter_holder in ("", self.member)
+        return now >= self.holdoff_until or self.token_counter_holder in ("", self.member)
 
     # -- promises ---------------------------------------------------------------
 
-    def _ask(self, now: float) -> None:
-        self.next_ask = now + self.times.promise / 4
-        self.number += 1
-        self.asked[self.number] = now
-        for old in [n for n, at in self.asked.items() if now - at > self.times.promise]:
-            del self.asked[old]
-        for other in self.others:
-            self.out.send(other, LeaseExtensionRequest(self.token, self.number))
+    def _request_votes(self, now: float) -> None:
+        self.next_vote_request = now + self.timings.vote_s / 4
+        self.vote_request_number += 1
+        self.vote_requests[self.vote_request_number] = now
+        for old in [n for n, at in self.vote_requests.items() if now - at > self.timings.vote_s]:
+            del self.vote_requests[old]
+        for other in self.peers:
+            self.out.send(other, LeaseExtensionRequest(self.token, self.vote_request_number))
 
     # -- campaign -----------------------------------------------------------------
 
     def _campaign(self, now: float) -> None:
         if not self._may_campaign(now):
-            self.next_campaign = now + self.ttl / 40
+            self.next_campaign = now + self.leader_ttl_s / 40
             return
         self.campaigning = True
-        self.new_lease_sent = now
-        body = encode({"ttl_ms": int(self.ttl * 1000)})
-        self.out.calls.append(Call("state", "POST", LEASES_PATH, self._leased, body, self.ttl / 3))
+        self.campaign_started_at = now
+        body = encode({"ttl_ms": int(self.leader_ttl_s * 1000)})
+        self.out.calls.append(
+            Call("state", "POST", LEASES_PATH, self._on_lease_created, body, self.leader_ttl_s / 3)
+        )
 
-    def _leased(self, now: float, outcome: CallOutcome) -> None:
+    def _on_lease_created(self, now: float, outcome: CallOutcome) -> None:
         made = decode(outcome.body, LeaseCreated) if outcome.status == 200 else None
-        if made is None or self.lead is not None:
+        if made is None or self.leader is not None:
             if made is not None:
-                self._drop(made.lease)
-            self._lost(now)
+                self._revoke_lease(made.lease)
+            self._campaign_failed(now)
             return
         self.new_lease = made.lease
-        token = self.counter + 1
+        token = self.token_counter + 1
         record = LeaderRecord(self.member, token, made.lease)
         self.transactions.submit(
             now,
             Operation(
-                {LEADER_KEY: 0, FENCING_TOKEN_KEY: self.counter_version},
+                {LEADER_KEY: 0, FENCING_TOKEN_KEY: self.token_counter_version},
                 [
                     put_key(LEADER_KEY, msgspec.to_builtins(record), made.lease),
                     put_key(FENCING_TOKEN_KEY, {"token": token, "member": self.member}),
                 ],
-                lambda n, outcome, revision: self._campaigned(
+                lambda n, outcome, revision: self._on_campaign_done(
                     n, outcome, revision, token, made.lease
                 ),
-                now + self.ttl / 3,
+                now + self.leader_ttl_s / 3,
                 Priority.URGENT,
             ),
         )
 
-    def _campaigned(
+    def _on_campaign_done(
         self, now: float, outcome: TransactionOutcome, revision: int, token: int, lease: int
     ) -> None:
-        valid = self.new_lease_sent + self.ttl * (1 - 2 * DRIFT)
+        valid = self.campaign_started_at + self.leader_ttl_s * (1 - 2 * DRIFT)
         self.new_lease = None
         if outcome is TransactionOutcome.APPLIED and now < valid:
-            continued = self.entitled(now)
+            continued = self.has_authority(now)
             self.campaigning = False
-            self.leading = True
-            self.token, self.win_revision, self.lease = token, revision, lease
-            self.lead = LeaderRecord(self.member, token, lease)
-            self.lead_version = revision
-            self.counter, self.counter_version = token, revision
-            self.counter_holder = self.member
-            self.highest = max(self.highest, token)
-            self.promised.clear()
-            self.asked.clear()
+            self.is_leader = True
+            self.token, self.election_revision, self.lease = token, revision, lease
+            self.leader = LeaderRecord(self.member, token, lease)
+            self.leader_version = revision
+            self.token_counter, self.token_counter_version = token, revision
+            self.token_counter_holder = self.member
+            self.highest_token = max(self.highest_token, token)
+            self.votes_until.clear()
+            self.vote_requests.clear()
             self.lease_until = valid
-            self.extension_until = self.new_lease_sent + self.times.extension
-            self.next_renewal = self.new_lease_sent + self.ttl / 4
-            self.next_ask = now
+            self.extension_until = self.campaign_started_at + self.timings.max_extension_s
+            self.next_renewal = self.campaign_started_at + self.leader_ttl_s / 4
+            self.next_vote_request = now
             self.out.log("info", "leading", token=token, continued=continued)
             self.on_change(now, True, continued)
             return
         # Unknown outcome or too late: end the lease, so that a late write of the key is refused.
         if outcome is TransactionOutcome.UNKNOWN:
-            self.doubtful.add(lease)
-        elif outcome is TransactionOutcome.APPLIED and revision > self.counter_version:
-            self.counter, self.counter_version = token, revision
-            self.counter_holder = self.member
-        self._drop(lease)
-        self._lost(now, quick=outcome is TransactionOutcome.CONFLICT)
-
-    def _lost(self, now: float, quick: bool = False) -> None:
+            self.unresolved_leases.add(lease)
+        elif outcome is TransactionOutcome.APPLIED and revision > self.token_counter_version:
+            self.token_counter, self.token_counter_version = token, revision
+            self.token_counter_holder = self.member
+        self._revoke_lease(lease)
+        self._campaign_failed(now, quick=outcome is TransactionOutcome.CONFLICT)
+
+    def _campaign_failed(self, now: float, quick: bool = False) -> None:
         self.campaigning = False
-        spread = self.ttl / 10 if quick else self.ttl / 4
-        self.next_campaign = now + self.turn + self.rng.uniform(spread / 2, spread)
+        spread = self.leader_ttl_s / 10 if quick else self.leader_ttl_s / 4
+        self.next_campaign = now + self.campaign_stagger_s + self.rng.uniform(spread / 2, spread)
 
     # -- the key --------------------------------------------------------------------
 
@@ -387,26 +402,26 @@
             return
         self.renewing = True
         lease = self.lease
-        self.next_renewal = now + self.ttl / 4
+        self.next_renewal = now + self.leader_ttl_s / 4
         self.out.calls.append(
             Call(
                 "state",
                 "POST",
                 renew_lease_path(lease),
-                lambda n, o: self._renewed(n, o, lease, now),
+                lambda n, o: self._on_renewed(n, o, lease, now),
                 b"{}",
-                self.ttl / 3,
+                self.leader_ttl_s / 3,
             )
         )
 
-    def _renewed(self, now: float, outcome: CallOutcome, lease: int, sent: float) -> None:
+    def _on_renewed(self, now: float, outcome: CallOutcome, lease: int, sent: float) -> None:
         self.renewing = False
-        if not self.leading or lease != self.lease:
+        if not self.is_leader or lease != self.lease:
             return
         if outcome.status == 200:
-            self.lease_until = max(self.lease_until, sent + self.ttl * (1 - 2 * DRIFT))
-            self.extension_until = max(self.extension_until, sent + self.times.extension)
+            self.lease_until = max(self.lease_until, sent + self.leader_ttl_s * (1 - 2 * DRIFT))
+            self.extension_until = max(self.extension_until, sent + self.timings.max_extension_s)
         elif outcome.status == 404:
             self.lease, self.lease_until = None, min(self.lease_until, now)
         else:
-            self.next_renewal = now + self.ttl / 12
+            self.next_renewal = now + self.leader_ttl_s / 12
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -42,17 +42,17 @@
         self.busy: set[str] = set()
         self.next_try = 0.0
 
-    def proven(self, member: str) -> bool:
+    def is_upgraded(self, member: str) -> bool:
         """Whether a member's process is certainly of this version or a later one."""
         return member in self.known
 
-    def all_proven(self) -> bool:
+    def all_upgraded(self) -> bool:
         """Whether every member is."""
         return len(self.known) == len(self.members)
 
     def tick(self, now: float) -> None:
         """Store the own key, and read those of the members that are not proven."""
-        if now < self.next_try or self.all_proven():
+        if now < self.next_try or self.all_upgraded():
             return
         self.next_try = now + self.gap_s
         for member in self.members:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -9,7 +9,11 @@
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
 from copperpass.core.autoscaling.provisioning import longest_boot
-from copperpass.core.election.authority import GRANT_PER_TTL, Authority, times_of
+from copperpass.core.election.leader_election import (
+    GRANT_TTL_RATIO,
+    LeaderElection,
+    election_timings,
+)
 from copperpass.core.jobs.job_table import LEAST_KNOWN_CANCELLED, JobTable
 from copperpass.core.kvstore.keys import (
     COMPLETIONS_PREFIX,
@@ -86,9 +90,8 @@
         self.rng = random.Random(seed)
         self.tuning = tuning or Tuning()
         self.out = Outbox()
-        self.times = times_of(cluster)
-        self.ttl = self.times.ttl
-        timeout = self.ttl / 3
+        self.timings = election_timings(cluster)
+        timeout = self.timings.leader_ttl_s / 3
         state = cluster.state
         self.transactions = TransactionQueue(
             self.out, state.least_write_rps, state.least_txn_ops, timeout
@@ -103,28 +106,30 @@
         self.versions: dict[str, int] = {}
         self.shards = shards_of(cluster, self.tuning)
         partitioned = len(set(self.shards.values())) > 1
-        self.authority = Authority(
+        self.election = LeaderElection(
             settings.name,
             [m.name for m in settings.members],
-            self.times,
+            self.timings,
             self.out,
             self.transactions,
             self.rng,
             self._authority_changed,
             now,
             lambda: self.view.fresh_at,
-            GRANT_PER_TTL * self.ttl if partitioned else 0.0,
+            GRANT_TTL_RATIO * self.timings.leader_ttl_s if partitioned else 0.0,
         )
-        self.members = VersionRegistry(
+        self.version_registry = VersionRegistry(
             settings.name,
             [m.name for m in settings.members],
             self.out,
             self.transactions,
-            self.ttl,
+            self.timings.leader_ttl_s,
             timeout,
         )
         self.relay = HeartbeatRelay(self.out, cluster.workers.lease_s, cluster.workers.report_s)
-        self.view = WatchCache(self.out, self._saw, self.ttl / 2, timeout)
+        self.view = WatchCache(
+            self.out, self._on_watch_event, self.timings.leader_ttl_s / 2, timeout
+        )
         self.now = now
         # How fresh the views of the others are, by their beats.
         self.peer_state: dict[str, float] = {}
@@ -136,12 +141,12 @@
         self.grant_client = GrantClient(
             settings.name,
             self.rng.getrandbits(62) + 1,
-            self.ttl,
+            self.timings.leader_ttl_s,
             cluster.workers.report_s / 4,
             self.out,
             self._make_owner,
-            self.authority.fresh_until,
-            self.proven,
+            self.election.watch_cache_valid_until,
+            self.is_upgraded,
         )
         self.cluster_manager: ClusterManager | None = None
         self.types: dict[str, MachineType] = {}
@@ -159,14 +164,14 @@
         self.view.tick(now)
         self.relay.tick(now)
         if self.view.listed:
-            self.authority.known = True
-        self.authority.tick(now)
+            self.election.records_synced = True
+        self.election.tick(now)
         self.transactions.pump(now)
-        self.members.tick(now)
+        self.version_registry.tick(now)
         wanted = not self.stored_types and not self.types_too_large
         if self.cluster_manager is not None and wanted and self.types:
             # Refetch at once so that the first leader stores the offer.
-            self.next_types = min(self.next_types, now + self.ttl)
+            self.next_types = min(self.next_types, now + self.timings.leader_ttl_s)
         if not self.fetching_types and now >= self.next_types:
             self._fetch_types(now)
         self._mind_leader(now)
@@ -174,7 +179,7 @@
         if cluster_manager is not None:
             if (
                 not cluster_manager.ready
-                and self.view.revision >= self.authority.win_revision
+                and self.view.revision >= self.election.election_revision
                 and (self.types)
             ):
                 cluster_manager.begin(now)
@@ -191,7 +196,7 @@
 
     def _mind_leader(self, now: float) -> None:
         """Follow whoever leads."""
-        lead = self.authority.lead
+        lead = self.election.leader
         if self.cluster_manager is None and lead is not None and lead.member != self.settings.name:
             self.grant_client.follow(lead.member, lead.token)
 
@@ -208,7 +213,7 @@
                     ),
                 )
 
-    def received(self, now: float, sender: str, frame: Frame) -> None:
+    def on_frame(self, now: float, sender: str, frame: Frame) -> None:
         """A frame from another controller."""
         self.peer_heard[sender] = now
         if isinstance(frame, MemberHeartbeat):
@@ -244,7 +249,7 @@
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
                 self.cluster_manager.asked(now, frame)
         else:
-            self.authority.received(now, sender, frame)
+            self.election.on_frame(now, sender, frame)
 
     def report(self, now: float, request: object, body: bytes) -> None:
         """POST /v1/report."""
@@ -269,30 +274,30 @@
         if owner is not None and not linked:
             # The worker would hardly fare better: another member may reach the owner.
             owner = next(
-                (m for m in self.authority.others if m != owner and self._linked(now, m)), None
+                (m for m in self.election.peers if m != owner and self._linked(now, m)), None
             )
         self.out.replies.append(Reply(request, 421, redirect_body(owner)))
 
     def _linked(self, now: float, member: str) -> bool:
         """Whether a member's beats, four in a promise's length, come in."""
-        return now - self.peer_heard.get(member, float("-inf")) < self.times.promise
+        return now - self.peer_heard.get(member, float("-inf")) < self.timings.vote_s
 
     def _unowned(self, now: float, report: WorkerHeartbeat) -> str | None:
         """Where a machine should go that nobody is known to command."""
         if self.cluster_manager is not None:
-            if not self.cluster_manager.ready or not self.authority.entitled(now):
+            if not self.cluster_manager.ready or not self.election.has_authority(now):
                 return None
             self.cluster_manager.unowned(now, report)
             self.grant_client.refresh(now)
             return self.grant_client.owner_of(report.machine)
-        leader = self.authority.leader_name()
+        leader = self.election.leader_name()
         return leader if leader != self.settings.name else None
 
     def _answer(self, now: float, report: WorkerHeartbeat, handed: bool) -> tuple[int, bytes]:
         """What this node itself answers a report with."""
         entry = self.grant_client.directory.get(report.machine)
         owner = self.grant_client.schedulers.get(entry.shard) if entry is not None else None
-        if owner is None or not self.grant_client.entitled(now):
+        if owner is None or not self.grant_client.has_authority(now):
             if self.cluster_manager is not None and entry is None and handed:
                 self._unowned(now, report)
             return 421, redirect_body(None)
@@ -327,7 +332,7 @@
     def _behind(self) -> bool:
         """Whether another node's view is well fresher than this one's."""
         latest = max(self.peer_state.values(), default=float("-inf"))
-        return latest - self.view.fresh_at > self.ttl
+        return latest - self.view.fresh_at > self.timings.leader_ttl_s
 
     def _announce_cancelled(self, now: float, job_id: str) -> None:
         """A cancellation is stored: whoever runs the job's tasks should hear of it at once.
@@ -336,8 +341,8 @@
         starts after a confirmed cancellation, and proves nothing about what users are told.
         """
         self._job_cancelled(now, job_id)
-        for other in self.authority.others:
-            if self.proven(other):
+        for other in self.election.peers:
+            if self.is_upgraded(other):
                 self.out.send(other, JobCancelled(job_id))
 
     def _job_cancelled(self, now: float, job_id: str) -> None:
@@ -346,13 +351,13 @@
             for owner in self.schedulers:
                 owner.mark_cancelled(now, job)
 
-    def proven(self, member: str) -> bool:
+    def is_upgraded(self, member: str) -> bool:
         """Whether a member is certainly of this version or a later one.
 
         A frame or field that older versions don't know goes to no other member: an older one
         closes the link on a frame that it can't read.
         """
-        return self.members.proven(member)
+        return self.version_registry.is_upgraded(member)
 
     def counts_of(self, job_id: str) -> tuple[int, int]:
         """How many tasks of a job are done and run, as far as this node knows; for display."""
@@ -366,9 +371,9 @@
 
     # -- what happens inside -------------------------------------------------------------
 
-    def _saw(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+    def _on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         if key in (LEADER_KEY, FENCING_TOKEN_KEY):
-            self.authority.saw(now, key, raw, version)
+            self.election.on_watch_event(now, key, raw, version)
         elif key == MACHINE_TYPES_KEY and raw is not None:
             # A node that has just started can judge submissions and command workers before
             # the cloud has answered it.
@@ -410,7 +415,7 @@
             tuning=self.tuning,
             out=self.out,
             transactions=self.transactions,
-            authority=self.authority,
+            election=self.election,
             jobs=self.jobs,
             types=self.types,
             fleet=self.fleet,
@@ -419,7 +424,7 @@
             owners=owned,
             incarnation=grant_client.incarnation,
             linked=self._linked,
-            proven=self.members.all_proven,
+            all_upgraded=self.version_registry.all_upgraded,
         )
         self.cluster_manager = ClusterManager(context, now)
         if continued and before is not None:
@@ -442,7 +447,7 @@
             epoch=grant_client.epoch,
             serial=share.serial,
             token_version=lambda: grant_client.token_version,
-            entitled=grant_client.entitled,
+            has_authority=grant_client.has_authority,
             tuning=self.tuning,
             images=grant_client.images,
             fresh_at=lambda: self.view.fresh_at,
@@ -458,29 +463,29 @@
         """
         up = any(h.status.up or h.entry.recorded for h in cluster_manager.machines.values())
         heard = max([cluster_manager.won_at, *(owner.last_report for owner in self.schedulers)])
-        alone = not any(now - at < self.ttl for at in self.peer_heard.values())
+        alone = not any(now - at < self.timings.leader_ttl_s for at in self.peer_heard.values())
         if (
             up
             and alone
-            and now - heard > max(2.5 * self.cluster.workers.report_s, self.ttl)
-            and (self.authority.others and self.alone_token != self.authority.token - 1)
+            and now - heard > max(2.5 * self.cluster.workers.report_s, self.timings.leader_ttl_s)
+            and (self.election.peers and self.alone_token != self.election.token - 1)
         ):
-            self.alone_token = self.authority.token
-            self.authority.step_down(now, "nobody heard", self.cluster.workers.lease_s)
+            self.alone_token = self.election.token
+            self.election.step_down(now, "nobody heard", self.cluster.workers.lease_s)
         if self._behind():
             # The state service refuses this node alone, or its watch is stuck while its key is
             # still renewed: another sees more and can lead.
-            self.authority.step_down(now, "view behind that of others", self.ttl)
+            self.election.step_down(now, "view behind that of others", self.timings.leader_ttl_s)
 
     def _beat(self, now: float) -> None:
-        self.next_beat = now + self.times.promise / 4
+        self.next_beat = now + self.timings.vote_s / 4
 
         def age(at: float) -> int:
             return min(NEVER_ANSWERED - 1, int((now - at) * 1000)) if at > 0 else NEVER_ANSWERED
 
         # How fresh the view is: every answered request would say less of what this node can see.
-        beat = MemberHeartbeat(self.authority.counter, age(self.view.fresh_at))
-        for other in self.authority.others:
+        beat = MemberHeartbeat(self.election.token_counter, age(self.view.fresh_at))
+        for other in self.election.peers:
             self.out.send(other, beat)
         if self.schedulers and now >= self.next_counts:
             self.next_counts = now + 1.0
@@ -489,7 +494,7 @@
                 for j, job in self.jobs.jobs.items()
                 if job.shown() and self.shards.get(job.spec.team, 0) in self.grant_client.schedulers
             }
-            for other in self.authority.others:
+            for other in self.election.peers:
                 self.out.send(other, RunningCounts(counts))
 
     def _fetch_types(self, now: float) -> None:
@@ -531,10 +536,10 @@
             now,
             # Written once: a late copy must not bring an older offer back.
             Operation(
-                {FENCING_TOKEN_KEY: self.authority.win_revision, MACHINE_TYPES_KEY: 0},
+                {FENCING_TOKEN_KEY: self.election.election_revision, MACHINE_TYPES_KEY: 0},
                 [put_key(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))],
                 then,
-                now + self.ttl,
+                now + self.timings.leader_ttl_s,
                 Priority.BATCHED,
             ),
         )
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -60,7 +60,7 @@
 
     def for_report(self, now: float, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
         """What the answer to a report tells the worker to do."""
-        if not self.context.entitled(now):
+        if not self.context.has_authority(now):
             return []
         commands: list[Command] = []
         raise_token = False
@@ -103,7 +103,7 @@
             or not machine.address
             or machine.session == 0
             or now < max(machine.do_broken_until, machine.handed_until)
-            or not self.context.entitled(now)
+            or not self.context.has_authority(now)
             or machine.releasing
             # Beyond the sockets that are kept for this, orders go with answers to reports.
             or self.directs >= self.most_directs
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -7,7 +7,11 @@
 from dataclasses import dataclass, field
 
 from copperpass.core.autoscaling import provisioning
-from copperpass.core.election.authority import GRANT_PER_TTL, certain_lease_s, times_of
+from copperpass.core.election.leader_election import (
+    GRANT_TTL_RATIO,
+    election_timings,
+    worker_lease_expiry_s,
+)
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
@@ -41,7 +45,7 @@
     serial: int
     token_version: Callable[[], int]
     # Whether the shard is still owned at a moment.
-    entitled: Callable[[float], bool]
+    has_authority: Callable[[float], bool]
     tuning: Tuning = field(default_factory=Tuning)
     images: Images = field(default_factory=dict)
     # What was confirmed before this moment is in the view.
@@ -84,8 +88,10 @@
         rerouted_s = 1.25 * report_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
             report_s=report_s,
-            lease_s=certain_lease_s(cluster),
-            overlap_s=GRANT_PER_TTL * times_of(cluster).ttl if partitioned else 0.0,
+            lease_s=worker_lease_expiry_s(cluster),
+            overlap_s=GRANT_TTL_RATIO * election_timings(cluster).leader_ttl_s
+            if partitioned
+            else 0.0,
             silence_s=silence_s,
             lost_s=max(1.5 * silence_s, rerouted_s),
             boot_s=provisioning.longest_boot(context.types),
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -59,7 +59,11 @@
         )
         self.next_scan = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
-        self.shard, self.serial, self.entitled = context.shard, context.serial, context.entitled
+        self.shard, self.serial, self.has_authority = (
+            context.shard,
+            context.serial,
+            context.has_authority,
+        )
         self.machines: dict[str, Machine] = state.machines
         self.unsettled: set[str] = state.unsettled
         self.tally: QuotaUsage = state.tally
@@ -103,7 +107,7 @@
 
     def tick(self, now: float) -> None:
         """Everything that the passing of time asks for."""
-        if not self.state.ready or not self.context.entitled(now):
+        if not self.state.ready or not self.context.has_authority(now):
             return
         if now >= self.next_scan:
             self.next_scan = now + self.timing.report_s / 4
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from copperpass.core.autoscaling.cluster_manager import UNKNOWN_REVISION, ClusterManager
-from copperpass.core.election.authority import DRIFT, GRANT_PER_TTL
+from copperpass.core.election.leader_election import DRIFT, GRANT_TTL_RATIO
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
@@ -42,14 +42,14 @@
         plan_s: float,
         out: Outbox,
         make: MakeScheduler,
-        fresh_until: Callable[[], float] = lambda: float("inf"),
-        proven: Callable[[str], bool] = lambda member: False,
+        watch_cache_valid_until: Callable[[], float] = lambda: float("inf"),
+        is_upgraded: Callable[[str], bool] = lambda member: False,
     ) -> None:
         self.member, self.incarnation, self.out, self.make = member, incarnation, out, make
-        self.fresh_until, self.proven = fresh_until, proven
+        self.watch_cache_valid_until, self.is_upgraded = watch_cache_valid_until, is_upgraded
         # Whether to ask for grants at all; not while others see more than this member.
         self.asking = True
-        self.pull_s = GRANT_PER_TTL * ttl / PULLS_PER_GRANT
+        self.pull_s = GRANT_TTL_RATIO * ttl / PULLS_PER_GRANT
         self.plan_s = plan_s
         self.epoch = 0
         self.leader = ""
@@ -99,11 +99,11 @@
         """Nobody is followed: all shards end."""
         self._begin(self.epoch, "")
 
-    def entitled(self, now: float) -> bool:
+    def has_authority(self, now: float) -> bool:
         """Whether this member's shards are its own at this moment."""
         if self.cluster_manager is not None:
-            return self.cluster_manager.authority.entitled(now)
-        return now < min(self.until, self.fresh_until())
+            return self.cluster_manager.election.has_authority(now)
+        return now < min(self.until, self.watch_cache_valid_until())
 
     # -- time ---------------------------------------------------------------------------
 
@@ -132,12 +132,12 @@
             owner.on_demand_excess = self.on_demand_excess
             owner.tick(now)
         if (now >= self.next_status or any(o.returning for o in self.schedulers.values())) and (
-            self.entitled(now)
+            self.has_authority(now)
         ):
             self.next_status = now + self.pull_s / 4
             self._tell(now)
         urgent = any(owner.needs_machines for owner in self.schedulers.values())
-        if (now >= self.next_wants or urgent) and self.entitled(now):
+        if (now >= self.next_wants or urgent) and self.has_authority(now):
             self.next_wants = now + self.plan_s
             for number, owner in self.schedulers.items():
                 owner.needs_machines = False
@@ -175,7 +175,7 @@
         )
         if self.cluster_manager is not None:
             self.cluster_manager.tied(frame)
-        elif self.proven(self.leader):
+        elif self.is_upgraded(self.leader):
             self.out.send(self.leader, frame)
 
     def _send(self, now: float, frame: CapacityRequests | MachineStatusUpdates) -> None:
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -10,7 +10,7 @@
     ManagerState,
     Shard,
 )
-from copperpass.core.election.authority import DRIFT
+from copperpass.core.election.leader_election import DRIFT
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
@@ -41,7 +41,7 @@
         self, context: ManagerContext, state: ManagerState, records: MachineRecords
     ) -> None:
         self.state, self.records = state, records
-        self.out, self.authority = context.out, context.authority
+        self.out, self.election = context.out, context.election
         # Who owned which shard in the term before.
         self.owners, self.linked = context.owners, context.linked
         self.serial = 0
@@ -51,7 +51,7 @@
     def pulled(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
         """A member asks to have its grants extended."""
         state = self.state
-        if pull.epoch != state.epoch or not self.authority.entitled(now):
+        if pull.epoch != state.epoch or not self.election.has_authority(now):
             return None
         grantee = state.grantees.setdefault(sender, Grantee())
         feed = grantee.feed
@@ -81,7 +81,7 @@
             # looks just like a restart.
             for shard in self.state.shards.values():
                 if shard.owner == sender:
-                    self.disown(now, shard, grantee.granted_until)
+                    self.disown(now, shard, grantee.grants_expire_at)
         grantee.incarnation, grantee.since = incarnation, now
         grantee.inbox = ReplicationReceiver()
         feed = grantee.feed = ReplicationSender(self.state.table)
@@ -90,13 +90,13 @@
     def _extend(self, now: float, grantee: Grantee) -> float:
         """Extend a member's grants; returns their length in seconds from now."""
         # A grant never outlasts the authority behind it.
-        remaining = self.authority.remaining(now) * (1 - 2 * DRIFT)
+        remaining = self.election.remaining_authority_s(now) * (1 - 2 * DRIFT)
         length = max(0.0, min(self.state.grant_s, remaining))
         # Recorded whether or not it owns a shard: a later grant may add one to the same time.
-        grantee.granted_until = max(grantee.granted_until, now + length * (1 + 4 * DRIFT))
+        grantee.grants_expire_at = max(grantee.grants_expire_at, now + length * (1 + 4 * DRIFT))
         if len(self.state.shards) > 1:
-            granted = max(self.authority.granted_until, grantee.granted_until)
-            self.authority.granted_until = granted
+            granted = max(self.election.grants_expire_at, grantee.grants_expire_at)
+            self.election.grants_expire_at = granted
         return length
 
     def shares(self) -> tuple[ShardAssignment, ...]:
@@ -123,7 +123,7 @@
         """Give no shard while a grant of one's own earlier term may run."""
         until = max(
             (
-                grantee.granted_until
+                grantee.grants_expire_at
                 for member, grantee in before.items()
                 if member != self.state.member
             ),
@@ -147,7 +147,7 @@
         live = self._live(now)
         early = now - state.won_at < EARLY_PER_GRANT * state.grant_s
         coming = any(
-            member not in live and self.linked(now, member) for member in self.authority.others
+            member not in live and self.linked(now, member) for member in self.election.peers
         )
         if len(state.shards) > 1 and coming and early:
             # Members whose beats come in will pull in a moment.
@@ -177,7 +177,7 @@
         self.serial += 1
         # Kept for it until it has had time to ask.
         grantee = state.grantees[owner]
-        grantee.granted_until = max(grantee.granted_until, now + state.grant_s)
+        grantee.grants_expire_at = max(grantee.grants_expire_at, now + state.grant_s)
         shard.owner, shard.serial, shard.at = owner, self.serial, state.table.seq
         if shard.free_at <= state.won_at:
             shard.revision = state.token_version()
@@ -192,7 +192,7 @@
             if (
                 shard.owner
                 and shard.owner != self.state.member
-                and (grantee is None or now > grantee.granted_until)
+                and (grantee is None or now > grantee.grants_expire_at)
             ):
                 self.disown(now, shard, now)
             if shard.owner and shard.revision == UNKNOWN_REVISION:
@@ -245,6 +245,6 @@
                 TRANSACTION_PATH,
                 then,
                 transaction_body({FENCING_TOKEN_KEY: self.state.token_version()}, []),
-                self.authority.ttl / 3,
+                self.election.leader_ttl_s / 3,
             )
         )
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -142,7 +142,7 @@
         deadline_s: float,
         least_room: float | None = None,
         txn_ops: int = 4,
-        proven: Callable[[], bool] = lambda: False,
+        all_upgraded: Callable[[], bool] = lambda: False,
         limits_drop: bool = False,
     ) -> None:
         self.transactions, self.token_version = transactions, token_version
@@ -154,7 +154,7 @@
         # A page a gap in the long run. A fleet at rest saves up for one transaction, so that a
         # booking or a mark needn't wait when it comes.
         self.budget = TokenBucket(1 / gap_s, float(txn_ops))
-        self.proven, self.limits_drop = proven, limits_drop
+        self.all_upgraded, self.limits_drop = all_upgraded, limits_drop
         # The version of `c/fleet`; 0: there is none.
         self.version = 0
         self.paged = self.moving = self.begun = False
@@ -275,7 +275,7 @@
         A creation of `c/fleet` without an answer may be applied once the record is gone again, and
         would bring back an old truth. A new version of the token counter refuses it.
         """
-        wanted = self.begun and not self.paged and not self.moving and self.proven()
+        wanted = self.begun and not self.paged and not self.moving and self.all_upgraded()
         return wanted and not self.writing and self.unsure_at == self.token_version()
 
     # -- what changes --------------------------------------------------------------------
@@ -405,7 +405,7 @@
         """
         if self.paged or self.moving or self.writing or not self.begun:
             return
-        if not self.proven() and not (refused and self.limits_drop):
+        if not self.all_upgraded() and not (refused and self.limits_drop):
             return
         if self.unsure_at == self.token_version():
             return
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -43,7 +43,7 @@
             settings.peer_listen,
             {m.name: m.addr for m in settings.members},
             self._received,
-            self.node.times.promise / 4,
+            self.node.timings.vote_s / 4,
         )
         sockets = settings.cluster.resources.max_connections
         self.client = Client(reactor, 8, 32)
@@ -92,7 +92,7 @@
 
     def _received(self, sender: str, frame: Frame) -> None:
         try:
-            self.node.received(self.now(), sender, frame)
+            self.node.on_frame(self.now(), sender, frame)
         except Exception:
             logger.exception("frame failed")
         self._drain()
--- a/tests/production.py
+++ b/tests/production.py
@@ -27,6 +27,15 @@
     "grant_client": "holder",
     "transactions": "ledger",
     "shards": "pools",
+    "election": "authority",
+    "on_frame": "received",
+    "is_upgraded": "proven",
+}
+
+# The same for the classes of a node's parts.
+FORMER_PART_NAMES = {
+    "Authority": {"has_authority": "entitled"},
+    "Holder": {"has_authority": "entitled"},
 }
 
 
@@ -66,10 +75,15 @@
                 del sys.modules[name]
             sys.modules.update(mine)
 
-        for name, former in FORMER_NAMES.items():
-            if hasattr(self.core.Node, name):
-                continue
-            setattr(self.core.Node, name, property(operator.attrgetter(former)))
+        self._add_current_names(self.core.Node, FORMER_NAMES)
+        for part, names in FORMER_PART_NAMES.items():
+            self._add_current_names(getattr(self.core, part), names)
+
+    @staticmethod
+    def _add_current_names(former_class, names):
+        for name, former in names.items():
+            if not hasattr(former_class, name):
+                setattr(former_class, name, property(operator.attrgetter(former)))
 
     def _resolve_messages(self):
         """Have msgspec look its annotations up now, while its modules are the ones by that name."""
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -137,7 +137,7 @@
             codec = self.running[member] or CurrentFrames
             frames = codec.frame_decoder().feed(frame) if self.mixed else [frame]
             for one in frames:
-                node.received(self.now, sender, one)
+                node.on_frame(self.now, sender, one)
             self.drain(member)
 
     def send(self, name, life, call):
@@ -205,6 +205,6 @@
                 worker.direct(call.body, reply)
 
     def leader(self):
-        leading = [n for n, node in self.nodes.items() if node.authority.entitled(self.now)]
+        leading = [n for n, node in self.nodes.items() if node.election.has_authority(self.now)]
         assert len(leading) <= 1, f"two authorities: {leading}"
         return leading[0] if leading else None
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -99,7 +99,7 @@
             (shard_of(o), n)
             for n, node in self.nodes.items()
             for o in node.schedulers
-            if node.grant_client.entitled(self.now)
+            if node.grant_client.has_authority(self.now)
         ]
         assert len({shard for shard, _ in owned}) == len(owned), f"two owners: {owned}"
 
--- a/tests/state_service.py
+++ b/tests/state_service.py
@@ -54,7 +54,7 @@
             held.saw(key, json.dumps(value).encode(), version)
         return held
 
-    def fleet_store(self, proven=True, limits_drop=True, rate=15.0, least=2048.0):
+    def fleet_store(self, all_upgraded=True, limits_drop=True, rate=15.0, least=2048.0):
         token = self.win()
         held = self.stored()
         transactions = TransactionQueue(self.out, rate, 5, 1.0)
@@ -66,7 +66,7 @@
             12.0,
             least,
             5,
-            lambda: proven,
+            lambda: all_upgraded,
             limits_drop,
         )
         made.load(held.record, held.version, held.pages)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from copperpass.core.election.authority import Authority, times_of
+from copperpass.core.election.leader_election import LeaderElection, election_timings
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
@@ -191,7 +191,7 @@
             if turn % 3:
                 simulation.crash(old, simulation.rng.choice([0.1, 0.5, 3.0]))
             else:
-                simulation.nodes[old].authority.step_down(simulation.now, "told to")
+                simulation.nodes[old].election.step_down(simulation.now, "told to")
         if turn in (3, 7):
             simulation.outage(8.0)
         simulation.submit(job(10 + turn, tasks=2, cpus=1.0, run_s=5.0))
@@ -381,7 +381,7 @@
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_a_leader_keeps_workers_and_users_alone_and_jobs_are_cancelled_elsewhere(partitioned):
-    # Holds the end of authority in `Authority.entitled`.
+    # Holds the end of authority in `LeaderElection.has_authority`.
     specs = [job(n, tasks=2, run_s=120.0, slot="slow") for n in range(1, 7)]
     simulation = started_simulation(specs, 12, partitioned=partitioned)
     old = simulation.leader()
@@ -401,9 +401,9 @@
         [job(n, tasks=4, cpus=2.0, run_s=60.0) for n in range(1, 5)], 16, partitioned=partitioned
     )
     first = simulation.leader()
-    simulation.nodes[first].authority.step_down(simulation.now, "hand over", shun=3.0)
+    simulation.nodes[first].election.step_down(simulation.now, "hand over", backoff_s=3.0)
     second = new_leader(simulation, first)
-    simulation.nodes[second].authority.step_down(simulation.now, "hand back", shun=3.0)
+    simulation.nodes[second].election.step_down(simulation.now, "hand back", backoff_s=3.0)
     new_leader(simulation, second)
     for name in simulation.names:
         simulation.crash(name, back if name == first else 8.0)
@@ -435,7 +435,7 @@
     simulation = started_simulation([job(1, tasks=4, run_s=20.0)], 4, partitioned=True)
     node = simulation.nodes[simulation.leader()]
     grantee = next(t for n, t in node.cluster_manager.grantees.items() if n != simulation.leader())
-    grantee.granted_until = simulation.now + 3.0
+    grantee.grants_expire_at = simulation.now + 3.0
     node._authority_changed(simulation.now, True, True)
     simulation.run(2.9)
     assert not any(p.owner for p in node.cluster_manager.shards.values())
@@ -449,15 +449,15 @@
     specs = [job(n, tasks=4, run_s=40.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=True, seed=seed)
     old, life = simulation.leader(), 0.22 * simulation.lease_s
-    token = simulation.nodes[old].authority.token
+    token = simulation.nodes[old].election.token
     simulation.refused.add(old)
     step(simulation, 1.1 * life)
     simulation.refused = set(simulation.names) - {old}
     for _ in range(100):
         simulation.run(0.05)
         simulation.check_owners()
-    again = simulation.nodes[old].authority
-    assert again.leading and again.token > token, "it was to win again"
+    again = simulation.nodes[old].election
+    assert again.is_leader and again.token > token, "it was to win again"
     simulation.finish()
 
 
@@ -643,12 +643,12 @@
 
 @pytest.mark.parametrize("settles", ["lease ended", "token moved"])
 def test_a_member_whose_campaign_may_yet_be_carried_out_promises_nothing(settles):
-    # Holds `doubtful` in `Authority._may_promise`: the late win would make this member, restarted,
-    # take its promises for its own, while the leader that it gave them to is on a bridge.
+    # Holds `unresolved_leases` in `LeaderElection._may_vote`: the late win would make this member,
+    # restarted, take its votes for its own, while the leader that it gave them to relies on them.
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
-    times = times_of(parse(raw_settings()).cluster)
-    core = Authority(
+    times = election_timings(parse(raw_settings()).cluster)
+    core = LeaderElection(
         "n0",
         ["n1", "n2"],
         times,
@@ -658,7 +658,7 @@
         lambda now, leading, continued: None,
         0.0,
     )
-    core.known = True
+    core.records_synced = True
     core.tick(50.0)
     (make,) = out.calls
     out.calls.clear()
@@ -669,7 +669,7 @@
 
     def promised():
         out.frames.clear()
-        core.received(51.1, "n1", LeaseExtensionRequest(0, 3))
+        core.on_frame(51.1, "n1", LeaseExtensionRequest(0, 3))
         return out.frames[0][1].granted
 
     assert not promised()
@@ -677,7 +677,7 @@
         (drop,) = out.calls
         drop.then(51.1, CallOutcome(200))
     else:
-        core.saw(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
+        core.on_watch_event(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
     assert promised()
 
 
@@ -717,11 +717,11 @@
     simulation.run(3.0)
     leader = simulation.leader()
     granted = [
-        t.granted_until
+        t.grants_expire_at
         for n, t in simulation.nodes[leader].cluster_manager.grantees.items()
         if n != leader
     ]
-    simulation.nodes[leader].authority.step_down(simulation.now, "told to")
+    simulation.nodes[leader].election.step_down(simulation.now, "told to")
     while simulation.now < max(granted):
         assert "c/lead" in simulation.state.data
         simulation.run(0.1)
@@ -731,7 +731,9 @@
 
 def test_a_remote_owner_says_where_a_job_must_find_room():
     simulation = Simulation(seed=3, partitioned=True)
-    simulation.run_until(lambda: all(n.members.all_proven() for n in simulation.nodes.values()), 10)
+    simulation.run_until(
+        lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
+    )
     simulation.run(3.0)
     leader = simulation.nodes[simulation.leader()]
     shard = next(
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -137,7 +137,7 @@
                 ]
             },
         )
-    fleet_store = service.fleet_store(proven=False)
+    fleet_store = service.fleet_store(all_upgraded=False)
     fleet_store.came_up(service.now, "m-new", PLACES[0])
     service.run(fleet_store, 3.0)
     assert "m-new" in service.truth()[1] and "m-new" in str(service.state.data["c/fleet"])
@@ -152,7 +152,7 @@
 def test_a_refused_record_is_proof_of_the_upgrade_only_if_limits_were_announced(limits_drop):
     service = Service()
     old_form(service)
-    fleet_store = service.fleet_store(proven=False, limits_drop=limits_drop)
+    fleet_store = service.fleet_store(all_upgraded=False, limits_drop=limits_drop)
     service.state.drop(**COMING)
     sent, marked = [], set()
     fleet_store.on_stored = lambda now, names: marked.update(names)
@@ -169,7 +169,7 @@
     service = Service()
     proof = []
     fleet_store = service.fleet_store()
-    fleet_store.proven, fleet_store.paged = lambda: bool(proof), False
+    fleet_store.all_upgraded, fleet_store.paged = lambda: bool(proof), False
     service.fate = lambda body: "late"
     fleet_store.came_up(service.now, "m-1", PLACES[0])
     service.step(fleet_store)
@@ -235,10 +235,12 @@
     def lead(self):
         service, rng = self.service, self.rng
         least = 1024 * self.service.state.limits["value_kb"]
-        self.fleet_store = service.fleet_store(proven=False, rate=60.0, least=min(least, 2048.0))
+        self.fleet_store = service.fleet_store(
+            all_upgraded=False, rate=60.0, least=min(least, 2048.0)
+        )
         # What one transaction would cover must hold when it takes several as well.
         self.fleet_store.txn_ops = rng.choice([1, 2, 5])
-        self.fleet_store.proven = lambda: self.proof
+        self.fleet_store.all_upgraded = lambda: self.proof
         self.fleet_store.on_stored = lambda now, names: self.marked.update(names)
         self.open = {}
         for request in list(self.fleet_store.booked):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from copperpass.core.election.authority import Authority
+from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.node.node import Node
 from copperpass.protocol.frames.messages import JobCancelled
 from tests.bodies import job
@@ -58,7 +58,8 @@
     owner, starts = shard.owner, simulation.starts
     simulation.refused.add(owner)
     simulation.run_until(
-        lambda: shard.owner not in ("", owner), 3 * simulation.nodes[leader].ttl + 2.0
+        lambda: shard.owner not in ("", owner),
+        3 * simulation.nodes[leader].timings.leader_ttl_s + 2.0,
     )
     other = next(n for n in simulation.names if n not in (owner, leader))
     for n in range(1, 5):
@@ -90,7 +91,7 @@
 
 
 def test_without_the_bound_on_the_view_that_day_breaks_a_rule(monkeypatch):
-    monkeypatch.setattr(Authority, "fresh_until", lambda self: float("inf"))
+    monkeypatch.setattr(LeaderElection, "watch_cache_valid_until", lambda self: float("inf"))
     monkeypatch.setattr(Node, "_behind", lambda self: False)
     with pytest.raises(AssertionError):
         simulation = stuck_leader_day()
@@ -123,7 +124,9 @@
 
 def test_a_cancellation_is_heard_of_before_the_view_shows_it():
     simulation = started_simulation()
-    simulation.run_until(lambda: all(n.members.all_proven() for n in simulation.nodes.values()), 10)
+    simulation.run_until(
+        lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
+    )
     leader = simulation.leader()
     simulation.stuck.add(leader)
     simulation.run(1.0)
@@ -140,7 +143,9 @@
 
 def test_only_members_proven_to_know_it_are_told_of_a_cancellation():
     simulation = started_simulation()
-    simulation.run_until(lambda: all(n.members.all_proven() for n in simulation.nodes.values()), 10)
+    simulation.run_until(
+        lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
+    )
     told = []
     leader = simulation.leader()
     one, other = [n for n in simulation.names if n != leader]
@@ -148,7 +153,7 @@
     simulation.frame = lambda s, m, f: (
         told.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
     )
-    simulation.nodes[one].members.known.discard(leader)
+    simulation.nodes[one].version_registry.known.discard(leader)
     simulation.cancel("req-000001", one)
     simulation.run(2.0)
     assert told == [(one, other)] and running(simulation) == 6
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -405,7 +405,7 @@
             (owner.shard, name)
             for name, node in simulation.nodes.items()
             for owner in node.schedulers
-            if owner.entitled(simulation.now)
+            if owner.has_authority(simulation.now)
         ]
         return dict(entitled)
 
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -13,7 +13,7 @@
         o.shard: name
         for name, node in simulation.nodes.items()
         for o in node.schedulers
-        if node.grant_client.entitled(simulation.now) and o.ready
+        if node.grant_client.has_authority(simulation.now) and o.ready
     }
 
 
@@ -92,7 +92,7 @@
             n
             for n, node in simulation.nodes.items()
             for o in node.schedulers
-            if o.shard == 0 and node.grant_client.entitled(simulation.now)
+            if o.shard == 0 and node.grant_client.has_authority(simulation.now)
         ]
         assert len(entitled) <= 1
         passed = passed or entitled not in ([], [owner])
--- a/tests/test_authority.py
+++ b/tests/test_leader_election.py
@@ -7,7 +7,11 @@
 import pytest
 
 from copperpass import settings as settings_module
-from copperpass.core.election.authority import Authority, Times, times_of
+from copperpass.core.election.leader_election import (
+    ElectionTimings,
+    LeaderElection,
+    election_timings,
+)
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
@@ -20,12 +24,12 @@
 class Model:
     """Election cores alone: drifting clocks, hangs, restarts, held and late messages."""
 
-    def __init__(self, seed, times=None, own_times=None, names=("a", "b", "c")):
+    def __init__(self, seed, timings=None, own_timings=None, names=("a", "b", "c")):
         self.rng = random.Random(seed)
         self.now, self.queue = 50.0, []
         self.names = list(names)
-        self.times = times or times_of(settings_module.parse(raw_settings()).cluster)
-        self.own_times = own_times or {}
+        self.timings = timings or election_timings(settings_module.parse(raw_settings()).cluster)
+        self.own_timings = own_timings or {}
         self.state = State(self)
         self.nodes, self.rate, self.hung = {}, {}, {}
         self.refused, self.cuts = set(), set()
@@ -47,11 +51,11 @@
 
     def boot(self, name):
         out = Outbox()
-        transactions = TransactionQueue(out, 1000.0, 16, self.times.ttl / 3)
+        transactions = TransactionQueue(out, 1000.0, 16, self.timings.leader_ttl_s / 3)
         others = [n for n in self.names if n != name]
-        times = self.own_times.get(name, self.times)
-        self.nodes[name] = Authority(
-            name, others, times, out, transactions, self.rng, lambda *a: None, self.clock(name)
+        timings = self.own_timings.get(name, self.timings)
+        self.nodes[name] = LeaderElection(
+            name, others, timings, out, transactions, self.rng, lambda *a: None, self.clock(name)
         )
         self.seen[name] = 0
 
@@ -69,10 +73,10 @@
                 node.tick(self.clock(name))
                 node.transactions.pump(self.clock(name))
                 self.drain(name)
-        entitled = [n for n in self.names if self.nodes[n].entitled(self.clock(n))]
+        entitled = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
         self.most = max(self.most, len(entitled))
         self.led.update(entitled)
-        self.bridges += sum(1 for n in entitled if self.nodes[n].extending(self.clock(n)))
+        self.bridges += sum(1 for n in entitled if self.nodes[n].is_on_extension(self.clock(n)))
 
     def watch(self, name):
         if self.state.down or name in self.refused:
@@ -81,9 +85,9 @@
         for revision, key, value in self.state.log:
             if revision > self.seen[name]:
                 raw = None if value is None else json.dumps(value).encode()
-                node.saw(at, key, raw, revision)
+                node.on_watch_event(at, key, raw, revision)
         self.seen[name] = self.state.revision
-        node.known = True
+        node.records_synced = True
 
     def drain(self, name):
         node = self.nodes[name]
@@ -101,7 +105,7 @@
         if self.now < self.hung[member]:
             self.after(self.hung[member] - self.now, lambda: self.deliver(sender, member, frame))
             return
-        self.nodes[member].received(self.clock(member), sender, frame)
+        self.nodes[member].on_frame(self.clock(member), sender, frame)
         self.drain(member)
 
     def call(self, name, node, call):
@@ -172,19 +176,19 @@
 
 def test_the_model_bites_when_members_keep_promises_for_too_short():
     # Members that keep a promise for a tenth of what the leader counts on: the inequality that
-    # Times can't express, since one figure serves both sides, broken on purpose.
+    # ElectionTimings can't express, since one figure serves both sides, broken on purpose.
     twice = 0
     for seed in range(12):
-        short = times_of(settings_module.parse(raw_settings()).cluster)
-        short = dataclasses.replace(short, promise=short.promise / 10)
-        model = Model(seed, own_times={"b": short, "c": short})
+        short = election_timings(settings_module.parse(raw_settings()).cluster)
+        short = dataclasses.replace(short, vote_s=short.vote_s / 10)
+        model = Model(seed, own_timings={"b": short, "c": short})
         model.play()
         twice += model.most > 1
     assert twice > 0
 
 
 def test_the_model_bites_when_campaigns_ignore_promises(monkeypatch):
-    monkeypatch.setattr(Authority, "_may_campaign", lambda self, now: True)
+    monkeypatch.setattr(LeaderElection, "_may_campaign", lambda self, now: True)
     twice = 0
     for seed in range(12):
         model = Model(seed)
@@ -196,13 +200,19 @@
 @pytest.mark.parametrize(
     ("change", "word"),
     [
-        ({"promise": 99.0}, "promise"),
-        ({"lease": 3.0}, "lease_s"),
-        ({"extension": 39.0}, "cancel_s"),
+        ({"vote_s": 99.0}, "vote"),
+        ({"worker_lease_s": 3.0}, "lease_s"),
+        ({"max_extension_s": 39.0}, "cancel_s"),
     ],
 )
 def test_lengths_that_break_the_argument_are_refused(change, word):
-    good = Times(ttl=3.0, promise=1.0, extension=20.0, lease=12.0, cancel=40.0)
+    good = ElectionTimings(
+        leader_ttl_s=3.0,
+        vote_s=1.0,
+        max_extension_s=20.0,
+        worker_lease_s=12.0,
+        cancel_deadline_s=40.0,
+    )
     good.check()
     with pytest.raises(SettingsError, match=word):
         dataclasses.replace(good, **change).check()
@@ -217,7 +227,9 @@
     model.boot(leader)
     for _ in range(20):
         model.step()
-    assert model.nodes[leader].entitled(model.clock(leader)), "no need to wait for the key's end"
+    assert model.nodes[leader].has_authority(model.clock(leader)), (
+        "no need to wait for the key's end"
+    )
     assert model.nodes[leader].token > before
 
 
@@ -225,7 +237,7 @@
     """A model, a member whose campaign is sent and not carried out, its time and that call."""
     model = Model(5)
     node = model.nodes["a"]
-    node.known = True
+    node.records_synced = True
     now = node.next_campaign + 1.0
     node.tick(now)
     (asked,) = node.out.calls
@@ -238,9 +250,9 @@
     return model, node, now, sent
 
 
-def promises(node, now, token=9):
+def votes(node, now, token=9):
     node.out.frames.clear()
-    node.received(now, "b", LeaseExtensionRequest(token, 1))
+    node.on_frame(now, "b", LeaseExtensionRequest(token, 1))
     ((_, answer),) = node.out.frames
     return answer.granted
 
@@ -262,17 +274,17 @@
 
 @pytest.mark.parametrize("over", ["lease ended", "lease gone", "token seen"])
 def test_a_campaign_without_an_answer_keeps_its_member_from_promising_until_it_is_over(over):
-    # Guards whoever holds the promise: the late win would be this member's, which after a restart
+    # Guards whoever holds the vote_s: the late win would be this member's, which after a restart
     # keeps no promise. It is over once the lease is certainly gone or another token is stored.
     _, node, now, sent = campaign_on_its_way()
     sent.then(now, CallOutcome(0))
     (drop,) = node.out.calls
     assert (drop.method, node.campaigning) == ("DELETE", False)
-    assert not promises(node, now)
+    assert not votes(node, now)
     if over == "token seen":
-        node.saw(now, "c/token", b'{"token":1,"member":"b"}', 50)
+        node.on_watch_event(now, "c/token", b'{"token":1,"member":"b"}', 50)
     else:
         drop.then(now, CallOutcome(503))
-        assert not promises(node, now)
+        assert not votes(node, now)
         drop.then(now, CallOutcome(200 if over == "lease ended" else 404))
-    assert promises(node, now)
+    assert votes(node, now)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -77,7 +77,7 @@
         production.shard_of(scheduler): name
         for name, node in simulation.nodes.items()
         for scheduler in node.schedulers
-        if node.grant_client.entitled(simulation.now)
+        if node.grant_client.has_authority(simulation.now)
     }
 
 
@@ -124,11 +124,11 @@
     leader = simulation.leader()
     if leader != "n2":
         node = simulation.nodes[leader]
-        assert node.proven(leader) and not node.proven("n2")
+        assert node.is_upgraded(leader) and not node.is_upgraded("n2")
     assert "c/fleet" in simulation.state.data
     simulation.crash("n2", 1.0)
     settle(simulation, range(1, 5))
-    assert simulation.nodes[simulation.leader()].proven("n2")
+    assert simulation.nodes[simulation.leader()].is_upgraded("n2")
 
 
 @pytest.mark.parametrize("step", range(4))
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -42,7 +42,7 @@
             epoch=1,
             serial=1,
             token_version=lambda: 50,
-            entitled=lambda now: True,
+            has_authority=lambda now: True,
             fresh_at=lambda: self.fresh_at,
         )
         self.owner = ShardScheduler(context, revision=50, now=self.now)
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -255,4 +255,4 @@
         if member == "n1":
             item = {"path": f"v/{member}", "value": value, "stamp": 7}
             call.then(0.1, CallOutcome(200, json.dumps(item).encode()))
-    assert registry.proven("n1") and not registry.proven("n0")
+    assert registry.is_upgraded("n1") and not registry.is_upgraded("n0")
