--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -248,9 +248,15 @@
     """What the machines that serve, or will soon, have to offer."""
     rooms = []
     for m in machines:
-        if m.releasing or m.failed or m.fenced or m.vacating or m.notice_until is not None:
+        if (
+            m.deletion_requested
+            or m.failed
+            or m.quarantined
+            or m.draining
+            or m.notice_until is not None
+        ):
             continue
-        if m.up and (now - m.last_report > silence or m.deaf_since is not None):
+        if m.up and (now - m.last_heartbeat_at > silence or m.unreachable_since is not None):
             continue
         cpus, gpus, memory = m.free_capacity()
         frees = [
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -462,7 +462,9 @@
         authority round. So it is done once, and again only after somebody else has led.
         """
         up = any(h.status.up or h.entry.recorded for h in cluster_manager.machines.values())
-        heard = max([cluster_manager.won_at, *(owner.last_report for owner in self.schedulers)])
+        heard = max(
+            [cluster_manager.won_at, *(owner.last_heartbeat_at for owner in self.schedulers)]
+        )
         alone = not any(now - at < self.timings.leader_ttl_s for at in self.peer_heard.values())
         if (
             up
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -46,16 +46,16 @@
         connections = context.cluster.resources.max_connections
         self.most_directs = max(LEAST_DIRECTS, connections // (CONNECTIONS_PER_DIRECT * shards))
 
-    def suspect_deaf(self, now: float, machine: Machine) -> None:
+    def suspect_unreachable(self, now: float, machine: Machine) -> None:
         """What was sent has not arrived for certain, although reports do: it may be deaf.
 
         Such a machine would swallow starts again and again. It gets no new work until it shows a
         token that only an answer of ours can have brought it, which takes a report if all is well.
         """
         machine.token += 1
-        machine.probe = machine.token
-        if machine.deaf_since is None:
-            machine.deaf_since = now
+        machine.probe_token = machine.token
+        if machine.unreachable_since is None:
+            machine.unreachable_since = now
             self.context.out.log("debug", "machine may be deaf", machine=machine.name)
 
     def for_report(self, now: float, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
@@ -67,18 +67,18 @@
         for placement in machine.tasks.values():
             name = task_id(placement.job_id, placement.index)
             if placement.state == TaskState.EXITED:
-                if not placement.stored or not placement.seen:
+                if not placement.stored or not placement.reported:
                     continue
-                if placement.direct and placement.start_token >= report.token:
+                if placement.sent_directly and placement.start_token >= report.token:
                     # A repeat of the start could still arrive: pass it with a higher token first.
                     raise_token = raise_token or machine.token <= placement.start_token
                     continue
                 commands.append(Command(CommandKind.FORGET, name, placement.attempt))
-            elif placement.stop is not None and placement.seen:
-                stop = Command(CommandKind.STOP, name, placement.attempt, placement.stop)
+            elif placement.stop_grace_s is not None and placement.reported:
+                stop = Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
                 commands.append(stop)
-                placement.stop_sent = now
-        if not machine.do_in_flight:
+                placement.stop_sent_at = now
+        if not machine.command_in_flight:
             if raise_token:
                 machine.token += 1
             commands += self._starts_for_report(now, machine, report)
@@ -89,7 +89,11 @@
     ) -> list[Command]:
         commands = []
         for placement in machine.starts:
-            placement.sent_seq, placement.direct, placement.sent_at = report.seq, False, now
+            placement.sent_sequence, placement.sent_directly, placement.sent_at = (
+                report.seq,
+                False,
+                now,
+            )
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
             commands.append(Command(CommandKind.START, name, placement.attempt))
@@ -99,12 +103,12 @@
     def send(self, now: float, machine: Machine) -> None:
         """Send starts and stops at once, one request at a time for each machine."""
         if (
-            machine.do_in_flight
+            machine.command_in_flight
             or not machine.address
             or machine.session == 0
-            or now < max(machine.do_broken_until, machine.handed_until)
+            or now < max(machine.command_backoff_until, machine.relayed_until)
             or not self.context.has_authority(now)
-            or machine.releasing
+            or machine.deletion_requested
             # Beyond the sockets that are kept for this, orders go with answers to reports.
             or self.directs >= self.most_directs
         ):
@@ -113,9 +117,9 @@
             placement
             for placement in machine.tasks.values()
             if placement.active
-            and placement.seen
-            and placement.stop is not None
-            and placement.stop_sent == 0.0
+            and placement.reported
+            and placement.stop_grace_s is not None
+            and placement.stop_sent_at == 0.0
         ]
         if stops or machine.starts:
             self._direct(now, machine, stops, list(machine.starts))
@@ -125,16 +129,18 @@
     ) -> None:
         commands = []
         for placement in stops:
-            placement.stop_sent = now
+            placement.stop_sent_at = now
             name = task_id(placement.job_id, placement.index)
-            commands.append(Command(CommandKind.STOP, name, placement.attempt, placement.stop))
+            commands.append(
+                Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
+            )
         for placement in starts:
-            placement.sent_at, placement.direct = now, True
+            placement.sent_at, placement.sent_directly = now, True
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
             commands.append(Command(CommandKind.START, name, placement.attempt))
         machine.starts.clear()
-        machine.do_in_flight = True
+        machine.command_in_flight = True
         self.directs += 1
         ordered = bool(commands)
 
@@ -155,7 +161,7 @@
         starts: list[Placement],
         ordered: bool,
     ) -> None:
-        machine.do_in_flight = False
+        machine.command_in_flight = False
         self.directs -= 1
         if not self.state.over:
             self.on_answer(now, outcome, machine, starts, ordered)
@@ -173,11 +179,11 @@
             machine = self.state.machines[name]
             if (
                 machine.settled
-                or machine.do_in_flight
-                or machine.releasing
+                or machine.command_in_flight
+                or machine.deletion_requested
                 or not machine.address
-                or now < max(machine.next_probe, machine.handed_until)
+                or now < max(machine.next_probe_at, machine.relayed_until)
             ):
                 continue
-            machine.next_probe = now + self.timing.report_s
+            machine.next_probe_at = now + self.timing.report_s
             self._direct(now, machine, [], [])
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -17,11 +17,11 @@
 
     def on_task_active(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang is reported as active."""
-        if job.ending and placement.stop is None:
+        if job.ending and placement.stop_grace_s is None:
             # Its machine was taken over only after the attempt had ended and the rest were told.
             self.tasks.stop(now, placement, StopReason.ATTEMPT_OVER)
         if not job.attempt and not job.ending:
-            if placement.stop is not None:
+            if placement.stop_grace_s is not None:
                 # The second copy of a task, which must go: nobody may join its attempt.
                 return
             # Taken over from an earlier owner: what is missing joins its attempt.
@@ -40,7 +40,7 @@
             refused = placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN)
             waiting = not job.begun and (
                 refused
-                or placement.stop is not None
+                or placement.stop_grace_s is not None
                 or (placement.why == ExitCause.ERROR and not placement.running_at)
             )
             if not waiting:
@@ -54,8 +54,8 @@
         longest = min(timing.silence_s, timing.gang_notice_s)
         for name in job.placed.values():
             machine = machines.get(name)
-            if machine is None or machine.deaf_since is not None:
+            if machine is None or machine.unreachable_since is not None:
                 return False
-            if now - machine.last_report > longest:
+            if now - machine.last_heartbeat_at > longest:
                 return False
         return True
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -23,7 +23,7 @@
         for machine in machines:
             if machine.up or machine.name in unsettled:
                 counts = self.zones.setdefault(machine.zone, [0, 0])
-                counts[0] += now - machine.contact > silence
+                counts[0] += now - machine.last_contact_at > silence
                 counts[1] += 1
         self.silent = sum(counts[0] for counts in self.zones.values())
         self.all = sum(counts[1] for counts in self.zones.values())
@@ -49,25 +49,25 @@
         state, timing = self.state, self.state.timing
         silence = Silence(state.machines.values(), state.unsettled, now, timing.silence_s)
         for machine in list(state.machines.values()):
-            ended = float("-inf") < machine.last_answer < now - timing.lease_s
+            ended = float("-inf") < machine.last_answer_at < now - timing.lease_s
             if ended and (machine.tasks or machine.name in state.unsettled):
                 self.out.log("info", "lease over", machine=machine.name)
                 state.unsettled.discard(machine.name)
                 self.tasks.session_over(now, machine)
-            if machine.releasing:
+            if machine.deletion_requested:
                 continue
             why = self._hopeless(now, machine, ended, silence)
             if why:
                 self.out.log("info", "machine given up", machine=machine.name, why=why)
-                machine.releasing = True
+                machine.deletion_requested = True
 
     def _hopeless(self, now: float, machine: Machine, ended: bool, silence: Silence) -> str:
         """Why a machine should be deleted, if it should."""
         timing = self.state.timing
         few, cut = silence.few(machine.zone), silence.cut(machine.zone)
         patience = CUT_LEASES * timing.lease_s if cut else timing.lease_s
-        quiet = now - machine.contact
-        waited = now - max(machine.last_answer - timing.overlap_s, self.state.since)
+        quiet = now - machine.last_contact_at
+        waited = now - max(machine.last_answer_at - timing.overlap_s, self.state.since)
         lost = machine.name in self.state.unsettled and waited > timing.lost_s and few
         if not machine.up and machine.recorded and (lost or (ended and waited > patience)):
             # Known by its record alone, and silent for longer than a worker takes to find its way
@@ -83,4 +83,4 @@
             # It speaks, but for a whole lease no answer has reached it: its session is over by
             # then, and a machine that can be commanded is worth more.
             return "deaf"
-        return "sick" if machine.fenced and machine.empty() else ""
+        return "sick" if machine.quarantined and machine.empty() else ""
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -27,16 +27,16 @@
     machine: Machine, placement: Placement, report: WorkerHeartbeat, full: bool
 ) -> bool:
     """Whether a report without the task proves that it is not, and will not be, there."""
-    if placement.seen:
+    if placement.reported:
         return True
     if placement in machine.starts:
         return False
-    if placement.barrier:
+    if placement.barrier_token:
         # The start went unanswered: only a report that has seen a higher token passes it.
-        return report.token >= placement.barrier
-    if placement.sent_seq >= 0:
+        return report.token >= placement.barrier_token
+    if placement.sent_sequence >= 0:
         # Sent with an answer: the next report shows whether the answer was taken.
-        return full and report.seq > placement.sent_seq
+        return full and report.seq > placement.sent_sequence
     return False
 
 
@@ -70,19 +70,19 @@
         if (report.session, report.seq) <= (machine.session, machine.seq):
             # A late copy: it changes nothing, and its answer carries no orders. What its answer
             # could renew was sent before the newest message that we know of came in.
-            newest = max(machine.last_report, machine.last_message)
-            machine.last_answer = max(machine.last_answer, newest)
+            newest = max(machine.last_heartbeat_at, machine.last_message_at)
+            machine.last_answer_at = max(machine.last_answer_at, newest)
             return HeartbeatAnswer(machine.token, [])
         # A worker that has found its way here can be told directly again: a new machine's first
         # report often comes to another controller.
-        machine.handed_until = now + 2 * self.timing.report_s if handed else float("-inf")
+        machine.relayed_until = now + 2 * self.timing.report_s if handed else float("-inf")
         self.take(now, machine, report, True)
         if self._doubtful(now, machine):
             return None
         if machine.settled:
             # Only two-way contact counts as hearing workers: a report alone may be a late copy.
-            self.state.last_report = now
-        machine.last_answer = max(machine.last_answer, now)
+            self.state.last_heartbeat_at = now
+        machine.last_answer_at = max(machine.last_answer_at, now)
         commands = self.commands.for_report(now, machine, report)
         return HeartbeatAnswer(machine.token, commands)
 
@@ -94,14 +94,14 @@
         self._take_session(now, machine, report, full)
         self._take_proofs(now, machine, report)
         self._take_tasks(now, machine, report, full)
-        if machine.stale:
+        if machine.usage_stale:
             self.tally.recount(machine)
         if machine.tasks:
             machine.idle_since = now
             self._mind_foreign(machine)
         else:
-            machine.foreign = False
-            if machine.vacating and not machine.starts:
+            machine.holds_other_shard = False
+            if machine.draining and not machine.starts:
                 self.state.give_back_if_empty(machine)
 
     def _take_session(
@@ -116,14 +116,14 @@
             machine.session = report.session
             # Its lease began before this was said. Counted from the last answer in the session
             # before, the end of that lease would free the tasks of the new one.
-            machine.last_answer = max(machine.last_answer, now)
+            machine.last_answer_at = max(machine.last_answer_at, now)
         machine.seq = report.seq
         machine.address = report.address
-        machine.last_message = now
+        machine.last_message_at = now
         if full or not machine.up:
             # Guards against a machine that can be commanded but can't report: nothing renews its
             # lease, so all that it is given is lost, and it must count as silent.
-            machine.last_report = now
+            machine.last_heartbeat_at = now
         if not machine.up:
             machine.up, machine.up_at, machine.idle_since = True, now, now
             self.state.dirty = True
@@ -133,8 +133,8 @@
         if report.notice_s is not None and machine.notice_until is None:
             until = machine.notice_until = now + report.notice_s
             self._noticed(now, machine, until - now)
-        if machine.deaf_since is not None and report.token >= machine.probe:
-            machine.deaf_since, self.state.dirty = None, True
+        if machine.unreachable_since is not None and report.token >= machine.probe_token:
+            machine.unreachable_since, self.state.dirty = None, True
         if not machine.settled and report.token >= machine.base:
             machine.settled = True
             self.state.unsettled.discard(machine.name)
@@ -158,26 +158,26 @@
         swallowed = False
         for placement in list(machine.tasks.values()):
             if placement.key not in listed and proves_gone(machine, placement, report, full):
-                swallowed = swallowed or not placement.seen
+                swallowed = swallowed or not placement.reported
                 self.tasks.remove(now, machine, placement)
         if swallowed:
-            self.commands.suspect_deaf(now, machine)
+            self.commands.suspect_unreachable(now, machine)
 
     def _mind_foreign(self, machine: Machine) -> None:
         """Tasks of another shard are here: the leader didn't know whose machine it is."""
-        foreign = [placement for placement in machine.tasks.values() if placement.foreign]
-        machine.foreign = bool(foreign)
+        foreign = [placement for placement in machine.tasks.values() if placement.of_other_shard]
+        machine.holds_other_shard = bool(foreign)
         if not foreign:
             return
-        if len(foreign) == len(machine.tasks) and not machine.do_in_flight:
+        if len(foreign) == len(machine.tasks) and not machine.command_in_flight:
             shard = next((p.shard for p in foreign if p.shard != NO_SHARD), NO_SHARD)
             if shard != NO_SHARD:
                 last = MachineStatus(machine.name, machine.base, up=True, given=True, shard=shard)
                 self.state.part_with(machine, last)
                 return
         for placement in foreign:
-            if placement.active and placement.stop is None:
-                placement.stop, placement.stopping_for = 0.0, StopReason.FOREIGN
+            if placement.active and placement.stop_grace_s is None:
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.FOREIGN
 
     def _adopt(self, now: float, machine: Machine, key: tuple[str, int, int]) -> Placement:
         """A task of an earlier authority."""
@@ -194,11 +194,11 @@
             0.0,
             "",
             0.0,
-            seen=True,
+            reported=True,
             sent_at=now,
         )
         machine.tasks[key] = placement
-        machine.stale = True
+        machine.usage_stale = True
         self.state.where.setdefault(placement.job_id, set()).add(machine.name)
         self._match_job(machine, placement)
         return placement
@@ -213,13 +213,13 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is not None:
             if not self.context.is_mine(job.spec.team):
-                placement.foreign, placement.shard = True, self.context.shards[job.spec.team]
+                placement.of_other_shard, placement.shard = True, self.context.shards[job.spec.team]
                 return
             self._match_own_job(machine, placement, job)
             return
         if self.state.knows_over(placement):
             if placement.active:
-                placement.stop, placement.stopping_for = 0.0, StopReason.JOB_OVER
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
             else:
                 placement.stored = True
 
@@ -234,13 +234,13 @@
             machine.touch_image(spec.image, spec.image_gb)
             self.tally.recount(machine)
         if placement.active and job.announce_cancelled:
-            placement.stop, placement.stopping_for = 0.0, StopReason.CANCELLED
+            placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.CANCELLED
         if placement.active and placement.index < job.spec.tasks:
             other = job.placed.get(placement.index)
             if other is None and not job.is_done(placement.index):
                 job.placed[placement.index] = machine.name
             elif other != machine.name:
-                placement.stop, placement.stopping_for = 0.0, StopReason.DUPLICATE
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.DUPLICATE
 
     def _doubtful(self, now: float, machine: Machine) -> bool:
         """Whether a machine has tasks of which nobody here knows if their job is over.
@@ -252,7 +252,7 @@
         if self.state.ready or now - self.context.fresh_at() < self.timing.lease_s / 4:
             return False
         return any(
-            p.team == UNIDENTIFIED and p.active and not p.foreign and p.stop is None
+            p.team == UNIDENTIFIED and p.active and not p.of_other_shard and p.stop_grace_s is None
             for p in machine.tasks.values()
         )
 
@@ -262,7 +262,7 @@
         for placement in list(machine.starts):
             self.tasks.remove(now, machine, placement)
         for placement in list(machine.tasks.values()):
-            if not placement.active or placement.stop is not None:
+            if not placement.active or placement.stop_grace_s is not None:
                 continue
             job = self.jobs.jobs.get(placement.job_id)
             if (
@@ -288,11 +288,11 @@
         report = None
         if outcome.status in (200, 409):
             report = decode(outcome.body, WorkerHeartbeat)
-        mine = [p for p in starts if machine.tasks.get(p.key) is p and not p.seen]
+        mine = [p for p in starts if machine.tasks.get(p.key) is p and not p.reported]
         if outcome.status == NOT_SENT and ordered:
             # No connection: whatever is there can't be reached, so it gets nothing new for now.
-            machine.do_broken_until = now + 2 * self.timing.report_s
-            self.commands.suspect_deaf(now, machine)
+            machine.command_backoff_until = now + 2 * self.timing.report_s
+            self.commands.suspect_unreachable(now, machine)
         if outcome.status in (400, 409, NOT_SENT):
             # Nothing was executed, for certain.
             for placement in mine:
@@ -300,16 +300,16 @@
         elif (outcome.status != 200 or report is None) and ordered:
             # Unanswered: it may be executed at any later time, until the worker has seen a
             # higher token or begun another session.
-            machine.do_broken_until = now + 2 * self.timing.report_s
-            self.commands.suspect_deaf(now, machine)
+            machine.command_backoff_until = now + 2 * self.timing.report_s
+            self.commands.suspect_unreachable(now, machine)
             for placement in mine:
-                placement.barrier = machine.token
+                placement.barrier_token = machine.token
         if report is not None:
             self._take_direct(now, machine, report)
         if outcome.status == 200:
             for placement in mine:
-                if not placement.seen and machine.tasks.get(placement.key) is placement:
-                    placement.sent_seq = machine.seq
+                if not placement.reported and machine.tasks.get(placement.key) is placement:
+                    placement.sent_sequence = machine.seq
         self.state.dirty = True
         self.commands.send(now, machine)
 
@@ -321,5 +321,5 @@
             return
         if report.session != machine.session:
             # It was asked under a session that is over; now the right one is known.
-            machine.next_probe = now
+            machine.next_probe_at = now
         self.take(now, machine, report, False)
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -64,17 +64,17 @@
     why: str = ""
     sent_at: float = 0.0
     running_at: float = 0.0
-    seen: bool = False
-    sent_seq: int = -1
-    direct: bool = False
-    barrier: int = 0
+    reported: bool = False
+    sent_sequence: int = -1
+    sent_directly: bool = False
+    barrier_token: int = 0
     start_token: int = 0
-    stop: float | None = None
-    stop_sent: float = 0.0
-    stopping_for: StopReason | None = None
+    stop_grace_s: float | None = None
+    stop_sent_at: float = 0.0
+    stop_reason: StopReason | None = None
     stored: bool = False
     # A task of another shard, which only its owner may judge.
-    foreign: bool = False
+    of_other_shard: bool = False
     shard: int = 255
 
     @property
@@ -105,24 +105,24 @@
     recorded: bool = False
     settled: bool = False
     # Tasks of another shard are here.
-    foreign: bool = False
+    holds_other_shard: bool = False
     # The leader wants it back as soon as it is empty.
-    vacating: bool = False
+    draining: bool = False
     # Since when what was sent may not arrive, and the token that proves contact again.
-    deaf_since: float | None = None
-    probe: int = 0
-    handed_until: float = float("-inf")
+    unreachable_since: float | None = None
+    probe_token: int = 0
+    relayed_until: float = float("-inf")
     up: bool = False
     up_at: float = 0.0
-    last_report: float = float("-inf")
+    last_heartbeat_at: float = float("-inf")
     # The same, answers of `/do` included: those a machine gives that reaches no controller itself.
-    last_message: float = float("-inf")
-    last_answer: float = float("-inf")
+    last_message_at: float = float("-inf")
+    last_answer_at: float = float("-inf")
     notice_until: float | None = None
     failed: bool = False
     # The leader is asked to have it deleted.
-    releasing: bool = False
-    fenced: bool = False
+    deletion_requested: bool = False
+    quarantined: bool = False
     idle_since: float = 0.0
     backoff_until: float = 0.0
     reserved_for_job: str = ""
@@ -131,9 +131,9 @@
     reservation_ready_at: float = 0.0
     # Until when it isn't idle, since a gang counts on its room.
     retain_until: float = 0.0
-    do_in_flight: bool = False
-    do_broken_until: float = 0.0
-    errors: set[str] = field(default_factory=set)
+    command_in_flight: bool = False
+    command_backoff_until: float = 0.0
+    failed_jobs: set[str] = field(default_factory=set)
     tasks: dict[Key, Placement] = field(default_factory=dict)
     starts: list[Placement] = field(default_factory=list)
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
@@ -143,24 +143,24 @@
     used_gpus: float = 0.0
     used_memory: float = 0.0
     by_team: dict[str, tuple[float, float]] = field(default_factory=dict)
-    lowest: int = NO_PRIORITY
-    unidentified: bool = False
+    lowest_priority: int = NO_PRIORITY
+    holds_unidentified: bool = False
     # Tasks have come or ended since the last recount.
-    stale: bool = False
+    usage_stale: bool = False
     # What the leader was told last, and of which session.
-    told: MachineStatus | None = None
-    told_session: int = 0
+    last_status: MachineStatus | None = None
+    last_status_session: int = 0
     # When to ask it again what it holds, after it was taken over.
-    next_probe: float = 0.0
+    next_probe_at: float = 0.0
 
     @property
-    def contact(self) -> float:
+    def last_contact_at(self) -> float:
         """When messages last went both ways, as far as is known."""
-        return self.last_report if self.deaf_since is None else self.deaf_since
+        return self.last_heartbeat_at if self.unreachable_since is None else self.unreachable_since
 
     def empty(self) -> bool:
         """Whether nothing is here, nor on its way, for certain."""
-        return not (self.tasks or self.starts or self.do_in_flight)
+        return not (self.tasks or self.starts or self.command_in_flight)
 
     def recount(self) -> None:
         """Add up what the active tasks take."""
@@ -176,8 +176,8 @@
             lowest = min(lowest, p.priority)
             unidentified = unidentified or p.team == UNIDENTIFIED
         self.used_cpus, self.used_gpus, self.used_memory = cpus, gpus, memory
-        self.by_team, self.lowest, self.unidentified = by_team, lowest, unidentified
-        self.stale = False
+        self.by_team, self.lowest_priority, self.holds_unidentified = by_team, lowest, unidentified
+        self.usage_stale = False
 
     def free_capacity(self) -> tuple[float, float, float]:
         """Free CPUs, GPUs and memory."""
@@ -221,15 +221,15 @@
             self.up
             and self.recorded
             and self.settled
-            and self.deaf_since is None
-            and not self.releasing
-            and not self.vacating
-            and not self.foreign
-            and not self.fenced
+            and self.unreachable_since is None
+            and not self.deletion_requested
+            and not self.draining
+            and not self.holds_other_shard
+            and not self.quarantined
             and not self.failed
             and self.notice_until is None
             and now >= self.backoff_until
-            and now - self.last_report <= silence
+            and now - self.last_heartbeat_at <= silence
         )
 
 
@@ -245,7 +245,7 @@
         self._add(machine, -1.0)
         machine.recount()
         self._add(machine, 1.0)
-        if machine.unidentified:
+        if machine.holds_unidentified:
             self.unidentified.add(machine.name)
         else:
             self.unidentified.discard(machine.name)
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -94,10 +94,10 @@
             # It can be commanded at once.
             machine.seq = entry.contact.seq
             machine.settled = machine.up = True
-            machine.up_at = machine.last_report = machine.last_answer = now
+            machine.up_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif entry.recorded and entry.may_hold != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
-            machine.last_answer = now + self.state.timing.overlap_s
+            machine.last_answer_at = now + self.state.timing.overlap_s
             self.state.unsettled.add(entry.name)
         return machine
 
@@ -105,17 +105,17 @@
         """The leader wants a machine for others: give it back if it is proven empty."""
         if self.state.give_back_if_empty(machine) or not vacate:
             return
-        machine.vacating = True
+        machine.draining = True
         for placement in list(machine.starts):
             self.tasks.remove(now, machine, placement)
         for placement in list(machine.tasks.values()):
-            if placement.active and placement.stop is None:
+            if placement.active and placement.stop_grace_s is None:
                 self.tasks.stop(now, placement, StopReason.RECLAIMED)
         self.commands.send(now, machine)
 
     def _gone(self, now: float, machine: Machine) -> None:
         """The cloud has confirmed: the machine and all on it are gone."""
-        machine.vacating = False
+        machine.draining = False
         self.state.unsettled.discard(machine.name)
         self.tasks.session_over(now, machine)
         self.state.tally.drop(machine)
@@ -130,25 +130,25 @@
             idle = (
                 machine.up and machine.recorded and machine.empty() and now >= machine.retain_until
             )
-            settled = machine.settled and not machine.foreign
+            settled = machine.settled and not machine.holds_other_shard
             if self._is_news(machine, idle, settled):
-                machine.told_session = machine.session
-                machine.told = self._status(machine, idle, settled)
-                told.append(machine.told)
+                machine.last_status_session = machine.session
+                machine.last_status = self._status(machine, idle, settled)
+                told.append(machine.last_status)
         return told
 
     @staticmethod
     def _is_news(machine: Machine, idle: bool, settled: bool) -> bool:
-        last = machine.told
+        last = machine.last_status
         return (
             last is None
             or last.base != machine.base
             or last.up != machine.up
             or last.idle != idle
             or last.settled != settled
-            or last.release != machine.releasing
+            or last.release != machine.deletion_requested
             or last.used_cpus != machine.used_cpus
-            or machine.told_session != machine.session
+            or machine.last_status_session != machine.session
         )
 
     @staticmethod
@@ -160,7 +160,7 @@
             machine.up,
             settled,
             idle,
-            release=machine.releasing,
+            release=machine.deletion_requested,
             used_cpus=machine.used_cpus,
             contact=MachineContact(machine.address, machine.session, 0) if known else None,
         )
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -56,7 +56,7 @@
         state = self.state
         over = {team.name for team in state.teams if used[team.name][0] > team.cpus + 1e-6}
         stopping: int | None = None
-        lowest = min((machine.lowest for machine in usable), default=NO_PRIORITY)
+        lowest = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
         for job in stuck:
             spec = job.spec
             slack = state.slos.start_deadline(job, now) - now
@@ -82,8 +82,8 @@
             for machine in self.state.machines.values()
             for placement in machine.tasks.values()
             if placement.active
-            and placement.stop is not None
-            and placement.stopping_for == StopReason.PREEMPTED
+            and placement.stop_grace_s is not None
+            and placement.stop_reason == StopReason.PREEMPTED
         )
 
     def _make_room(
@@ -128,7 +128,7 @@
         machines, jobs = self.state.machines, self.jobs.jobs
         found: list[tuple[float, str, Machine, list[Placement]]] = []
         for machine in usable:
-            if now < machine.reserved_until or (machine.lowest >= priority and not under):
+            if now < machine.reserved_until or (machine.lowest_priority >= priority and not under):
                 continue
             if not zone_feasible(job, machine.zone, machines):
                 continue
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -155,9 +155,9 @@
         self.state.dirty = value
 
     @property
-    def last_report(self) -> float:
+    def last_heartbeat_at(self) -> float:
         """When a worker was last heard in both directions."""
-        return self.state.last_report
+        return self.state.last_heartbeat_at
 
     @property
     def over(self) -> bool:
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -57,7 +57,7 @@
         self.recent: dict[str, deque[tuple[float, float, float]]] = {
             team.name: deque(maxlen=RECENT_TASKS) for team in self.teams
         }
-        self.last_report = now
+        self.last_heartbeat_at = now
 
     def own_jobs(self) -> list[Job]:
         """The jobs of this shard's teams."""
@@ -82,7 +82,7 @@
 
     def give_back_if_empty(self, machine: Machine) -> bool:
         """Give a machine back to the leader if it is proven empty; returns whether it was."""
-        if not (machine.empty() and machine.settled and machine.deaf_since is None):
+        if not (machine.empty() and machine.settled and machine.unreachable_since is None):
             return False
         contact = MachineContact(machine.address, machine.session, machine.seq)
         self.part_with(
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -36,10 +36,10 @@
     def update(self, now: float, machine: Machine, placement: Placement, task: TaskStatus) -> None:
         """A task is reported as being on a machine."""
         was_active = placement.active
-        placement.seen = True
-        if placement.foreign:
+        placement.reported = True
+        if placement.of_other_shard:
             placement.state = task.state
-            machine.stale = True
+            machine.usage_stale = True
             return
         job = self.jobs.jobs.get(placement.job_id)
         if task.state == TaskState.EXITED:
@@ -56,8 +56,8 @@
         placement.state = task.state
         if job is not None and job.spec.gang:
             self.gangs.on_task_active(now, job, placement)
-        if job is None and placement.stop is None and self.state.knows_over(placement):
-            placement.stop, placement.stopping_for = 0.0, StopReason.JOB_OVER
+        if job is None and placement.stop_grace_s is None and self.state.knows_over(placement):
+            placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
 
     def _exited(
         self,
@@ -69,7 +69,7 @@
     ) -> None:
         """A task that was active is reported as ended."""
         placement.state, placement.why = TaskState.EXITED, task.why or ""
-        machine.stale = True
+        machine.usage_stale = True
         if placement.why != ExitCause.DONE:
             self._log_end(now, machine, placement, task)
         if placement.team == UNIDENTIFIED and job is None:
@@ -91,7 +91,7 @@
             "task ended",
             task=task.task,
             why=placement.why,
-            asked=placement.stopping_for,
+            asked=placement.stop_reason,
             machine=machine.name,
             ran=round(now - placement.running_at, 1) if placement.running_at else 0,
         )
@@ -107,7 +107,7 @@
             # They complete together: if one is done, all are. The others' machines may be lost with
             # their reports, and nothing is left that could run again.
             job.finished.update(i for i in range(job.spec.tasks) if not job.is_done(i))
-        machine.errors.clear()
+        machine.failed_jobs.clear()
         job.failed_on.clear()
         job.failures = 0
         if current:
@@ -139,7 +139,7 @@
         timing = self.state.timing
         job.failures += 1
         job.failed_on.add(machine.name)
-        machine.errors.add(job.spec.id)
+        machine.failed_jobs.add(job.spec.id)
         if len(job.failed_on) >= FAILED_MACHINES:
             # Guards the fleet against a job that fails everywhere: back off, longer each time.
             wait = timing.report_s * 2 ** min(job.failures, MOST_DOUBLINGS)
@@ -147,26 +147,26 @@
         jobs = self.jobs.jobs
         suspects = [
             name
-            for name in machine.errors
+            for name in machine.failed_jobs
             if name in jobs and len(jobs[name].failed_on) < FAILED_MACHINES
         ]
         # A gang that fails here alone, again, while its other machines do well, finds nowhere else
         # to go: it is the machine. One with a mistake fails on others too.
         alone = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
-        if machine.fenced:
+        if machine.quarantined:
             return
         if len(suspects) >= SICK_JOBS or alone:
-            self._fence(now, machine, len(suspects))
+            self._quarantine(now, machine, len(suspects))
         else:
             machine.backoff_until = now + 2 * timing.report_s
 
-    def _fence(self, now: float, machine: Machine, suspects: int) -> None:
+    def _quarantine(self, now: float, machine: Machine, suspects: int) -> None:
         """Give a sick machine nothing new, and take back what doesn't run there yet."""
-        machine.fenced = True
+        machine.quarantined = True
         self.out.log("info", "machine fenced", machine=machine.name, jobs=suspects)
         for placement in machine.tasks.values():
-            if placement.active and placement.stop is None and not placement.running_at:
-                placement.stop, placement.stopping_for = 0.0, StopReason.SICK_MACHINE
-                placement.stop_sent = 0.0
+            if placement.active and placement.stop_grace_s is None and not placement.running_at:
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.SICK_MACHINE
+                placement.stop_sent_at = 0.0
         for placement in list(machine.starts):
             self.tasks.remove(now, machine, placement)
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -95,7 +95,7 @@
             self.remove(now, machine, placement)
         machine.starts.clear()
         machine.images.clear()
-        if machine.vacating:
+        if machine.draining:
             self.state.give_back_if_empty(machine)
 
     def stop(self, now: float, placement: Placement, why: StopReason, save: bool = True) -> None:
@@ -107,8 +107,8 @@
         if job is None or not job.spec.gang or not job.begun or job.ending:
             # A gang that hasn't begun waits for a replacement under the same attempt.
             grace = self._save_s(placement) if save else 0.0
-            placement.stop, placement.stopping_for = grace, why
-            placement.stop_sent = 0.0
+            placement.stop_grace_s, placement.stop_reason = grace, why
+            placement.stop_sent_at = 0.0
         else:
             self.end_gang(now, job, why, self._save_s(placement))
 
@@ -135,8 +135,12 @@
                     continue
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
-                elif placement.stop is None:
-                    placement.stop, placement.stopping_for, placement.stop_sent = grace, why, 0.0
+                elif placement.stop_grace_s is None:
+                    placement.stop_grace_s, placement.stop_reason, placement.stop_sent_at = (
+                        grace,
+                        why,
+                        0.0,
+                    )
             self.commands.send(now, machine)
         job.settle_gang()
 
@@ -154,8 +158,8 @@
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.active:
-                    placement.stop, placement.stopping_for = 0.0, why
-                    placement.stop_sent = 0.0
+                    placement.stop_grace_s, placement.stop_reason = 0.0, why
+                    placement.stop_sent_at = 0.0
                 elif job.spec.id not in self.jobs.jobs:
                     placement.stored = True
             if touched:
--- a/src/copperpass/core/scheduling/victims.py
+++ b/src/copperpass/core/scheduling/victims.py
@@ -41,7 +41,7 @@
     )
     cpus, gpus, memory = machine.free_capacity()
     for placement in machine.tasks.values():
-        if placement.active and placement.stop is not None:
+        if placement.active and placement.stop_grace_s is not None:
             cpus, gpus = cpus + placement.cpus, gpus + placement.gpus
             memory += placement.memory_gb
     chosen: list[Placement] = []
@@ -79,8 +79,8 @@
         p
         for p in placements
         if p.active
-        and p.stop is None
-        and p.seen
+        and p.stop_grace_s is None
+        and p.reported
         and p.job_id not in gangs
         # Guards long tasks that can't save: stopped by each burst, they would never end.
         and not (spares and p.job_id in jobs and p.index in jobs[p.job_id].preempted)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -571,7 +571,7 @@
 
 
 def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
-    # Holds `machine.last_answer` at a change of session in `HeartbeatHandler.take`.
+    # Holds `machine.last_answer_at` at a change of session in `HeartbeatHandler.take`.
     bench = Bench()
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
@@ -605,7 +605,7 @@
     assert not machine.usable(bench.now, bench.owner.timing.silence_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
     bench.owner.report(bench.now, bench.message([], seq=1))
-    assert machine.last_answer == bench.now
+    assert machine.last_answer_at == bench.now
 
 
 @pytest.mark.parametrize("turn", [1, -1])
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -246,7 +246,7 @@
         simulation.submit(job(number, tasks=2, cpus=4.0, run_s=5.0))
         simulation.run(1.0)
         given.append(sum(p.active for p in machine.tasks.values()))
-    assert machine.deaf_since is not None or not deaf.alive
+    assert machine.unreachable_since is not None or not deaf.alive
     simulation.run_until(lambda: not deaf.alive, 3 * simulation.lease_s)
     simulation.run_until(finished(simulation, *range(2, 12)), 150)
     assert not simulation.broken
@@ -261,9 +261,11 @@
         simulation.deaf.add(worker.name)
     simulation.submit(job(2, tasks=4, cpus=4.0, run_s=5.0))
     scheduler = simulation.nodes[simulation.leader()].schedulers[0]
-    simulation.run_until(lambda: any(m.deaf_since for m in scheduler.machines.values()), 15)
+    simulation.run_until(lambda: any(m.unreachable_since for m in scheduler.machines.values()), 15)
     simulation.deaf.clear()
-    simulation.run_until(lambda: not any(m.deaf_since for m in scheduler.machines.values()), 10)
+    simulation.run_until(
+        lambda: not any(m.unreachable_since for m in scheduler.machines.values()), 10
+    )
     simulation.run_until(finished(simulation, 2), 60)
     assert not simulation.broken
 
@@ -283,10 +285,10 @@
     node = simulation.nodes[simulation.leader()]
     simulation.run_until(lambda: node.schedulers and node.schedulers[0].ready, 5)
     for _ in range(3):
-        heard = node.schedulers[0].last_report
+        heard = node.schedulers[0].last_heartbeat_at
         for body in copies:
             simulation.copy(simulation.leader(), body)
-        assert node.schedulers[0].last_report == heard
+        assert node.schedulers[0].last_heartbeat_at == heard
         simulation.run(0.5)
     said = b"".join(copies)
     revived = [m for n, m in node.schedulers[0].machines.items() if f'"{n}"'.encode() in said]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -32,7 +32,7 @@
         told = []
         for task in self.owner.machines["m-1"].tasks.values():
             name = f"{task.job_id}/{task.index}"
-            if task.active and task.stop is None:
+            if task.active and task.stop_grace_s is None:
                 told.append((name, task.attempt, TaskState.RUNNING, None))
             elif task.active:
                 told.append((name, task.attempt, TaskState.EXITED, "halted"))
@@ -41,7 +41,9 @@
     def stopped(self):
         """The tasks that have been told to stop."""
         tasks = self.owner.machines["m-1"].tasks.values()
-        return sorted(f"{t.job_id}/{t.index}" for t in tasks if t.active and t.stop is not None)
+        return sorted(
+            f"{t.job_id}/{t.index}" for t in tasks if t.active and t.stop_grace_s is not None
+        )
 
     def round(self):
         self.owner.dispatch_round(self.now)
@@ -108,8 +110,10 @@
     bench = Crowded(**SAVES)
     bench.submit(2, tasks=1, **URGENT)
     bench.round()
-    (stopped,) = [t for t in bench.owner.machines["m-1"].tasks.values() if t.stop is not None]
-    assert stopped.stop == 0.0
+    (stopped,) = [
+        t for t in bench.owner.machines["m-1"].tasks.values() if t.stop_grace_s is not None
+    ]
+    assert stopped.stop_grace_s == 0.0
 
 
 def test_what_a_stop_costs_counts_from_the_last_checkpoint():
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -141,7 +141,7 @@
     bench = Bench()
     bench.add()
     machine = bench.owner.machines["m-1"]
-    machine.do_broken_until = bench.now + 100
+    machine.command_backoff_until = bench.now + 100
     bench.owner.dispatch_round(bench.now)
     assert bench.take("worker") == []
     answer = bench.report([])
@@ -206,7 +206,7 @@
     bench = Bench()
     _, attempt = bench.start()
     bench.report([("req-000001/0", attempt, "running", None)])
-    bench.owner.machines["m-1"].releasing = True
+    bench.owner.machines["m-1"].deletion_requested = True
     bench.owner.scan(bench.now)
     assert bench.job.placed == {0: "m-1"}
     assert [s.release for s in bench.owner.statuses(bench.now)] == [True]
@@ -239,7 +239,7 @@
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
     assert bench.owner.wants(bench.now) == [], "the room that ends before its wait does is enough"
     later = bench.now + 100.0
-    bench.owner.machines["m-1"].last_report = later
+    bench.owner.machines["m-1"].last_heartbeat_at = later
     ((name, count, left),) = bench.owner.wants(later)
     assert (name, count) == ("req-000002", 4) and 0 < left < 30
 
@@ -249,7 +249,7 @@
         machine = Machine(f"m-{number:03d}", bench.owner.context.types["box"], zone, True)
         machine.up = machine.settled = True
         machine.up_at = bench.now
-        machine.last_report = machine.last_answer = bench.now
+        machine.last_heartbeat_at = machine.last_answer_at = bench.now
         bench.owner.machines[machine.name] = machine
     return list(bench.owner.machines.values())[1:]
 
@@ -263,19 +263,19 @@
     lost = machines[5]
     for machine in machines:
         if machine.zone != "a" and machine is not lost:
-            machine.last_report = machine.last_answer = bench.now
+            machine.last_heartbeat_at = machine.last_answer_at = bench.now
     owner.scan(bench.now)
-    assert not any(m.releasing for m in machines)
+    assert not any(m.deletion_requested for m in machines)
     # Once the zone speaks again, what stays silent alone goes.
     for machine in machines[:4]:
-        machine.last_report = machine.last_answer = bench.now
+        machine.last_heartbeat_at = machine.last_answer_at = bench.now
     owner.scan(bench.now)
-    assert [m.name for m in machines if m.releasing] == [lost.name]
+    assert [m.name for m in machines if m.deletion_requested] == [lost.name]
     # A zone that stays silent for several leases is given up all the same.
     for machine in machines[4:]:
-        machine.last_report = machine.last_answer = bench.now + 5 * owner.timing.lease_s
+        machine.last_heartbeat_at = machine.last_answer_at = bench.now + 5 * owner.timing.lease_s
     owner.scan(bench.now + 5 * owner.timing.lease_s)
-    assert all(m.releasing for m in machines[:4])
+    assert all(m.deletion_requested for m in machines[:4])
 
 
 def test_a_late_write_does_not_make_an_old_job_look_new():
