--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -19,7 +19,7 @@
 from copperpass.core.scheduling.bin_packing.feasibility import feasible_on_type, fits_within
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
-from copperpass.protocol.kvstore import KeyValue, delete_key, key_path, put_key
+from copperpass.protocol.kvstore import DeleteKey, KeyValue, PutKey, key_path
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import (
     JOB_ID_PATTERN,
@@ -178,7 +178,7 @@
 
         op = Operation(
             {LIVE_JOBS_PREFIX + spec.id: 0, COMPLETED_JOBS_PREFIX + spec.id: 0},
-            [put_key(LIVE_JOBS_PREFIX + spec.id, record)],
+            [PutKey(LIVE_JOBS_PREFIX + spec.id, record)],
             stored,
             now + self.read_timeout,
             Priority.URGENT,
@@ -227,8 +227,8 @@
                 Operation(
                     {LIVE_JOBS_PREFIX + job_id: version},
                     [
-                        delete_key(LIVE_JOBS_PREFIX + job_id),
-                        put_key(COMPLETED_JOBS_PREFIX + job_id, final),
+                        DeleteKey(LIVE_JOBS_PREFIX + job_id),
+                        PutKey(COMPLETED_JOBS_PREFIX + job_id, final),
                     ],
                     stored,
                     n + self.read_timeout,
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -34,8 +34,8 @@
 from copperpass.protocol.kvstore import (
     LEASES_PATH,
     LeaseCreated,
+    PutKey,
     lease_path,
-    put_key,
     renew_lease_path,
 )
 from copperpass.protocol.records import FencingTokenRecord, LeaderRecord
@@ -106,7 +106,7 @@
         rng: random.Random,
         on_change: Callable[[float, bool, bool], None],
         now: float,
-        fresh_at: Callable[[], float] = lambda: float("inf"),
+        consistent_at: Callable[[], float] = lambda: float("inf"),
         granted_s: float = 0.0,
     ) -> None:
         self.member, self.peers, self.timings = member, others, times
@@ -114,7 +114,7 @@
         self.out, self.transactions, self.rng = out, transactions, rng
         self.on_change = on_change
         # What was confirmed before this moment is known here.
-        self.fresh_at = fresh_at
+        self.consistent_at = consistent_at
         self.leader: LeaderRecord | None = None
         self.leader_version = 0
         self.token_counter = 0
@@ -199,7 +199,7 @@
         Guards cancelled jobs: a key that is renewed, or a grant that is pulled, says nothing of
         what this node has seen. Who acts on an older view may keep alive what it never saw end.
         """
-        return self.fresh_at() + self.timings.max_extension_s * (1 - 2 * DRIFT)
+        return self.consistent_at() + self.timings.max_extension_s * (1 - 2 * DRIFT)
 
     def has_authority(self, now: float) -> bool:
         """Whether this node may act for the controllers at this moment."""
@@ -346,8 +346,8 @@
             Operation(
                 {LEADER_KEY: 0, FENCING_TOKEN_KEY: self.token_counter_version},
                 [
-                    put_key(LEADER_KEY, msgspec.to_builtins(record), made.lease),
-                    put_key(FENCING_TOKEN_KEY, {"token": token, "member": self.member}),
+                    PutKey(LEADER_KEY, msgspec.to_builtins(record), made.lease),
+                    PutKey(FENCING_TOKEN_KEY, {"token": token, "member": self.member}),
                 ],
                 lambda n, outcome, revision: self._on_campaign_done(
                     n, outcome, revision, token, made.lease
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from enum import Enum, IntEnum
-from typing import Any
 
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
@@ -14,6 +13,7 @@
     TRANSACTION_PATH,
     TransactionApplied,
     TransactionConflict,
+    Write,
     transaction_body,
 )
 from copperpass.protocol.users import MAX_BODY_BYTES
@@ -63,7 +63,7 @@
     """One all-or-nothing group of writes and the versions that it depends on."""
 
     guards: dict[str, int]
-    writes: list[dict[str, Any]]
+    writes: Sequence[Write]
     on_done: OnOperationDone
     deadline: float
     priority: Priority = Priority.NORMAL
@@ -165,7 +165,7 @@
                 op = queue[0]
                 if batch and (op.split is not None or batch[0].split is not None):
                     return batch
-                targets = {str(w.get("put") or w.get("remove")) for w in op.writes}
+                targets = {write.key for write in op.writes}
                 fits = (
                     writes + len(op.writes) <= self.txn_ops
                     and len(guards) + len(op.guards) <= 4 * self.txn_ops
@@ -191,7 +191,7 @@
 
     def _send(self, batch: list[Operation]) -> None:
         guards: dict[str, int] = {}
-        writes: list[dict[str, Any]] = []
+        writes: list[Write] = []
         for op in batch:
             guards.update(op.guards)
             writes.extend(op.writes)
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -1,110 +1,142 @@
-"""A node's copy of the live records, kept up by listing once and watching after."""
+"""A copy of the watched part of the key-value store, kept up by listing once and watching after.
+
+It owns no records itself: each change goes to one callback, in the order of the versions of its
+key. Times are seconds of the steady clock.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import Protocol
 
 from copperpass.core.kvstore.keys import WATCHED_PREFIX
 from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyPage, WatchAnswer, list_path, watch_path
 
-OnWatchChange = Callable[[float, str, bytes | None, int], None]
+HTTP_OK, HTTP_GONE = 200, 410
+
+
+class OnWatchEvent(Protocol):
+    """Called with each change of a watched key."""
+
+    def __call__(self, now: float, key: str, raw: bytes | None, version: int, /) -> None:
+        """Apply the new value, or None if the key was deleted, at this version."""
 
 
 class WatchCache:
-    """Lists the keys, then follows their changes; lists again when it has fallen behind."""
+    """Lists the keys, then follows their changes; lists again when the revision was compacted.
 
-    def __init__(self, out: Outbox, saw: OnWatchChange, wait_s: float, timeout: float) -> None:
-        self.out, self.saw, self.wait_s, self.timeout = out, saw, wait_s, timeout
+    Invariants: at most one request is in flight; the version of a key never decreases.
+    """
+
+    def __init__(self, out: Outbox, on_event: OnWatchEvent, wait_s: float, timeout: float) -> None:
+        self.out, self.on_event = out, on_event
+        # How long a watch waits for a change, and any request for its answer beside that.
+        self.wait_s, self.timeout = wait_s, timeout
+        # All changes up to this revision of the store are applied.
         self.revision = 0
-        self.listed = False
-        self.busy = False
-        self.next_try = 0.0
-        self.keys: dict[str, int] = {}
-        self.fresh: set[str] = set()
-        self.since = 0
+        # Whether the keys have been listed in full, so that changes can be followed.
+        self.synced = False
+        self.request_in_flight = False
+        self.next_request_at = 0.0
+        # The version of each key that exists.
+        self.key_versions: dict[str, int] = {}
+        # Of the listing under way: its keys so far, and the revision of its first page.
+        self.listed_keys: set[str] = set()
+        self.list_revision = 0
         # All changes that were confirmed before this moment are known here: when the last request
         # was *sent* that has been answered in full. See "Freshness" in docs/design.md.
-        self.fresh_at = float("-inf")
+        self.consistent_at = float("-inf")
         self.sent_at = float("-inf")
 
     def tick(self, now: float) -> None:
-        """Start the next request when none runs."""
-        if self.busy or now < self.next_try:
+        """Start the next request when none is in flight."""
+        if self.request_in_flight or now < self.next_request_at:
             return
-        self.busy = True
+        self.request_in_flight = True
         self.sent_at = now
-        if not self.listed:
-            self.since, self.fresh = 0, set()
-            self._list("")
+        if self.synced:
+            self._watch()
         else:
-            self._follow()
+            self.list_revision, self.listed_keys = 0, set()
+            self._list("")
+
+    # -- listing ---------------------------------------------------------------------
 
     def _list(self, after: str) -> None:
-        self.out.calls.append(
-            Call("state", "GET", list_path(WATCHED_PREFIX, after), self._page, b"", self.timeout)
-        )
+        path = list_path(WATCHED_PREFIX, after)
+        self.out.calls.append(Call("state", "GET", path, self._on_list_page, b"", self.timeout))
 
-    def _page(self, now: float, outcome: CallOutcome) -> None:
-        page = decode(outcome.body, KeyPage) if outcome.status == 200 else None
+    def _on_list_page(self, now: float, outcome: CallOutcome) -> None:
+        page = decode(outcome.body, KeyPage) if outcome.status == HTTP_OK else None
         if page is None:
-            self._fail(now)
+            self._retry_later(now)
             return
-        if not self.since:
-            self.since = page.revision
+        if not self.list_revision:
+            self.list_revision = page.revision
         for item in page.items:
-            self.fresh.add(item.key)
-            self._take(now, item.key, bytes(item.value), item.version)
+            self.listed_keys.add(item.key)
+            self._apply(now, item.key, bytes(item.value), item.version)
         if page.more and page.items:
             self._list(page.items[-1].key)
             return
-        for key, version in list(self.keys.items()):
-            if key not in self.fresh and version <= self.since:
-                self._take(now, key, None, self.since)
-        self.revision = max(self.revision, self.since)
-        # Counted from the first page's sending, and only now that the list is whole: until then a
-        # job that is over may still be in the view.
-        self.fresh_at = max(self.fresh_at, self.sent_at)
-        self.listed, self.busy = True, False
-        self.tick(now)
+        self._delete_unlisted(now)
+        # Counted from the sending of the first page, and only now that the listing is complete:
+        # until then a completed job may still be in the cache.
+        self.synced = True
+        self._on_complete(now, self.list_revision)
+
+    def _delete_unlisted(self, now: float) -> None:
+        """Keys that the listing lacks were deleted while nothing was watched."""
+        for key, version in list(self.key_versions.items()):
+            if key not in self.listed_keys and version <= self.list_revision:
+                self._apply(now, key, None, self.list_revision)
 
-    def _follow(self) -> None:
+    # -- watching --------------------------------------------------------------------
+
+    def _watch(self) -> None:
         path = watch_path(WATCHED_PREFIX, self.revision, int(self.wait_s * 1000))
         self.out.calls.append(
-            Call("state", "GET", path, self._news, b"", self.wait_s + self.timeout)
+            Call("state", "GET", path, self._on_watch_answer, b"", self.wait_s + self.timeout)
         )
 
-    def _news(self, now: float, outcome: CallOutcome) -> None:
-        if outcome.status == 410:
-            self.listed, self.busy = False, False
+    def _on_watch_answer(self, now: float, outcome: CallOutcome) -> None:
+        if outcome.status == HTTP_GONE:
+            # The store has compacted the revision.
+            self.synced, self.request_in_flight = False, False
             self.tick(now)
             return
-        news = decode(outcome.body, WatchAnswer) if outcome.status == 200 else None
-        if news is None:
-            self._fail(now)
+        answer = decode(outcome.body, WatchAnswer) if outcome.status == HTTP_OK else None
+        if answer is None:
+            self._retry_later(now)
             return
-        for event in news.events:
+        for event in answer.events:
             if event.put is not None:
-                self._take(now, event.put, bytes(event.value), event.version)
+                self._apply(now, event.put, bytes(event.value), event.version)
             elif event.delete is not None:
-                self._take(now, event.delete, None, event.version)
-        self.revision = max(self.revision, news.revision)
-        self.fresh_at = max(self.fresh_at, self.sent_at)
-        self.busy = False
+                self._apply(now, event.delete, None, event.version)
+        self._on_complete(now, answer.revision)
+
+    # -- both ------------------------------------------------------------------------
+
+    def _on_complete(self, now: float, revision: int) -> None:
+        """A request has been answered in full: the next one follows at once."""
+        self.revision = max(self.revision, revision)
+        self.consistent_at = max(self.consistent_at, self.sent_at)
+        self.request_in_flight = False
         self.tick(now)
 
-    def _take(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        known = self.keys.get(key, 0)
+    def _apply(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        known = self.key_versions.get(key, 0)
         if version < known or (version == known and raw is not None):
-            # Guards against replays after a listing: an older removal must not take a newer key.
+            # Guards against replays after a listing: an older deletion must not delete a newer key.
             return
         if raw is None:
-            self.keys.pop(key, None)
+            self.key_versions.pop(key, None)
         else:
-            self.keys[key] = version
-        self.saw(now, key, raw, version)
+            self.key_versions[key] = version
+        self.on_event(now, key, raw, version)
 
-    def _fail(self, now: float) -> None:
-        self.busy = False
-        self.next_try = now + self.timeout / 4
+    def _retry_later(self, now: float) -> None:
+        self.request_in_flight = False
+        self.next_request_at = now + self.timeout / 4
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -18,7 +18,7 @@
 )
 from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import KeyValue, key_path, put_key
+from copperpass.protocol.kvstore import KeyValue, PutKey, key_path
 from copperpass.protocol.records import VersionRecord
 
 FORMAT = 1
@@ -92,6 +92,6 @@
         self.transactions.submit(
             now,
             Operation(
-                {key: version}, [put_key(key, value)], then, now + self.gap_s, Priority.NORMAL
+                {key: version}, [PutKey(key, value)], then, now + self.gap_s, Priority.NORMAL
             ),
         )
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -55,7 +55,7 @@
     ZoneAffinities,
 )
 from copperpass.protocol.json_codec import decode, encode, error_body
-from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.kvstore import PutKey
 from copperpass.protocol.workers import WorkerHeartbeat, redirect_body
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
@@ -115,7 +115,7 @@
             self.rng,
             self._authority_changed,
             now,
-            lambda: self.view.fresh_at,
+            lambda: self.watch_cache.consistent_at,
             GRANT_TTL_RATIO * self.timings.leader_ttl_s if partitioned else 0.0,
         )
         self.version_registry = VersionRegistry(
@@ -127,7 +127,7 @@
             timeout,
         )
         self.relay = HeartbeatRelay(self.out, cluster.workers.lease_s, cluster.workers.report_s)
-        self.view = WatchCache(
+        self.watch_cache = WatchCache(
             self.out, self._on_watch_event, self.timings.leader_ttl_s / 2, timeout
         )
         self.now = now
@@ -161,9 +161,9 @@
     def tick(self, now: float) -> None:
         """The passing of time; to be called many times a second."""
         self.now = now
-        self.view.tick(now)
+        self.watch_cache.tick(now)
         self.relay.tick(now)
-        if self.view.listed:
+        if self.watch_cache.synced:
             self.election.records_synced = True
         self.election.tick(now)
         self.transactions.pump(now)
@@ -179,7 +179,7 @@
         if cluster_manager is not None:
             if (
                 not cluster_manager.ready
-                and self.view.revision >= self.election.election_revision
+                and self.watch_cache.revision >= self.election.election_revision
                 and (self.types)
             ):
                 cluster_manager.begin(now)
@@ -188,7 +188,7 @@
         # An owner whose view falls behind that of others stops asking: its grant ends, and the
         # leader gives the shard to somebody who can see, long before the bound on its view.
         self.grant_client.asking = not self._behind()
-        self.grant_client.tick(now, self.view.revision)
+        self.grant_client.tick(now, self.watch_cache.revision)
         if self.cluster_manager is not None:
             self._mind_isolation(now, self.cluster_manager)
         if now >= self.next_beat:
@@ -323,7 +323,7 @@
 
     def healthy(self, now: float) -> bool:
         """Whether this node can take requests now."""
-        if not self.types or not self.view.listed:
+        if not self.types or not self.watch_cache.synced:
             return False
         # In an outage all nodes are alike, and leaving would only delay the return. A node that
         # is refused alone, while others are served, should take no requests.
@@ -332,7 +332,7 @@
     def _behind(self) -> bool:
         """Whether another node's view is well fresher than this one's."""
         latest = max(self.peer_state.values(), default=float("-inf"))
-        return latest - self.view.fresh_at > self.timings.leader_ttl_s
+        return latest - self.watch_cache.consistent_at > self.timings.leader_ttl_s
 
     def _announce_cancelled(self, now: float, job_id: str) -> None:
         """A cancellation is stored: whoever runs the job's tasks should hear of it at once.
@@ -450,7 +450,7 @@
             has_authority=grant_client.has_authority,
             tuning=self.tuning,
             images=grant_client.images,
-            fresh_at=lambda: self.view.fresh_at,
+            consistent_at=lambda: self.watch_cache.consistent_at,
         )
         return ShardScheduler(context, revision=share.revision, now=self.now)
 
@@ -486,7 +486,7 @@
             return min(NEVER_ANSWERED - 1, int((now - at) * 1000)) if at > 0 else NEVER_ANSWERED
 
         # How fresh the view is: every answered request would say less of what this node can see.
-        beat = MemberHeartbeat(self.election.token_counter, age(self.view.fresh_at))
+        beat = MemberHeartbeat(self.election.token_counter, age(self.watch_cache.consistent_at))
         for other in self.election.peers:
             self.out.send(other, beat)
         if self.schedulers and now >= self.next_counts:
@@ -539,7 +539,7 @@
             # Written once: a late copy must not bring an older offer back.
             Operation(
                 {FENCING_TOKEN_KEY: self.election.election_revision, MACHINE_TYPES_KEY: 0},
-                [put_key(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))],
+                [PutKey(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))],
                 then,
                 now + self.timings.leader_ttl_s,
                 Priority.BATCHED,
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -49,7 +49,7 @@
     tuning: Tuning = field(default_factory=Tuning)
     images: Images = field(default_factory=dict)
     # What was confirmed before this moment is in the view.
-    fresh_at: Callable[[], float] = _never
+    consistent_at: Callable[[], float] = _never
 
     def is_mine(self, team: str) -> bool:
         """Whether a team is of this shard; teams that are not known count as its own."""
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -249,7 +249,7 @@
         has caught up; but owners that follow one another while the state service is away would do
         it for good, and a job cancelled before that would go on past any bound.
         """
-        if self.state.ready or now - self.context.fresh_at() < self.timing.lease_s / 4:
+        if self.state.ready or now - self.context.consistent_at() < self.timing.lease_s / 4:
             return False
         return any(
             p.team == UNIDENTIFIED and p.active and not p.of_other_shard and p.stop_grace_s is None
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -10,7 +10,7 @@
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
-from copperpass.protocol.kvstore import delete_key, put_key
+from copperpass.protocol.kvstore import DeleteKey, PutKey, Write
 from copperpass.protocol.users import JobState
 
 # The part of the limits of a record that is used, which leaves room for what is estimated.
@@ -58,7 +58,7 @@
                 self.job_ended(at, job)
             # On a conflict the watch brings the newer record; the next scan tries again.
 
-        writes = [delete_key(key), put_key(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
+        writes: list[Write] = [DeleteKey(key), PutKey(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
         deadline = now + 2 * self.state.timing.lease_s
         operation = Operation({key: job.version}, writes, then, deadline)
         self.context.transactions.submit(now, operation)
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -70,7 +70,7 @@
         The view is newer than our win, or than the report that showed the task: when it was
         started its job was there.
         """
-        return self.ready or self.context.fresh_at() > placement.sent_at
+        return self.ready or self.context.consistent_at() > placement.sent_at
 
     def part_with(self, machine: Machine, last: MachineStatus) -> None:
         """Command a machine no more; its last status is told until the leader has moved it."""
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -27,7 +27,7 @@
     TransactionOutcome,
     TransactionQueue,
 )
-from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.kvstore import PutKey
 
 # What marks the key of a page that holds a segment.
 SEGMENT = "s"
@@ -342,7 +342,7 @@
             now,
             Operation(
                 {FENCING_TOKEN_KEY: self.token_version(), page.key: version},
-                [put_key(page.key, self._value(page))],
+                [PutKey(page.key, self._value(page))],
                 then,
                 now + self.deadline_s,
                 Priority.BATCHED,
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -21,7 +21,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 import msgspec
 
@@ -34,7 +33,7 @@
     TransactionQueue,
 )
 from copperpass.protocol.json_codec import decode, encode
-from copperpass.protocol.kvstore import delete_key, put_key
+from copperpass.protocol.kvstore import DeleteKey, PutKey, Write
 from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
 from copperpass.protocol.users import MAX_BODY_BYTES
 
@@ -449,7 +448,7 @@
         self._submit(
             now,
             Operation(
-                guards, [delete_key(INVENTORY_KEY)], then, now + self.deadline_s, Priority.NORMAL
+                guards, [DeleteKey(INVENTORY_KEY)], then, now + self.deadline_s, Priority.NORMAL
             ),
         )
 
@@ -468,7 +467,7 @@
                 self.next_write = n + 4 * self.gap_s
 
         self.writing = True
-        writes = [delete_key(f"{INVENTORY_PAGES_PREFIX}{n}") for n in numbers]
+        writes = [DeleteKey(f"{INVENTORY_PAGES_PREFIX}{n}") for n in numbers]
         self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
         self.next_write = now + len(numbers) * self.gap_s
 
@@ -538,7 +537,7 @@
 
         op = Operation(
             {FENCING_TOKEN_KEY: token, INVENTORY_KEY: version},
-            [put_key(INVENTORY_KEY, value)],
+            [PutKey(INVENTORY_KEY, value)],
             then,
             now + self.deadline_s,
             Priority.NORMAL,
@@ -579,12 +578,12 @@
         if not self.moving:
             # Pages count only without it: no write of theirs may come to stand beside it.
             guards[INVENTORY_KEY] = 0
-        writes: list[dict[str, Any]] = []
+        writes: list[Write] = []
         size = largest = 0
         for page in due:
             value = msgspec.to_builtins(self._record(page.items))
             largest = max(largest, len(encode(value)))
-            write = put_key(page.key, value)
+            write = PutKey(page.key, value)
             size += len(encode(write)) + len(page.key) + PLACE_BYTES
             if writes and size > MAX_BODY_BYTES * 0.8:
                 break
--- a/src/copperpass/protocol/kvstore.py
+++ b/src/copperpass/protocol/kvstore.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Sequence
 
 import msgspec
 
@@ -63,8 +63,27 @@
     lease: int
 
 
-def transaction_body(guards: dict[str, int], writes: list[dict[str, Any]]) -> bytes:
-    """The body of a guarded transaction; writes come from `put_key` and `delete_key`."""
+class PutKey(
+    msgspec.Struct, frozen=True, omit_defaults=True, rename={"key": "put", "lease": "permit"}
+):
+    """The write of a key; with a lease, the key is deleted when the lease ends."""
+
+    key: str
+    value: object
+    lease: int | None = None
+
+
+class DeleteKey(msgspec.Struct, frozen=True, rename={"key": "remove"}):
+    """The deletion of a key."""
+
+    key: str
+
+
+Write = PutKey | DeleteKey
+
+
+def transaction_body(guards: dict[str, int], writes: Sequence[Write]) -> bytes:
+    """The body of a transaction that is applied only if each key has the version of its guard."""
     return encode(
         {
             "guards": [{"path": key, "stamp": version} for key, version in guards.items()],
@@ -73,19 +92,6 @@
     )
 
 
-def put_key(key: str, value: Any, lease: int | None = None) -> dict[str, Any]:
-    """A write of one key."""
-    write: dict[str, Any] = {"put": key, "value": value}
-    if lease is not None:
-        write["permit"] = lease
-    return write
-
-
-def delete_key(key: str) -> dict[str, Any]:
-    """The removal of one key."""
-    return {"remove": key}
-
-
 def key_path(key: str) -> str:
     """Where a key is read."""
     return f"/kv/{key}"
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -110,16 +110,16 @@
 def test_a_view_is_fresh_only_once_its_list_is_whole():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
-    view = simulation.nodes["n0"].view
+    watch_cache = simulation.nodes["n0"].watch_cache
     simulation.stuck.add("n0")
     simulation.run(5.0)
-    before = view.fresh_at
-    view.listed = False
+    before = watch_cache.consistent_at
+    watch_cache.synced = False
     simulation.run(5.0)
-    assert view.fresh_at == before and not view.listed
+    assert watch_cache.consistent_at == before and not watch_cache.synced
     simulation.stuck.clear()
     simulation.run(5.0)
-    assert view.fresh_at > before + 5.0
+    assert watch_cache.consistent_at > before + 5.0
 
 
 def test_a_cancellation_is_heard_of_before_the_view_shows_it():
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -15,7 +15,7 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
-from copperpass.protocol.kvstore import delete_key, put_key
+from copperpass.protocol.kvstore import DeleteKey, PutKey
 from copperpass.settings import SettingsError
 from tests.bodies import raw_settings
 from tests.standins.state import State
@@ -262,10 +262,10 @@
     # have led, and the next winner would command under a token that was used before.
     model, _, _, sent = campaign_on_its_way()
     for token in (1, 2):
-        won = [put_key("c/lead", {"member": "b", "token": token, "lease": 77})]
-        won.append(put_key("c/token", {"token": token, "member": "b"}))
+        won = [PutKey("c/lead", {"member": "b", "token": token, "lease": 77})]
+        won.append(PutKey("c/token", {"token": token, "member": "b"}))
         model.state.transaction({"guards": [], "writes": won}, lambda status, body: None)
-    gone = {"guards": [], "writes": [delete_key("c/lead")]}
+    gone = {"guards": [], "writes": [DeleteKey("c/lead")]}
     model.state.transaction(gone, lambda status, body: None)
     statuses = []
     model.state.handle(sent.method, sent.path, sent.body, lambda s, b: statuses.append(s))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -7,7 +7,7 @@
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.storage.machine_inventory import MachineInventoryStore
 from copperpass.protocol.json_codec import decode
-from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.kvstore import PutKey
 from copperpass.protocol.records import InventoryRecord
 
 
@@ -19,7 +19,7 @@
             0.0,
             Operation(
                 {},
-                [put_key(f"g/{n}", 1)],
+                [PutKey(f"g/{n}", 1)],
                 lambda *a, n=n: order.append(f"g{n}"),
                 99.0,
                 Priority.BATCHED,
@@ -27,7 +27,7 @@
         )
     transactions.submit(
         0.0,
-        Operation({}, [put_key("u/1", 1)], lambda *a: order.append("user"), 99.0, Priority.URGENT),
+        Operation({}, [PutKey("u/1", 1)], lambda *a: order.append("user"), 99.0, Priority.URGENT),
     )
     now = 0.0
     while "user" not in order and now < 5.0:
@@ -88,8 +88,8 @@
     # The listing read the key at 10; the watch then starts from an older revision and replays the
     # removal of the key's earlier life.
     out, seen = Outbox(), {}
-    view = WatchCache(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
-    view.tick(0.0)
+    watch_cache = WatchCache(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
+    watch_cache.tick(0.0)
     page = {"items": [{"path": "c/x", "value": 1, "stamp": 10}], "truncated": False, "issue": 6}
     out.calls.pop().then(0.0, CallOutcome(200, json.dumps(page).encode()))
     news = {
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -26,7 +26,7 @@
     def __init__(self):
         cluster = settings_module.parse(raw_settings()).cluster
         self.out, self.jobs, self.now = Outbox(), JobTable(), 10.0
-        self.fresh_at = float("-inf")
+        self.consistent_at = float("-inf")
         transactions = TransactionQueue(self.out, 60.0, 16, 1.0)
         types = machine_types(TYPE)
         self.token = base_token(1, 1)
@@ -43,7 +43,7 @@
             serial=1,
             token_version=lambda: 50,
             has_authority=lambda now: True,
-            fresh_at=lambda: self.fresh_at,
+            consistent_at=lambda: self.consistent_at,
         )
         self.owner = ShardScheduler(context, revision=50, now=self.now)
         self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
@@ -411,12 +411,12 @@
     bench = Bench()
     bench.owner.state.ready = False
     task = [("req-000009/0", 7, "running", None)]
-    bench.fresh_at = bench.now
+    bench.consistent_at = bench.now
     assert bench.report(task) is not None, "a moment's lag is no reason to lose a task"
     bench.now += 10.0
     assert bench.report(task) is None, "its job may have been cancelled long ago"
     # The view catches up to after the report that showed the task: the job is over for certain.
-    bench.fresh_at = bench.now
+    bench.consistent_at = bench.now
     answer = bench.report(task)
     assert [(c.op, c.task) for c in answer.commands] == [("kill", "req-000009/0")]
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -7,7 +7,7 @@
     TransactionQueue,
 )
 from copperpass.core.ports import CallOutcome
-from copperpass.protocol.kvstore import put_key
+from copperpass.protocol.kvstore import PutKey
 from tests.state_service import Service
 
 
@@ -21,7 +21,7 @@
             service.now,
             Operation(
                 {},
-                [put_key(f"k/{n}", value)],
+                [PutKey(f"k/{n}", value)],
                 lambda now, outcome, revision, n=n: ends.append((n, outcome)),
                 999.0,
             ),
@@ -51,7 +51,7 @@
             service.now,
             Operation(
                 {},
-                [put_key(f"k/{n}", n)],
+                [PutKey(f"k/{n}", n)],
                 lambda now, outcome, revision: ends.append(outcome),
                 999.0,
                 Priority.NORMAL,
