--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -22,15 +22,15 @@
     """Which of the machines that have room for a job's tasks they may use, and which first."""
 
     # Types that are reserved for larger tasks.
-    closed_types: Set[str] = frozenset()
+    reserved_types: Set[str] = frozenset()
     # The smallest of the tasks that each of these types is reserved for.
-    reserved_for: Mapping[str, JobSpec] = field(default_factory=dict)
+    smallest_large_tasks: Mapping[str, JobSpec] = field(default_factory=dict)
     # Only spot machines: the job can wait for one.
     spot_only: bool = False
     # Time is short: an image that is there already counts for more than a low price.
     urgent: bool = False
     # Ordinary machines that are reserved for jobs that may use no other.
-    reserved: frozenset[str] = frozenset()
+    reserved_machines: frozenset[str] = frozenset()
     # Neither reserved machines nor those held for another job are closed.
     ignore_reservations: bool = False
 
@@ -41,31 +41,31 @@
     All machines are judged once; after that only those where something has been started since, so
     a round's cost grows with what it starts, not with that times the fleet. Cheap machines come
     first: then the dear ones fall idle in a lull and can go back. Machines where the job has failed
-    come last. `since` is the length of the round's log of started machines at this moment.
+    come last. `log_position` is the present length of the round's list of machines started on.
     """
 
     def __init__(
         self,
         job: Job,
-        roomy: Iterable[Machine],
+        candidates: Iterable[Machine],
         machines: dict[str, Machine],
         now: float,
         policy: PlacementPolicy,
-        since: int = 0,
+        log_position: int = 0,
     ) -> None:
         self.job, self.machines, self.now = job, machines, now
         self.policy = policy
-        self.since = since
+        self.log_position = log_position
         self.heap: list[tuple[tuple[float, ...], int, Machine]] = []
-        self.count = 0
-        for machine in roomy:
+        self.pushed = 0
+        for machine in candidates:
             self._add(machine)
 
     def _add(self, machine: Machine) -> None:
         score = self._score(machine)
         if score is not None:
-            self.count += 1
-            heapq.heappush(self.heap, (score, self.count, machine))
+            self.pushed += 1
+            heapq.heappush(self.heap, (score, self.pushed, machine))
 
     def _score(self, machine: Machine) -> tuple[float, ...] | None:
         """The lower the better; None if no task of the job may start there."""
@@ -76,7 +76,7 @@
             return None
         if policy.spot_only and not machine.spot:
             return None
-        if kind.name in policy.closed_types and not self._backfills(machine):
+        if kind.name in policy.reserved_types and not self._can_backfill(machine):
             return None
         if (
             machine.is_reserved_for_other(spec.id, self.now)
@@ -86,7 +86,11 @@
             # Room that was freed by stopping tasks is for the job they were stopped for; room that
             # is held for a gang serves short work until the gang's other room is free.
             return None
-        if spec.spot and machine.name in policy.reserved and not policy.ignore_reservations:
+        if (
+            spec.spot
+            and machine.name in policy.reserved_machines
+            and not policy.ignore_reservations
+        ):
             # Ordinary room is kept for work that may not use any other.
             return None
         left = kind.cpus - machine.used_cpus - spec.cpus
@@ -101,12 +105,12 @@
             kind.memory_gb - machine.used_memory,
         )
 
-    def _backfills(self, machine: Machine) -> bool:
+    def _can_backfill(self, machine: Machine) -> bool:
         """Whether a task may use what the large tasks on a machine of a reserved type leave.
 
         Only room in which none of them finds a place, and for no longer than they themselves run.
         """
-        large = self.policy.reserved_for.get(machine.type.name)
+        large = self.policy.smallest_large_tasks.get(machine.type.name)
         if large is None or machine.has_room(large):
             return False
         ends = [
@@ -118,19 +122,19 @@
         needed_s = BACKFILL_MARGIN * spec.estimate_s + machine.fetch_s(spec)
         return bool(ends) and needed_s <= min(ends)
 
-    def best(self, log: list[Machine]) -> Machine | None:
-        """The best machine now; `log` names where the round has started tasks, in order."""
-        for machine in log[self.since :]:
+    def best(self, started_on: list[Machine]) -> Machine | None:
+        """The best machine now; `started_on` names where the round has started tasks, in order."""
+        for machine in started_on[self.log_position :]:
             self._add(machine)
-        self.since = len(log)
+        self.log_position = len(started_on)
         while self.heap:
             score, number, machine = self.heap[0]
-            fresh = self._score(machine)
-            if fresh is None or not zone_feasible(self.job, machine.zone, self.machines):
+            current_score = self._score(machine)
+            if current_score is None or not zone_feasible(self.job, machine.zone, self.machines):
                 # Within a round room only shrinks and zones only close.
                 heapq.heappop(self.heap)
-            elif fresh != score:
-                heapq.heapreplace(self.heap, (fresh, number, machine))
+            elif current_score != score:
+                heapq.heapreplace(self.heap, (current_score, number, machine))
             else:
                 return machine
         return None
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -42,14 +42,14 @@
         if not waiting:
             return []
         rooms = provisioning.free_capacities(self.machines.values(), now, timing.silence_s)
-        unseen = self.unseen()
+        unreported_kinds = self.unreported_kinds()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
         self.zone_affinities.clear()
         taken = {team: state.tally.of(team)[0] for team in state.by_team}
         for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
             # Tasks that may be running where we have not looked yet need no machines.
-            if not self.is_startable(job, now, unseen):
+            if not self.is_startable(job, now, unreported_kinds):
                 continue
             count = self._count_under_limit(job, taken)
             if count is None:
@@ -105,10 +105,12 @@
         used = {team.name: state.tally.of(team.name) for team in state.teams}
         return {name: (u[0] + unidentified[0], u[1] + unidentified[1]) for name, u in used.items()}
 
-    def is_startable(self, job: Job, now: float, unseen: set[MachineKind] | None = None) -> bool:
+    def is_startable(
+        self, job: Job, now: float, unreported_kinds: set[MachineKind] | None = None
+    ) -> bool:
         """Whether tasks of a job may be started, room or not.
 
-        Who asks for many jobs at once passes `unseen()`, so that the machines are gone over once.
+        A caller with many jobs passes `unreported_kinds()`, so the machines are scanned once.
         """
         state = self.state
         if now < job.backoff_until or job.ending or job.announce_cancelled:
@@ -124,16 +126,18 @@
                 satisfies_constraints(job.spec, types[kind], zone, spot)
                 and feasible_on_type(job.spec, types[kind])
             )
-            for kind, zone, spot in (self.unseen() if unseen is None else unseen)
+            for kind, zone, spot in (
+                self.unreported_kinds() if unreported_kinds is None else unreported_kinds
+            )
         )
 
-    def unseen(self) -> set[MachineKind]:
+    def unreported_kinds(self) -> set[MachineKind]:
         """The kinds of machines that may hold tasks which we have not seen."""
-        unseen = set(self.state.elsewhere.values())
+        unreported_kinds = set(self.state.elsewhere.values())
         for name in self.state.unsettled:
             machine = self.machines[name]
-            unseen.add((machine.type.name, machine.zone, machine.spot))
-        return unseen
+            unreported_kinds.add((machine.type.name, machine.zone, machine.spot))
+        return unreported_kinds
 
     def claims(self) -> list[allocation.Claim]:
         """What each team with work claims of the machines, by its latest tasks."""
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -26,7 +26,7 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
 # The part of a shard's room that overdue work gets before work that can still be in time.
-LATE_PART = 0.5
+PAST_DEADLINE_SHARE = 0.5
 # A task is large if it takes as many times the CPUs of the smallest one about.
 LARGE_FACTOR = 4
 # The time to the next round: at least, and for each job that waits.
@@ -91,14 +91,14 @@
         usable = [m for m in state.machines.values() if m.usable(now, silence_s)]
         capacity = self._capacity(usable)
         self.allocations = allocation.allocate(self.demand.claims(), capacity)
-        current = DispatchRound(self, now, jobs, usable, LATE_PART * capacity[0])
-        self.reservations.keep_ordinary(now, jobs, usable)
+        current = DispatchRound(self, now, jobs, usable, PAST_DEADLINE_SHARE * capacity[0])
+        self.reservations.reserve_on_demand(now, jobs, usable)
         current.place_all()
-        for machine in {m.name: m for m in current.log}.values():
+        for machine in {m.name: m for m in current.started_on}.values():
             self.commands.send(now, machine)
-        self._note_urgent(now, current.stuck)
-        if current.stuck and self.tuning.preemption:
-            self.preemption.preempt(now, current.stuck, usable, current.used)
+        self._flag_urgent(now, current.unplaced)
+        if current.unplaced and self.tuning.preemption:
+            self.preemption.preempt(now, current.unplaced, usable, current.used)
         # The next round comes sooner when idle and later under load: a batch widens with it.
         most = state.timing.report_s / 4
         self.next_round_at = now + min(most, LEAST_PAUSE_S + PAUSE_PER_JOB_S * current.backlog)
@@ -111,10 +111,10 @@
             sum(m.type.gpus if gpus_matter else m.type.memory_gb for m in usable),
         )
 
-    def _note_urgent(self, now: float, stuck: Iterable[Job]) -> None:
+    def _flag_urgent(self, now: float, unplaced: Iterable[Job]) -> None:
         """Have the leader told at once of jobs that have become urgent."""
         slos, boot_s = self.state.slos, self.state.timing.boot_s
-        urgent = {job.spec.id for job in stuck if slos.start_deadline(job, now) - now < boot_s}
+        urgent = {job.spec.id for job in unplaced if slos.start_deadline(job, now) - now < boot_s}
         self.state.needs_machines = bool(urgent - self.urgent)
         self.urgent = urgent
 
@@ -128,9 +128,9 @@
         now: float,
         jobs: list[Job],
         usable: list[Machine],
-        late_quota: float,
+        past_deadline_quota: float,
     ) -> None:
-        self.now, self.usable, self.late_quota = now, usable, late_quota
+        self.now, self.usable, self.past_deadline_quota = now, usable, past_deadline_quota
         self.state, self.tasks = dispatcher.state, dispatcher.tasks
         self.reservations, self.gangs = dispatcher.reservations, dispatcher.gangs
         self.tuning, self.slos = dispatcher.tuning, dispatcher.state.slos
@@ -138,21 +138,23 @@
         self.targets = dispatcher.allocations.tasks if dispatcher.allocations else {}
         self.used = dispatcher.demand.usage()
         self._fill_queues(dispatcher.demand, jobs)
-        self.smallest = min((j.spec.cpus for j in jobs if j.spec.cpus > 0), default=0.0)
-        self.roomy = [m for m in usable if fits_within(self.smallest, m.type.cpus - m.used_cpus)]
+        self.smallest_cpus = min((j.spec.cpus for j in jobs if j.spec.cpus > 0), default=0.0)
+        self.candidates = [
+            m for m in usable if fits_within(self.smallest_cpus, m.type.cpus - m.used_cpus)
+        ]
         # By team.
-        self.quota: dict[str, QuotaReservation] = {}
+        self.quota_reservations: dict[str, QuotaReservation] = {}
         # For whom a large gap has been held in this round: teams, or `GANGS`.
-        self.holding: set[str] = set()
+        self.reserving: set[str] = set()
         # Jobs that room is held for, by stopping tasks or for want of a large gap.
-        self.held = {m.reserved_for_job for m in usable if now < m.reserved_until}
+        self.jobs_with_reservation = {m.reserved_for_job for m in usable if now < m.reserved_until}
         # Jobs that found no room.
-        self.stuck: list[Job] = []
+        self.unplaced: list[Job] = []
         # Where tasks have been started, in order.
-        self.log: list[Machine] = []
+        self.started_on: list[Machine] = []
         self.rankings: dict[str, Ranking] = {}
         # Shapes that found no room: it only shrinks within a round.
-        self.full: set[tuple[object, ...]] = set()
+        self.infeasible_shapes: set[tuple[object, ...]] = set()
 
     def _fill_queues(self, demand: Demand, jobs: list[Job]) -> None:
         """Queue each team's jobs that may start, by urgency, and count its tasks."""
@@ -160,20 +162,22 @@
         assess_guarantees(jobs, {team.name: team.cpus for team in teams})
         self.running = {team.name: 0 for team in teams}
         queues: dict[str, list[Job]] = {team.name: [] for team in teams}
-        unseen = demand.unseen()
+        unreported_kinds = demand.unreported_kinds()
         for job in jobs:
             name = job.spec.team
             self.running[name] = self.running.get(name, 0) + len(job.placed)
-            if job.waiting() > 0 and demand.is_startable(job, now, unseen):
+            if job.waiting() > 0 and demand.is_startable(job, now, unreported_kinds):
                 queues.setdefault(name, []).append(job)
         self.backlog = sum(len(queue) for queue in queues.values())
         bonus = self.boot_s / 2
         self.queues = {name: task_order(queue, slos, now, bonus) for name, queue in queues.items()}
-        self.late_used = sum(
+        self.past_deadline_cpus = sum(
             len(job.placed) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
         )
         for queue in self.queues.values():
-            limit_past_deadline_share(queue, slos, now, self.late_used, self.late_quota)
+            limit_past_deadline_share(
+                queue, slos, now, self.past_deadline_cpus, self.past_deadline_quota
+            )
 
     def place_all(self) -> None:
         """Start tasks until no queue has one that finds room."""
@@ -181,14 +185,14 @@
             names = [name for name, queue in self.queues.items() if queue]
             if not names:
                 break
-            name = min(names, key=lambda team: (self._part_used(team), team))
+            name = min(names, key=lambda team: (self._allocation_used(team), team))
             job = self.queues[name][0]
             if job.spec.gang:
                 self._place_gang(name, job)
             else:
                 self._place_task(name, job)
 
-    def _part_used(self, team: str) -> float:
+    def _allocation_used(self, team: str) -> float:
         """How much of its allocation a team's tasks take; the least goes first."""
         target = self.targets.get(team, 0.0)
         running = self.running[team]
@@ -204,23 +208,26 @@
         """Start a gang whole, or see that it finds room later."""
         now, spec = self.now, job.spec
         self.queues[name].pop(0)
-        placed = self.gangs.place(now, job, self.roomy, self.used[name], self.log)
+        placed = self.gangs.place(now, job, self.candidates, self.used[name], self.started_on)
         if placed:
-            self.log += placed
+            self.started_on += placed
             self._count(name, job, len(placed))
         elif placed is None:
-            if name not in self.quota and self.slos.start_deadline(job, now) - now < self.boot_s:
+            if (
+                name not in self.quota_reservations
+                and self.slos.start_deadline(job, now) - now < self.boot_s
+            ):
                 # Tasks of the team that come after it would take each gap under the limit.
                 missing = len(job.missing())
-                self.quota[name] = QuotaReservation(
+                self.quota_reservations[name] = QuotaReservation(
                     job.arrived, missing * spec.cpus, missing * spec.gpus
                 )
         else:
-            self.stuck.append(job)
-            if GANGS not in self.holding:
+            self.unplaced.append(job)
+            if GANGS not in self.reserving:
                 # As in the design: freed room is held for one gang at a time.
-                self.holding.add(GANGS)
-                self.held |= self.gangs.hold_room(now, job, self.usable)
+                self.reserving.add(GANGS)
+                self.jobs_with_reservation |= self.gangs.reserve_capacity(now, job, self.usable)
 
     def _place_task(self, name: str, job: Job) -> None:
         """Start the next task of a job, or take the job off its queue."""
@@ -229,87 +236,99 @@
             self.queues[name].pop(0)
             return
         now = self.now
-        left_out = self.reservations.left_out(job, now)
+        starving = self.reservations.is_starving(job, now)
         # Work that can wait does so for cheap room; dear room is for what can't.
         slack = self.slos.start_deadline(job, now) - now
-        can_wait = slack > self.tuning.patient_boots * self.boot_s and not left_out
-        if self._over_limit(name, job, left_out):
+        can_wait = slack > self.tuning.patient_boots * self.boot_s and not starving
+        if self._over_limit(name, job, starving):
             self.queues[name].pop(0)
-            self._hold_quota(name, job, can_wait)
+            self._reserve_quota(name, job, can_wait)
             return
-        machine = self._find_machine(job, slack, can_wait, left_out)
+        machine = self._find_machine(job, slack, can_wait, starving)
         if machine is None:
             self.queues[name].pop(0)
-            self.stuck.append(job)
-            self._hold_room(name, job, can_wait)
+            self.unplaced.append(job)
+            self._reserve_capacity(name, job, can_wait)
             return
         self.tasks.start(now, job, index, machine)
-        if left_out:
+        if starving:
             # Its first task has room; for the rest what is kept for others is closed again.
             del self.rankings[job.spec.id]
-        if self.late_used < self.late_quota and self.slos.is_past_deadline(job, now):
-            self.late_used += job.spec.cpus
+        if self.past_deadline_cpus < self.past_deadline_quota and self.slos.is_past_deadline(
+            job, now
+        ):
+            self.past_deadline_cpus += job.spec.cpus
             queue = self.queues[name]
-            limit_past_deadline_share(queue, self.slos, now, self.late_used, self.late_quota)
-        self.log.append(machine)
+            limit_past_deadline_share(
+                queue, self.slos, now, self.past_deadline_cpus, self.past_deadline_quota
+            )
+        self.started_on.append(machine)
         self._count(name, job, 1)
 
-    def _over_limit(self, name: str, job: Job, left_out: bool) -> bool:
+    def _over_limit(self, name: str, job: Job, starving: bool) -> bool:
         """Whether one more task would exceed the team's limit, less what a gang waits for."""
         spec, team, used = job.spec, self.state.by_team[name], self.used[name]
-        held = self.quota.get(name, NO_RESERVATION)
-        if job.arrived <= held.arrived or left_out:
+        reservation = self.quota_reservations.get(name, NO_RESERVATION)
+        if job.arrived <= reservation.arrived or starving:
             # What has waited for longer isn't held up: neither starves the other.
-            held = NO_RESERVATION
-        return not fits_within(used[0] + held.cpus + spec.cpus, team.cpus_limit) or not fits_within(
-            used[1] + held.gpus + spec.gpus, team.gpus_limit
-        )
+            reservation = NO_RESERVATION
+        return not fits_within(
+            used[0] + reservation.cpus + spec.cpus, team.cpus_limit
+        ) or not fits_within(used[1] + reservation.gpus + spec.gpus, team.gpus_limit)
 
-    def _hold_quota(self, name: str, job: Job, can_wait: bool) -> None:
+    def _reserve_quota(self, name: str, job: Job, can_wait: bool) -> None:
         """Hold room under its team's limit for a large task.
 
         As with gangs: small tasks of its team would take each gap under the limit.
         """
-        if name not in self.quota and not can_wait and self._is_large(job):
-            self.quota[name] = QuotaReservation(job.arrived, job.spec.cpus, job.spec.gpus)
+        if name not in self.quota_reservations and not can_wait and self._is_large(job):
+            self.quota_reservations[name] = QuotaReservation(
+                job.arrived, job.spec.cpus, job.spec.gpus
+            )
 
     def _is_large(self, job: Job) -> bool:
         """Whether a job's tasks are large beside the smallest that are about."""
-        return job.spec.cpus >= LARGE_FACTOR * self.smallest
+        return job.spec.cpus >= LARGE_FACTOR * self.smallest_cpus
 
     def _find_machine(
-        self, job: Job, slack: float, can_wait: bool, left_out: bool
+        self, job: Job, slack: float, can_wait: bool, starving: bool
     ) -> Machine | None:
         """The best machine for the job's next task."""
         spec = job.spec
         patient = self.state.on_demand_excess and spec.spot and can_wait
         shape = None
-        if not (spec.types or spec.zone or spec.one_zone or spec.spread or spec.id in self.held):
+        if not (
+            spec.types
+            or spec.zone
+            or spec.one_zone
+            or spec.spread
+            or spec.id in self.jobs_with_reservation
+        ):
             # What large tasks leave is open to short work only.
-            length_s = spec.estimate_s if self.reservations.reserved_types.smallest else 0.0
-            shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.spot, patient, left_out, length_s)
-        if shape in self.full:
+            length_s = spec.estimate_s if self.reservations.reserved_types.smallest_tasks else 0.0
+            shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.spot, patient, starving, length_s)
+        if shape in self.infeasible_shapes:
             return None
         ranking = self.rankings.get(spec.id)
         if ranking is None:
-            policy = self.reservations.policy(job, left_out, patient, slack < self.boot_s)
+            policy = self.reservations.policy(job, starving, patient, slack < self.boot_s)
             ranking = self.rankings[spec.id] = Ranking(
-                job, self.roomy, self.state.machines, self.now, policy, len(self.log)
+                job, self.candidates, self.state.machines, self.now, policy, len(self.started_on)
             )
-        machine = ranking.best(self.log)
+        machine = ranking.best(self.started_on)
         if machine is None and shape is not None:
-            self.full.add(shape)
+            self.infeasible_shapes.add(shape)
         return machine
 
-    def _hold_room(self, name: str, job: Job, can_wait: bool) -> None:
+    def _reserve_capacity(self, name: str, job: Job, can_wait: bool) -> None:
         """Hold freed room for a large task, for one of them a team at a time, as with gangs.
 
         A large task never finds room among small ones that take each gap.
         """
         spec, now = job.spec, self.now
-        if name in self.holding or can_wait or not self._is_large(job):
+        if name in self.reserving or can_wait or not self._is_large(job):
             return
-        self.holding.add(name)
+        self.reserving.add(name)
         machine = machine_to_reserve(job, self.usable, self.state.machines, now)
         if machine is not None:
             machine.reserved_for_job, machine.reserved_until = (
@@ -317,4 +336,4 @@
                 now + self.state.timing.report_s,
             )
             machine.reservation_ready_at = 0.0
-            self.held.add(spec.id)
+            self.jobs_with_reservation.add(spec.id)
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -24,9 +24,9 @@
         self,
         now: float,
         job: Job,
-        roomy: list[Machine],
+        candidates: list[Machine],
         used: tuple[float, float],
-        log: list[Machine],
+        started_on: list[Machine],
     ) -> list[Machine] | None:
         """Start all missing tasks of a gang or none; None: the team's limit has no room for it."""
         spec, count = job.spec, len(job.missing())
@@ -39,12 +39,12 @@
             return None
         reservations = self.reservations
         policy = reservations.policy(
-            job, reservations.left_out(job, now), spot_only=False, urgent=True
+            job, reservations.is_starving(job, now), spot_only=False, urgent=True
         )
-        ranking = Ranking(job, roomy, self.machines, now, policy, len(log))
+        ranking = Ranking(job, candidates, self.machines, now, policy, len(started_on))
         plan = plan_gang(ranking, self.machines)
         if plan is None:
-            self._no_room(now, job)
+            self._on_no_capacity(now, job)
             return []
         job.short_since = None
         if not job.attempt:
@@ -63,7 +63,7 @@
             for placement in machines[name].tasks.values()
         )
 
-    def _no_room(self, now: float, job: Job) -> None:
+    def _on_no_capacity(self, now: float, job: Job) -> None:
         """End an attempt of which some tasks wait for the rest, which has no room in their zone.
 
         Better all anew than to hold machines until they give up.
@@ -74,10 +74,12 @@
         if now - job.short_since > self.state.timing.gang_wait_s / 2:
             self.tasks.end_gang(now, job, StopReason.NO_ROOM, 0.0)
 
-    def hold_room(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
+    def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
         """Hold the room where a gang can start soonest; returns whom room is held for."""
         state, report_s = self.state, self.state.timing.report_s
-        found = plan_gang_reservation(job, usable, self.machines, now, self.reservations.kept)
+        found = plan_gang_reservation(
+            job, usable, self.machines, now, self.reservations.reserved_machines
+        )
         if found is None:
             return set()
         for machine in found.machines:
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -7,7 +7,7 @@
 from copperpass.core.jobs.job_table import Job
 from copperpass.settings import Objective
 
-LATE = 1e6
+NO_DEADLINE_S = 1e6
 
 
 class ServiceLevelObjectives:
@@ -55,7 +55,7 @@
             return min(ahead)
         # Without an aim, or with none left, it comes last until it has waited for too long.
         overdue = job.arrived + self.patience_s
-        return overdue if now > overdue else job.arrived + LATE
+        return overdue if now > overdue else job.arrived + NO_DEADLINE_S
 
     def capacity_deadline(self, job: Job, now: float) -> float:
         """When there must be capacity for the next task: the start deadline, but always bounded.
@@ -65,7 +65,7 @@
         whose aim was far off, and less than half of it was served.
         """
         due = self.start_deadline(job, now)
-        return due if due < job.arrived + LATE else job.arrived + self.patience_s
+        return due if due < job.arrived + NO_DEADLINE_S else job.arrived + self.patience_s
 
     def is_past_deadline(self, job: Job, now: float) -> bool:
         """Whether no aim can be met any more and the job has waited for longer than it should."""
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -17,13 +17,13 @@
 from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Room is freed for as many tasks of a job at a time.
-MOST_AT_ONCE = 8
+MAX_TASKS_AT_ONCE = 8
 # A machine whose tasks are stopped is held for the job for as many reports.
-HELD_REPORTS = 2
+RESERVED_HEARTBEATS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Claimant:
+class Preemptor:
     """A job that may have tasks of others stopped."""
 
     job: Job
@@ -48,33 +48,35 @@
     def preempt(
         self,
         now: float,
-        stuck: list[Job],
+        unplaced: list[Job],
         usable: list[Machine],
         used: dict[str, tuple[float, float]],
     ) -> None:
         """Stop work of lower priority, or borrowed room, for tasks that would miss their aim."""
         state = self.state
-        over = {team.name for team in state.teams if used[team.name][0] > team.cpus + 1e-6}
+        over_guarantee = {
+            team.name for team in state.teams if used[team.name][0] > team.cpus + 1e-6
+        }
         stopping: int | None = None
         lowest = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
-        for job in stuck:
+        for job in unplaced:
             spec = job.spec
             slack = state.slos.start_deadline(job, now) - now
             if slack > state.timing.boot_s:
                 continue
-            under = (
-                bool(over - {spec.team})
+            under_guarantee = (
+                bool(over_guarantee - {spec.team})
                 and state.slos.guarantee_target_s is not None
                 and fits_within(used[spec.team][0] + spec.cpus, state.by_team[spec.team].cpus)
             )
-            if lowest >= PRIORITY_LEVELS[spec.priority] and not under:
+            if lowest >= PRIORITY_LEVELS[spec.priority] and not under_guarantee:
                 continue
             if stopping is None:
                 stopping = self._count_stopping()
-            budget = (1 if spec.gang else min(job.waiting(), MOST_AT_ONCE)) - stopping
+            budget = (1 if spec.gang else min(job.waiting(), MAX_TASKS_AT_ONCE)) - stopping
             if budget > 0:
-                claimant = Claimant(job, slack, under)
-                stopping += self._make_room(now, claimant, usable, over, budget)
+                preemptor = Preemptor(job, slack, under_guarantee)
+                stopping += self._free_capacity(now, preemptor, usable, over_guarantee, budget)
 
     def _count_stopping(self) -> int:
         return sum(
@@ -86,56 +88,58 @@
             and placement.stop_reason == StopReason.PREEMPTED
         )
 
-    def _make_room(
+    def _free_capacity(
         self,
         now: float,
-        claimant: Claimant,
+        preemptor: Preemptor,
         usable: list[Machine],
-        over: set[str],
+        over_guarantee: set[str],
         budget: int,
     ) -> int:
         """Stop tasks on up to `budget` machines, where the least is lost; returns how many."""
         stopped = 0
-        found = self._candidates(now, claimant, usable, over)
+        found = self._candidates(now, preemptor, usable, over_guarantee)
         for _, _, machine, chosen in heapq.nsmallest(budget, found):
             for placement in chosen:
-                self._stop(now, claimant, placement)
+                self._stop(now, preemptor, placement)
                 stopped += 1
             machine.reservation_ready_at = 0.0
-            machine.reserved_for_job = claimant.job.spec.id
-            machine.reserved_until = now + HELD_REPORTS * self.state.timing.report_s
+            machine.reserved_for_job = preemptor.job.spec.id
+            machine.reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.report_s
             self.commands.send(now, machine)
         return stopped
 
-    def _stop(self, now: float, claimant: Claimant, placement: Placement) -> None:
-        """Stop one task for a claimant; it saves only where that is worth its while."""
+    def _stop(self, now: float, preemptor: Preemptor, placement: Placement) -> None:
+        """Stop one task for a preemptor; it saves only where that is worth its while."""
         victim = self.jobs.jobs.get(placement.job_id)
         if victim is None:
             self.tasks.stop(now, placement, StopReason.PREEMPTED)
             return
         victim.preempted.add(placement.index)
         save = victim.spec.gang or worth_checkpointing(
-            placement, victim.spec, claimant.slack_s, now
+            placement, victim.spec, preemptor.slack_s, now
         )
         self.tasks.stop(now, placement, StopReason.PREEMPTED, save)
 
     def _candidates(
-        self, now: float, claimant: Claimant, usable: list[Machine], over: set[str]
+        self, now: float, preemptor: Preemptor, usable: list[Machine], over_guarantee: set[str]
     ) -> list[tuple[float, str, Machine, list[Placement]]]:
         """The work that would be lost on each machine, and the tasks to stop there."""
-        job, under = claimant.job, claimant.under_guarantee
+        job, under_guarantee = preemptor.job, preemptor.under_guarantee
         priority = PRIORITY_LEVELS[job.spec.priority]
         machines, jobs = self.state.machines, self.jobs.jobs
         found: list[tuple[float, str, Machine, list[Placement]]] = []
         for machine in usable:
-            if now < machine.reserved_until or (machine.lowest_priority >= priority and not under):
+            if now < machine.reserved_until or (
+                machine.lowest_priority >= priority and not under_guarantee
+            ):
                 continue
             if not zone_feasible(job, machine.zone, machines):
                 continue
-            if machine.fetch_s(job.spec) > claimant.slack_s:
+            if machine.fetch_s(job.spec) > preemptor.slack_s:
                 # Its image would come too late for the aim that the room is for.
                 continue
-            chosen = victims(job, machine, jobs, over, under, now)
+            chosen = victims(job, machine, jobs, over_guarantee, under_guarantee, now)
             if chosen:
                 cost = sum(self._cost(placement, now) for placement in chosen)
                 found.append((cost, machine.name, machine, chosen))
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -72,7 +72,7 @@
     usable: list[Machine],
     machines: dict[str, Machine],
     now: float,
-    kept: frozenset[str],
+    reserved_machines: frozenset[str],
 ) -> GangReservation | None:
     """Where a gang will find room soonest.
 
@@ -91,7 +91,7 @@
         offers: list[Offer] = []
         for machine in allowed:
             if machine.zone in zones:
-                offers += _offers(spec, machine, need, now, machine.name not in kept)
+                offers += _offers(spec, machine, need, now, machine.name not in reserved_machines)
         offers.sort(key=lambda offer: offer[:3])
         chosen = _choose(spec, offers, need)
         if chosen:
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -11,7 +11,7 @@
 from copperpass.core.scheduling.state import ShardState
 
 # The part of its patience after which a job none of whose tasks has started finds any room.
-LEFT_OUT_PART = 0.6
+STARVATION_SHARE = 0.6
 
 
 class Reservations:
@@ -21,12 +21,12 @@
         self.state, self.tuning = state, context.tuning
         self.reserved_types = ReservedTypes(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
-        self.kept: frozenset[str] = frozenset()
-        self.ordinary_peak = provisioning.SlidingMaximum(
+        self.reserved_machines: frozenset[str] = frozenset()
+        self.on_demand_peak = provisioning.SlidingMaximum(
             self.tuning.warm_window_boots * state.timing.boot_s
         )
 
-    def left_out(self, job: Job, now: float) -> bool:
+    def is_starving(self, job: Job, now: float) -> bool:
         """Whether none of a job's tasks has had a place for so long that nothing is kept from it.
 
         Room that is kept or held for others must not let a job wait beside it without a bound,
@@ -34,27 +34,27 @@
         """
         waits = not job.placed and not job.finished
         since = max(job.arrived, job.last_placed) if job.done_count else job.arrived
-        return waits and now - since > LEFT_OUT_PART * self.tuning.patience_s
+        return waits and now - since > STARVATION_SHARE * self.tuning.patience_s
 
-    def policy(self, job: Job, left_out: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
+    def policy(self, job: Job, starving: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
         """Where the job's tasks may be started in this round, whether a gang's or single ones."""
         return PlacementPolicy(
-            closed_types=frozenset() if left_out else self.reserved_types.reserved_from(job.spec),
-            reserved_for=self.reserved_types.smallest,
+            reserved_types=frozenset() if starving else self.reserved_types.reserved_from(job.spec),
+            smallest_large_tasks=self.reserved_types.smallest_tasks,
             spot_only=spot_only,
             urgent=urgent,
-            reserved=frozenset() if job.spec.gang else self.kept,
-            ignore_reservations=left_out,
+            reserved_machines=frozenset() if job.spec.gang else self.reserved_machines,
+            ignore_reservations=starving,
         )
 
-    def keep_ordinary(self, now: float, jobs: list[Job], usable: list[Machine]) -> None:
+    def reserve_on_demand(self, now: float, jobs: list[Job], usable: list[Machine]) -> None:
         """Choose the ordinary machines that are kept from work that may use cheap ones.
 
         Work that needs ordinary room and can't wait for a boot would otherwise find it taken by
         work that could have gone elsewhere; gangs need it in one zone at that, and whole.
         """
         slos, boot_s = self.state.slos, self.state.timing.boot_s
-        self.ordinary_peak.add(
+        self.on_demand_peak.add(
             now,
             sum(
                 job.spec.cpus * (job.spec.tasks - job.done_count)
@@ -62,21 +62,23 @@
                 if provisioning.needs_on_demand(job, slos, boot_s)
             ),
         )
-        need = self.ordinary_peak.value()
-        kept: set[str] = set()
+        need = self.on_demand_peak.value()
+        reserved: set[str] = set()
         if need > 0:
-            for machine in self._ordinary(usable):
+            for machine in self._on_demand_by_preference(usable):
                 if need <= 0:
                     break
                 need -= machine.type.cpus
-                kept.add(machine.name)
-        self.kept = frozenset(kept)
+                reserved.add(machine.name)
+        self.reserved_machines = frozenset(reserved)
 
-    def _ordinary(self, usable: list[Machine]) -> list[Machine]:
+    def _on_demand_by_preference(self, usable: list[Machine]) -> list[Machine]:
         """Those that are kept stay so, and whole zones before parts of many."""
         zones: dict[str, float] = {}
         ordinary = [machine for machine in usable if not machine.spot]
         for machine in ordinary:
             zones[machine.zone] = zones.get(machine.zone, 0.0) + machine.type.cpus
-        ordinary.sort(key=lambda m: (m.name not in self.kept, -zones[m.zone], m.zone, m.name))
+        ordinary.sort(
+            key=lambda m: (m.name not in self.reserved_machines, -zones[m.zone], m.zone, m.name)
+        )
         return ordinary
--- a/src/copperpass/core/scheduling/reserved_types.py
+++ b/src/copperpass/core/scheduling/reserved_types.py
@@ -22,7 +22,7 @@
         self.last_demand: dict[frozenset[str], tuple[float, JobSpec]] = {}
         self.cache: dict[tuple[float, float, float], set[str]] = {}
         # The smallest of the tasks that are about now and that a type is kept for, by type.
-        self.smallest: dict[str, JobSpec] = {}
+        self.smallest_tasks: dict[str, JobSpec] = {}
 
     def observe(self, now: float, jobs: Iterable[Job]) -> None:
         """Take in the jobs that are about."""
@@ -31,23 +31,23 @@
         for job in jobs:
             spec = job.spec
             shapes.setdefault((spec.cpus, spec.gpus, spec.memory_gb), spec)
-        self.smallest = {}
+        self.smallest_tasks = {}
         for spec in shapes.values():
-            fitting = self.fitting(spec)
-            if 0 < len(fitting) < len(self.types):
-                self.last_demand[fitting] = (now, spec)
-                self._note_smallest(fitting, spec)
+            feasible_types = self.feasible_types(spec)
+            if 0 < len(feasible_types) < len(self.types):
+                self.last_demand[feasible_types] = (now, spec)
+                self._update_smallest(feasible_types, spec)
         self.last_demand = {k: v for k, v in self.last_demand.items() if now - v[0] <= self.keep_s}
         if set(self.last_demand) != before:
             self.cache.clear()
 
-    def _note_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
+    def _update_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
         for name in types:
-            smallest = self.smallest.get(name)
+            smallest = self.smallest_tasks.get(name)
             if smallest is None or spec.cpus < smallest.cpus:
-                self.smallest[name] = spec
+                self.smallest_tasks[name] = spec
 
-    def fitting(self, spec: JobSpec) -> frozenset[str]:
+    def feasible_types(self, spec: JobSpec) -> frozenset[str]:
         """The types that one task fits."""
         return frozenset(t.name for t in self.types.values() if feasible_on_type(spec, t))
 
@@ -56,7 +56,7 @@
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
         closed = self.cache.get(shape)
         if closed is None:
-            mine = self.fitting(spec) if spec.types is None else frozenset(spec.types)
+            mine = self.feasible_types(spec) if spec.types is None else frozenset(spec.types)
             closed = set()
             for theirs in self.last_demand:
                 if theirs < mine:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -115,12 +115,12 @@
             for n in (1, 2)
         ]
         policy = PlacementPolicy(urgent=rng.random() < 0.5)
-        roomy, log = list(machines.values()), []
-        kept = [Ranking(j, roomy, machines, 0.0, policy) for j in jobs]
+        candidates, log = list(machines.values()), []
+        kept = [Ranking(j, candidates, machines, 0.0, policy) for j in jobs]
         for index in range(6):
             for each, ranking in zip(jobs, kept, strict=True):
                 chosen = ranking.best(log)
-                afresh = Ranking(each, roomy, machines, 0.0, policy)
+                afresh = Ranking(each, candidates, machines, 0.0, policy)
                 assert (chosen is None) == (afresh.best([]) is None)
                 if chosen is None:
                     continue
@@ -162,7 +162,7 @@
     # small ones waited beside it.
     machine = crowded_crate(large_cpus, remaining_s=60.0)
     large, small = made(1, 0.0, cpus=32.0), made(2, 0.0, cpus=4.0, run_s=estimate_s)
-    policy = PlacementPolicy(closed_types={"crate"}, reserved_for={"crate": large.spec})
+    policy = PlacementPolicy(reserved_types={"crate"}, smallest_large_tasks={"crate": large.spec})
     ranking = Ranking(small, [machine], {"m-1": machine}, 0.0, policy)
     assert (ranking.best([]) is machine) == found
 
@@ -172,6 +172,8 @@
     reserved_types.observe(
         0.0, [made(1, 0.0, cpus=40.0), made(2, 0.0, cpus=24.0), made(3, 0.0, cpus=4.0)]
     )
-    assert {name: spec.cpus for name, spec in reserved_types.smallest.items()} == {"crate": 24.0}
+    assert {name: spec.cpus for name, spec in reserved_types.smallest_tasks.items()} == {
+        "crate": 24.0
+    }
     reserved_types.observe(1.0, [made(3, 0.0, cpus=4.0)])
-    assert reserved_types.smallest == {}
+    assert reserved_types.smallest_tasks == {}
