--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -59,10 +59,10 @@
             return
         machine = state.machines.get(item.id)
         if machine is None:
-            place = MachineGroup(item.type, item.zone, item.spot)
-            machine = records.add(now, item.id, place, NO_SHARD, Occupancy.EMPTY)
+            machine_group = MachineGroup(item.type, item.zone, item.spot)
+            machine = records.add(now, item.id, machine_group, NO_SHARD, Occupancy.EMPTY)
             machine.created_at = now - item.age_s
-            state.fleet_store.rented(now, item.id, place)
+            state.fleet_store.rented(now, item.id, machine_group)
         machine.listed = True
         if item.address and machine.entry.contact is None:
             records.learn_contact(machine, item.address, 0)
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -18,12 +18,12 @@
 class Demand:
     """CPUs of all work that isn't done.
 
-    Urgent is what can't wait for a boot; `ordinary` is its part that may use ordinary machines
+    Urgent is what can't wait for a boot; `on_demand` is its part that may use ordinary machines
     only. Both by shard.
     """
 
     urgent: dict[int, float]
-    ordinary: dict[int, float]
+    on_demand: dict[int, float]
     patient: float
 
     @property
@@ -41,10 +41,12 @@
         self.slos = ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
         self.reserved_types = ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
-        self.peak = provisioning.SlidingMaximum(warm_s)
-        self.spot_peak = provisioning.SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
+        self.urgent_peak = provisioning.SlidingMaximum(warm_s)
+        self.urgent_spot_peak = provisioning.SlidingMaximum(
+            tuning.cheap_window_boots * state.boot_s
+        )
         window = SHARD_WINDOW * tuning.warm_window_boots * state.boot_s
-        self.peaks = {number: provisioning.SlidingMaximum(window) for number in state.shards}
+        self.shard_peaks = {number: provisioning.SlidingMaximum(window) for number in state.shards}
         # Urgent work that may use ordinary machines only.
         self.on_demand_peaks = {
             number: provisioning.SlidingMaximum(warm_s) for number in state.shards
@@ -54,7 +56,7 @@
         """Sum up the work that is left; judges on the way which jobs are guaranteed."""
         state = self.state
         urgent: dict[int, float] = dict.fromkeys(state.shards, 0.0)
-        ordinary: dict[int, float] = dict.fromkeys(state.shards, 0.0)
+        on_demand: dict[int, float] = dict.fromkeys(state.shards, 0.0)
         patient = 0.0
         jobs = list(self.jobs.jobs.values())
         assess_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
@@ -66,28 +68,28 @@
                 number = state.shard_of[job.spec.team]
                 urgent[number] += left * job.spec.cpus
                 if not job.spec.spot:
-                    ordinary[number] += left * job.spec.cpus
+                    on_demand[number] += left * job.spec.cpus
             else:
                 patient += (job.spec.tasks - job.done_count) * job.spec.cpus
-        return Demand(urgent, ordinary, patient)
+        return Demand(urgent, on_demand, patient)
 
     def sample(self, now: float, demand: Demand) -> None:
         """Take a measure into all peaks."""
         limit = sum(team.cpus_limit for team in self.cluster.teams)
         total = demand.total_urgent
-        self.peak.add(now, min(total, limit))
-        self.spot_peak.add(now, min(total, limit))
+        self.urgent_peak.add(now, min(total, limit))
+        self.urgent_spot_peak.add(now, min(total, limit))
         for number, cpus in demand.urgent.items():
-            self.peaks[number].add(now, cpus)
-            self.on_demand_peaks[number].add(now, demand.ordinary[number])
+            self.shard_peaks[number].add(now, cpus)
+            self.on_demand_peaks[number].add(now, demand.on_demand[number])
 
     def sample_shard(self, now: float, number: int, demand: Demand) -> None:
         """Take a measure into one shard's peak, between plans."""
-        self.peaks[number].add(now, demand.urgent[number])
+        self.shard_peaks[number].add(now, demand.urgent[number])
 
     def warm(self) -> provisioning.WarmTargets:
         """The room to keep up for urgent work."""
-        return provisioning.WarmTargets(self.peak.value(), self.spot_peak.value())
+        return provisioning.WarmTargets(self.urgent_peak.value(), self.urgent_spot_peak.value())
 
     def reserved_type_names(self) -> set[str]:
         """The types that are kept for work that fits no other."""
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -47,67 +47,81 @@
         self.out, self.election = context.out, context.election
         rps = context.cluster.cloud.rps
         self.calls = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
-        self.booking = 0
+        self.count = 0
 
     def resume(self, now: float) -> None:
         """Ask again for the bookings of terms before: they may have been carried out."""
         for request, (stored, count) in list(self.fleet_store.booked.items()):
-            booking = InstanceRequest(MachineGroup(*stored), count, self.state.neediest_shard())
-            self.state.pending_requests[request] = booking
-            self._book(now, booking, request, TRIES)
+            instance_request = InstanceRequest(
+                MachineGroup(*stored), count, self.state.neediest_shard()
+            )
+            self.state.pending_requests[request] = instance_request
+            self._send(now, instance_request, request, TRIES)
 
-    def rent(self, now: float, place: MachineGroup, count: int, shard: int) -> None:
+    def provision(self, now: float, machine_group: MachineGroup, count: int, shard: int) -> None:
         """Book machines for a shard."""
-        self.booking += 1
+        self.count += 1
         # The token is this authority's alone, so the name is never used again by any node.
-        request = f"b-{self.state.epoch}-{self.booking}"
-        booking = InstanceRequest(place, count, shard)
-        self.state.pending_requests[request] = booking
+        request = f"b-{self.state.epoch}-{self.count}"
+        instance_request = InstanceRequest(machine_group, count, shard)
+        self.state.pending_requests[request] = instance_request
 
         def stored(n: float, ok: bool) -> None:
             if ok and self.election.has_authority(n):
-                self._book(n, booking, request, TRIES)
+                self._send(n, instance_request, request, TRIES)
             else:
                 self.state.pending_requests.pop(request, None)
                 self.fleet_store.ended(n, request, [])
 
-        self.fleet_store.book(now, request, place, count, stored)
+        self.fleet_store.book(now, request, machine_group, count, stored)
 
-    def _book(self, now: float, booking: InstanceRequest, request: str, tries: int) -> None:
+    def _send(
+        self, now: float, instance_request: InstanceRequest, request: str, tries: int
+    ) -> None:
         """Ask the cloud for a booking's machines."""
-        place = booking.place
+        machine_group = instance_request.machine_group
 
         def then(n: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
-                self._rented(n, booking, request, outcome.body)
+                self._on_answer(n, instance_request, request, outcome.body)
                 return
             if outcome.status in (NO_ANSWER, 429) and tries > 1 and self.election.has_authority(n):
-                self._book(n, booking, request, tries - 1)
+                self._send(n, instance_request, request, tries - 1)
                 return
             self.state.pending_requests.pop(request, None)
-            self.state.backoff.refused(place, n, self.state.boot_s / 2)
+            self.state.backoff.refused(machine_group, n, self.state.boot_s / 2)
             if outcome.status != NO_ANSWER:
                 self.fleet_store.ended(n, request, [])
 
-        body = instance_request_body(request, place.type, place.zone, place.spot, booking.machines)
+        body = instance_request_body(
+            request,
+            machine_group.type,
+            machine_group.zone,
+            machine_group.spot,
+            instance_request.machines,
+        )
         self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, then, body, CALL_TIMEOUT_S))
 
-    def _rented(self, now: float, booking: InstanceRequest, request: str, body: bytes) -> None:
+    def _on_answer(
+        self, now: float, instance_request: InstanceRequest, request: str, body: bytes
+    ) -> None:
         """The cloud has carried out a booking, in full or in part."""
-        state, place = self.state, booking.place
+        state, machine_group = self.state, instance_request.machine_group
         known = state.pending_requests.pop(request, None)
         shard = known.shard if known is not None else state.neediest_shard()
         rented = decode(body, InstanceAnswer)
         names = rented.machines if rented else []
-        if len(names) < booking.machines:
-            state.backoff.refused(place, now, state.boot_s / 2)
+        if len(names) < instance_request.machines:
+            state.backoff.refused(machine_group, now, state.boot_s / 2)
         else:
-            state.backoff.granted(place)
-        self.out.log("info", "rented", place=str(tuple(place)), count=len(names), shard=shard)
+            state.backoff.granted(machine_group)
+        self.out.log(
+            "info", "rented", machine_group=str(tuple(machine_group)), count=len(names), shard=shard
+        )
         self.fleet_store.ended(now, request, names)
         for name in names:
             if name not in state.machines and name not in state.gone:
-                self.records.add(now, name, place, shard, Occupancy.EMPTY)
+                self.records.add(now, name, machine_group, shard, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
         """Return machines, with those whose return hasn't been confirmed."""
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -49,7 +49,7 @@
         self,
         now: float,
         name: str,
-        place: MachineGroup,
+        machine_group: MachineGroup,
         shard: int,
         may_hold: int,
         contact: MachineContact | None = None,
@@ -60,16 +60,18 @@
         base = self.next_base()
         entry = MachineRoute(
             name,
-            place.type,
-            place.zone,
-            place.spot,
+            machine_group.type,
+            machine_group.zone,
+            machine_group.spot,
             shard,
             base,
             may_hold if recorded else Occupancy.EMPTY,
             recorded,
             contact=contact,
         )
-        machine = ManagedMachine(entry, state.types[place.type], now, MachineStatus(name, base))
+        machine = ManagedMachine(
+            entry, state.types[machine_group.type], now, MachineStatus(name, base)
+        )
         state.machines[name] = machine
         state.table.put(entry)
         state.added[shard] = state.table.seq
@@ -78,13 +80,13 @@
     def restore(self, now: float) -> None:
         """Take up the machines that the fleet's record names, as the term before knew them."""
         for name, stored in self.fleet_store.places.items():
-            place = MachineGroup(*stored)
-            if place.type in self.state.types and name not in self.state.gone:
+            machine_group = MachineGroup(*stored)
+            if machine_group.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
                 known = hint is not None and not hint.gone
                 shard = hint.shard if hint is not None and known else NO_SHARD
                 contact = hint.contact if hint is not None and known else None
-                self.add(now, name, place, shard, Occupancy.ANY_SHARD, contact)
+                self.add(now, name, machine_group, shard, Occupancy.ANY_SHARD, contact)
 
     def mark_recorded(self, now: float, names: set[str]) -> None:
         """The fleet's record says of these machines that they have been up."""
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -74,7 +74,7 @@
             status = replace(status, up=True)
         if status.up and not machine.status.up:
             machine.up_at = machine.idle_since = now
-            self.state.fleet_store.came_up(now, machine.entry.name, machine.place)
+            self.state.fleet_store.came_up(now, machine.entry.name, machine.machine_group)
         if status.idle and not machine.status.idle:
             machine.idle_since = now
         return status
@@ -103,8 +103,10 @@
                 return
             # Unexpected: rented by a request that was carried out late, or a late copy about a
             # machine that is gone. Whoever owns it will see whether answers reach it.
-            place = MachineGroup(report.type, report.zone, report.spot)
-            machine = self.records.add(now, report.machine, place, NO_SHARD, Occupancy.EMPTY)
+            machine_group = MachineGroup(report.type, report.zone, report.spot)
+            machine = self.records.add(
+                now, report.machine, machine_group, NO_SHARD, Occupancy.EMPTY
+            )
         if machine.entry.shard != NO_SHARD or machine.releasing:
             return
         self.records.rebase(machine, self._shard_of(report), machine.entry.may_hold)
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -1,4 +1,4 @@
-"""Finds room for what owners have none for: idle machines of others first, then new ones."""
+"""Finds capacity for what owners have none for: idle machines of others first, then new ones."""
 
 from __future__ import annotations
 
@@ -32,39 +32,41 @@
     shard: Shard
     serving: list[ManagedMachine]
     # Machines on their way to the shard.
-    rooms: list[provisioning.FreeCapacity]
+    capacities: list[provisioning.FreeCapacity]
     # Idle machines of other shards, the cheapest first.
-    spare: list[ManagedMachine]
-    cover: provisioning.CoverageRatio
+    releasable: list[ManagedMachine]
+    coverage: provisioning.CoverageRatio
     # About what the shard's own machines have left; None until a gang asks.
-    own_capacities: list[provisioning.FreeCapacity] | None = None
+    own_free_capacity: list[provisioning.FreeCapacity] | None = None
 
     def own(self) -> list[provisioning.FreeCapacity]:
-        """The room that is left on the shard's own machines."""
-        if self.own_capacities is None:
-            self.own_capacities = [
-                provisioning.remaining_capacity(machine.type, machine.place, machine.used_cpus)
+        """The capacity that is left on the shard's own machines."""
+        if self.own_free_capacity is None:
+            self.own_free_capacity = [
+                provisioning.remaining_capacity(
+                    machine.type, machine.machine_group, machine.used_cpus
+                )
                 for machine in self.serving
                 if machine.entry.shard == self.shard.number
             ]
-        return self.own_capacities
+        return self.own_free_capacity
 
 
 @dataclass(slots=True)
 class Search:
-    """How far the search of room for one request has come."""
+    """How far the search of capacity for one request has come."""
 
     job: Job
     # The job's shape, with the zone that it is tied to.
     spec: JobSpec
-    # Tasks that have found no room so far.
+    # Tasks that have found no capacity so far.
     left: int
     horizon: float
     # The types that are kept for others.
-    closed: set[str]
+    excluded_types: set[str]
     # The zone that all of a gang's tasks must be in.
     zone: str | None
-    # Whether it waits for cheap room.
+    # Whether it waits for cheap capacity.
     patient: bool
 
 
@@ -95,78 +97,81 @@
             return
         offer = self._offer(shard, serving)
         for request in shard.wants:
-            over = plan is not None and plan.full and not offer.spare
+            over = plan is not None and plan.full and not offer.releasable
             if over and not request.job.guaranteed:
                 # Nothing can be rented or moved in this plan any more: the next one goes on.
                 continue
             search = self._begin(now, offer, request)
-            self._move_spare(now, offer, search)
+            self._move_releasable(now, offer, search)
             if plan is not None:
                 self._rent(now, offer, search, plan)
-                self._take_kept(now, offer, search)
+                self._claim_warm_capacity(now, offer, search)
                 self._reclaim_guarantee(now, offer, search)
 
     def _offer(self, shard: Shard, serving: list[ManagedMachine]) -> ShardOffer:
         """Gather what is on its way to a shard and what others could lend."""
-        rooms = [
-            provisioning.empty_machine_capacity(self.state.types[place.type], place)
-            for place, count, number in self.state.pending_requests.values()
+        capacities = [
+            provisioning.empty_machine_capacity(self.state.types[machine_group.type], machine_group)
+            for machine_group, count, number in self.state.pending_requests.values()
             if number == shard.number
             for _ in range(count)
         ]
-        rooms += [
-            provisioning.empty_machine_capacity(machine.type, machine.place)
+        capacities += [
+            provisioning.empty_machine_capacity(machine.type, machine.machine_group)
             for machine in serving
             if machine.back_for == shard.number and machine.entry.back
         ]
-        spare = [
+        releasable = [
             machine
             for machine in serving
-            if machine.spare
+            if machine.releasable
             and machine.entry.shard != shard.number
             and not machine.entry.back
             and machine.entry.shard != NO_SHARD
         ]
-        spare.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
-        return ShardOffer(shard, serving, rooms, spare, self.rebalancer.cover(serving))
+        releasable.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
+        return ShardOffer(shard, serving, capacities, releasable, self.rebalancer.coverage(serving))
 
     def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
-        """Start a request's search with the room that is on its way."""
+        """Start a request's search with the capacity that is on its way."""
         job, count, horizon = request
-        tied_to = offer.shard.zone_affinities.get(job.spec.id)
-        spec = provisioning.with_zone_affinity(job.spec, [tied_to] if tied_to else [])
-        closed = self.reserved_types.reserved_from(spec)
+        zone_affinity = offer.shard.zone_affinities.get(job.spec.id)
+        spec = provisioning.with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
+        excluded_types = self.reserved_types.reserved_from(spec)
         zone: str | None = None
-        rooms = offer.rooms
+        capacities = offer.capacities
         if spec.gang and spec.one_zone:
             # All of it in one zone: what the shard has there, then what is moved or rented. The
             # owner asks for the whole: only the leader can complete what one zone has.
-            rooms = rooms + offer.own()
-            zone = spec.zone or self._gang_zone(now, spec, count, rooms, offer.spare)
-            rooms = [room for room in rooms if room.zone == zone]
-        left = provisioning.pack_tasks(rooms, spec, count, horizon, closed)
+            capacities = capacities + offer.own()
+            zone = spec.zone or self._gang_zone(now, spec, count, capacities, offer.releasable)
+            capacities = [capacity for capacity in capacities if capacity.zone == zone]
+        left = provisioning.pack_tasks(capacities, spec, count, horizon, excluded_types)
         # Work that can wait for longer than a boot asks only for the cheap kind at first.
         # Not for the rest of a gang, for which other machines are kept idle meanwhile.
         long = horizon > self.tuning.patient_boots * self.state.boot_s
         patient = long and spec.spot and zone is None
-        return Search(job, spec, left, horizon, closed, zone, patient)
+        return Search(job, spec, left, horizon, excluded_types, zone, patient)
 
     def _gang_zone(
         self,
         now: float,
         spec: JobSpec,
         count: int,
-        rooms: list[provisioning.FreeCapacity],
-        spare: list[ManagedMachine],
+        capacities: list[provisioning.FreeCapacity],
+        releasable: list[ManagedMachine],
     ) -> str | None:
-        """The zone where most of a gang's tasks find room already and the rest can be rented."""
+        """The zone where most of a gang's tasks fit already and the rest can be provisioned."""
         state = self.state
         slots: dict[str, int] = {}
-        offers = rooms + [
-            provisioning.empty_machine_capacity(machine.type, machine.place) for machine in spare
+        offers = capacities + [
+            provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            for machine in releasable
         ]
-        for room in offers:
-            slots[room.zone] = slots.get(room.zone, 0) + room.slots(spec, count, state.boot_s)
+        for capacity in offers:
+            slots[capacity.zone] = slots.get(capacity.zone, 0) + capacity.slots(
+                spec, count, state.boot_s
+            )
         for zone in sorted(slots, key=lambda z: (-slots[z], z)):
             if slots[zone] > 0 and (
                 slots[zone] >= count
@@ -177,35 +182,38 @@
                 return zone
         return None
 
-    def _move_spare(self, now: float, offer: ShardOffer, search: Search) -> None:
+    def _move_releasable(self, now: float, offer: ShardOffer, search: Search) -> None:
         """Ask for idle machines of shards that stay covered as far as this one."""
         number = offer.shard.number
-        for machine in list(offer.spare):
+        for machine in list(offer.releasable):
             if search.left <= 0:
                 break
-            lender = machine.entry.shard
+            donor = machine.entry.shard
             if search.zone is not None and machine.entry.zone != search.zone:
                 continue
-            if not self.rebalancer.may_leave(machine) or machine.type.name in search.closed:
+            if (
+                not self.rebalancer.can_release(machine)
+                or machine.type.name in search.excluded_types
+            ):
                 continue
             if search.patient and self.state.on_demand_excess and not machine.entry.spot:
                 continue
-            if not offer.cover.may_donate(lender, number, machine.type.cpus):
+            if not offer.coverage.can_donate(donor, number, machine.type.cpus):
                 continue
-            room = provisioning.empty_machine_capacity(machine.type, machine.place)
-            taken = room.take(search.spec, search.left, search.horizon)
+            capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            taken = capacity.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
-                offer.cover.move(lender, number, machine.type.cpus)
-                offer.rooms.append(room)
-                offer.spare.remove(machine)
-                self.rebalancer.let_go(now, machine, number)
+                offer.coverage.move(donor, number, machine.type.cpus)
+                offer.capacities.append(capacity)
+                offer.releasable.remove(machine)
+                self.rebalancer.request_release(now, machine, number)
 
     def _rent(self, now: float, offer: ShardOffer, search: Search, plan: ScaleOutPlan) -> None:
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
-            place = provisioning.choose_machine_group(
+            machine_group = provisioning.choose_machine_group(
                 spec,
                 search.left,
                 state.types,
@@ -213,38 +221,43 @@
                 state.backoff,
                 now,
                 search.patient,
-                search.closed,
+                search.excluded_types,
                 search.zone,
             )
-            if place is None:
+            if machine_group is None:
                 break
             if spec.gang and spec.one_zone:
-                search.zone = place.zone
-            room = provisioning.empty_machine_capacity(state.types[place.type], place)
-            taken = room.take(spec, search.left, search.horizon)
+                search.zone = machine_group.zone
+            capacity = provisioning.empty_machine_capacity(
+                state.types[machine_group.type], machine_group
+            )
+            taken = capacity.take(spec, search.left, search.horizon)
             if taken <= 0:
                 break
             search.left -= taken
-            offer.rooms.append(room)
-            plan.add(place, offer.shard.number)
+            offer.capacities.append(capacity)
+            plan.add(machine_group, offer.shard.number)
 
-    def _take_kept(self, now: float, offer: ShardOffer, search: Search) -> None:
+    def _claim_warm_capacity(self, now: float, offer: ShardOffer, search: Search) -> None:
         """Nothing can be rented: what others keep for later serves who needs it now."""
         if search.left <= 0 or search.horizon > self.state.boot_s:
             return
-        for machine in offer.spare:
+        for machine in offer.releasable:
             if search.left <= 0:
                 break
-            if machine.type.name in search.closed or search.zone not in (None, machine.entry.zone):
+            if machine.type.name in search.excluded_types or search.zone not in (
+                None,
+                machine.entry.zone,
+            ):
                 continue
-            if not self.rebalancer.may_leave(machine):
+            if not self.rebalancer.can_release(machine):
                 continue
-            room = provisioning.empty_machine_capacity(machine.type, machine.place)
-            taken = room.take(search.spec, search.left, search.horizon)
+            capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            taken = capacity.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
-                self.rebalancer.let_go(now, machine, offer.shard.number)
-        offer.spare = [machine for machine in offer.spare if not machine.entry.back]
+                self.rebalancer.request_release(now, machine, offer.shard.number)
+        offer.releasable = [machine for machine in offer.releasable if not machine.entry.back]
 
     def _reclaim_guarantee(self, now: float, offer: ShardOffer, search: Search) -> None:
         """Give a shard its guarantee out of what another has beyond its own."""
@@ -259,8 +272,8 @@
                 used = machine.used_cpus
                 if other is offer.shard or left <= 0 or beyond < used or machine.entry.back:
                     break
-                room = provisioning.empty_machine_capacity(machine.type, machine.place)
-                taken = room.take(spec, left, 0.0)
+                capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+                taken = capacity.take(spec, left, 0.0)
                 if taken > 0 and machine.type.name not in self.reserved_types.reserved_from(spec):
                     left -= taken
                     beyond -= used
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -84,9 +84,9 @@
         warm = self.tracker.warm()
         serving = self.state.serving()
         self.rebalancer.recount(serving)
-        taken = self._taken_by_patient(serving, demand)
+        taken = self._deferrable_cpus_in_use(serving, demand)
         room = sum(machine.type.cpus for machine in serving)
-        self.state.on_demand_excess = room - taken > warm.any
+        self.state.on_demand_excess = room - taken > warm.total_cpus
         remaining = remaining_by_team(self.cluster, self.jobs.jobs.values())
         allocated = allocate(self.cluster, serving, remaining)
         order = sorted(
@@ -97,10 +97,10 @@
             self._change(now, order, serving, warm, taken)
         if now >= self.next_summary:
             self.next_summary = now + SUMMARY_REPORTS * self.state.report_s
-            self._summary(warm.any, demand.total_urgent, allocated)
+            self._summary(warm.total_cpus, demand.total_urgent, allocated)
         self.warm_capacity.return_idle(now, warm, taken)
 
-    def _taken_by_patient(self, serving: list[ManagedMachine], demand: Demand) -> float:
+    def _deferrable_cpus_in_use(self, serving: list[ManagedMachine], demand: Demand) -> float:
         """The CPUs in use by work that can wait.
 
         Where a class can't wait for a boot: else nothing is gained by keeping room beside work
@@ -124,9 +124,14 @@
             self.placement.serve(now, shard, serving, plan)
         self.warm_capacity.keep(now, warm, serving, taken, plan)
         self.warm_capacity.balance(now, serving)
-        for (place, number), count in plan.counts.items():
-            if not any(booking.place == place for booking in self.state.pending_requests.values()):
-                self.instance_requests.rent(now, place, min(count, MACHINES_PER_CALL), number)
+        for (machine_group, number), count in plan.counts.items():
+            if not any(
+                instance_request.machine_group == machine_group
+                for instance_request in self.state.pending_requests.values()
+            ):
+                self.instance_requests.provision(
+                    now, machine_group, min(count, MACHINES_PER_CALL), number
+                )
 
     def _summary(self, warm: float, tight: float, allocated: allocation.Allocation) -> None:
         """Say for the log how the fleet stands."""
--- a/src/copperpass/core/autoscaling/provisioning.py
+++ b/src/copperpass/core/autoscaling/provisioning.py
@@ -43,19 +43,19 @@
     until: dict[MachineGroup, float] = field(default_factory=dict)
     wait: dict[MachineGroup, float] = field(default_factory=dict)
 
-    def refused(self, place: MachineGroup, now: float, base: float) -> None:
+    def refused(self, machine_group: MachineGroup, now: float, base: float) -> None:
         """Back off, longer each time."""
-        wait = min(self.wait.get(place, base / 2) * 2, base * 4)
-        self.wait[place] = wait
-        self.until[place] = now + wait
+        wait = min(self.wait.get(machine_group, base / 2) * 2, base * 4)
+        self.wait[machine_group] = wait
+        self.until[machine_group] = now + wait
 
-    def granted(self, place: MachineGroup) -> None:
+    def granted(self, machine_group: MachineGroup) -> None:
         """Something was there: start over."""
-        self.wait.pop(place, None)
+        self.wait.pop(machine_group, None)
 
-    def open(self, place: MachineGroup, now: float) -> bool:
+    def open(self, machine_group: MachineGroup, now: float) -> bool:
         """Whether to ask there."""
-        return now >= self.until.get(place, 0.0)
+        return now >= self.until.get(machine_group, 0.0)
 
 
 class SlidingMaximum:
@@ -82,11 +82,11 @@
 class WarmTargets:
     """CPUs to keep up for demand that can't wait for a boot.
 
-    Room on cheap machines is kept for longer than room on dear ones.
+    Room on cheap machines is kept for longer than capacity on dear ones.
     """
 
-    any: float
-    cheap: float
+    total_cpus: float
+    spot_cpus: float
 
 
 @dataclass(slots=True)
@@ -104,14 +104,14 @@
         """The shard that is covered least."""
         return min(self.have, key=lambda n: (self.of(n), n))
 
-    def may_donate(self, lender: int, borrower: int, cpus: float) -> bool:
+    def can_donate(self, donor: int, recipient: int, cpus: float) -> bool:
         """Whether the lender stays covered at least as far as the borrower was."""
-        return self.of(lender, -cpus) >= self.of(borrower)
+        return self.of(donor, -cpus) >= self.of(recipient)
 
-    def move(self, lender: int, borrower: int, cpus: float) -> None:
+    def move(self, donor: int, recipient: int, cpus: float) -> None:
         """Note that CPUs pass from one to the other."""
-        self.have[lender] -= cpus
-        self.have[borrower] += cpus
+        self.have[donor] -= cpus
+        self.have[recipient] += cpus
 
 
 @dataclass(slots=True)
@@ -132,7 +132,7 @@
         self.most = self.cpus + sum(free[1] for free in self.frees)
 
     def slots(self, spec: JobSpec, count: int, horizon: float) -> int:
-        """For how many tasks, up to `count`, that may start within the horizon there is room."""
+        """For how many tasks, up to `count`, that may start within the horizon, it has capacity."""
         if count <= 0 or spec.cpus > self.most + 1e-6:
             return 0
         if not satisfies_constraints(spec, self.type, self.zone, self.spot):
@@ -148,7 +148,7 @@
         return max(0, slots)
 
     def take(self, spec: JobSpec, count: int, horizon: float) -> int:
-        """Give room to up to `count` tasks that may start within the horizon."""
+        """Give capacity to up to `count` tasks that may start within the horizon."""
         slots = self.slots(spec, count, horizon)
         if slots <= 0:
             return 0
@@ -160,35 +160,39 @@
 
 
 def pack_gang(
-    rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
+    capacities: list[FreeCapacity],
+    spec: JobSpec,
+    count: int,
+    horizon: float,
+    excluded_types: set[str],
 ) -> int:
-    """Give room to a gang's tasks, to all of them or to none; returns how many are left."""
+    """Give capacity to a gang's tasks, to all of them or to none; returns how many are left."""
     zones: dict[str, list[FreeCapacity]] = {}
-    for room in rooms:
-        if room.type.name not in closed and satisfies_constraints(
-            spec, room.type, room.zone, room.spot
+    for capacity in capacities:
+        if capacity.type.name not in excluded_types and satisfies_constraints(
+            spec, capacity.type, capacity.zone, capacity.spot
         ):
-            zones.setdefault(room.zone if spec.one_zone else "", []).append(room)
+            zones.setdefault(capacity.zone if spec.one_zone else "", []).append(capacity)
     most = (spec.tasks + 1) // 2 if spec.spread else count
     for zone in sorted(zones):
         offers: list[tuple[FreeCapacity, int]] = []
         taken: dict[str, int] = {}
         left = count
-        for room in zones[zone]:
-            slots = min(room.slots(spec, left, horizon), most - taken.get(room.zone, 0))
+        for capacity in zones[zone]:
+            slots = min(capacity.slots(spec, left, horizon), most - taken.get(capacity.zone, 0))
             if slots > 0:
-                offers.append((room, slots))
-                taken[room.zone] = taken.get(room.zone, 0) + slots
+                offers.append((capacity, slots))
+                taken[capacity.zone] = taken.get(capacity.zone, 0) + slots
                 left -= slots
         if left <= 0:
-            for room, slots in offers:
-                room.take(spec, slots, horizon)
+            for capacity, slots in offers:
+                capacity.take(spec, slots, horizon)
             return 0
     return count
 
 
 def slots_on_new(machine_type: MachineType, spec: JobSpec, count: int) -> int:
-    """For how many of a job's tasks, up to `count`, an empty machine of a type has room."""
+    """For how many of a job's tasks, up to `count`, an empty machine of a type has capacity."""
     per = [
         have / need
         for need, have in (
@@ -209,18 +213,18 @@
     backoff: CapacityBackoff,
     now: float,
     spot_only: bool,
-    closed: set[str],
+    excluded_types: set[str],
     within: str | None = None,
     on_demand_only: bool = False,
 ) -> MachineGroup | None:
     """The cheapest place for tasks of a shape, spread over zones; or `within` one of them.
 
-    The price counts per task that finds room there; without a shape, per CPU.
+    The price counts per task that finds capacity there; without a shape, per CPU.
     """
     best: MachineGroup | None = None
     best_score: tuple[float, int, str] | None = None
     for machine_type in types.values():
-        if machine_type.name in closed or (
+        if machine_type.name in excluded_types or (
             spec is not None and not feasible_on_type(spec, machine_type)
         ):
             continue
@@ -235,18 +239,18 @@
                     continue
                 if spec is not None and not satisfies_constraints(spec, machine_type, zone, spot):
                     continue
-                place = MachineGroup(machine_type.name, zone, spot)
-                if not backoff.open(place, now):
+                machine_group = MachineGroup(machine_type.name, zone, spot)
+                if not backoff.open(machine_group, now):
                     continue
                 score = (price / max(slots, 1e-6), zones.get(zone, 0), zone)
                 if best_score is None or score < best_score:
-                    best, best_score = place, score
+                    best, best_score = machine_group, score
     return best
 
 
 def free_capacities(machines: Iterable[Machine], now: float, silence: float) -> list[FreeCapacity]:
     """What the machines that serve, or will soon, have to offer."""
-    rooms = []
+    capacities = []
     for m in machines:
         if (
             m.deletion_requested
@@ -265,8 +269,8 @@
             for p in m.tasks.values()
             if p.active and p.state != TaskState.GATHERING
         ]
-        rooms.append(FreeCapacity(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
-    return rooms
+        capacities.append(FreeCapacity(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
+    return capacities
 
 
 def cannot_wait(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
@@ -288,14 +292,14 @@
 
 
 def remaining_capacity(
-    machine_type: MachineType, place: MachineGroup, used_cpus: float
+    machine_type: MachineType, machine_group: MachineGroup, used_cpus: float
 ) -> FreeCapacity:
     """About what a machine offers beside what runs there; its memory is taken to be as full."""
     part = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
     return FreeCapacity(
         machine_type,
-        place.zone,
-        place.spot,
+        machine_group.zone,
+        machine_group.spot,
         machine_type.cpus - used_cpus,
         machine_type.gpus * part,
         machine_type.memory_gb * part,
@@ -303,12 +307,12 @@
     )
 
 
-def empty_machine_capacity(machine_type: MachineType, place: MachineGroup) -> FreeCapacity:
+def empty_machine_capacity(machine_type: MachineType, machine_group: MachineGroup) -> FreeCapacity:
     """What an empty machine offers."""
     return FreeCapacity(
         machine_type,
-        place.zone,
-        place.spot,
+        machine_group.zone,
+        machine_group.spot,
         machine_type.cpus,
         machine_type.gpus,
         machine_type.memory_gb,
@@ -319,7 +323,8 @@
 def with_zone_affinity(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
     """A job as it may still be placed: in one zone for all, where its other tasks are.
 
-    Counted and rented elsewhere, room is of no use to it: machines came up, idled and went back.
+    Counted or provisioned elsewhere, capacity is of no use to it: machines came up, idled and were
+    returned.
     """
     if not spec.one_zone or spec.zone is not None:
         return spec
@@ -327,18 +332,22 @@
     return spec if zone is None else msgspec.structs.replace(spec, zone=zone)
 
 
-def without_exhausted(rooms: list[FreeCapacity], least_cpus: float) -> list[FreeCapacity]:
-    """The rooms in which the smallest task that waits may still find a place at some time."""
-    return [room for room in rooms if room.most + 1e-6 >= least_cpus]
+def without_exhausted(capacities: list[FreeCapacity], least_cpus: float) -> list[FreeCapacity]:
+    """The capacities in which the smallest task that waits may still find a place at some time."""
+    return [capacity for capacity in capacities if capacity.most + 1e-6 >= least_cpus]
 
 
 def pack_tasks(
-    rooms: list[FreeCapacity], spec: JobSpec, count: int, horizon: float, closed: set[str]
+    capacities: list[FreeCapacity],
+    spec: JobSpec,
+    count: int,
+    horizon: float,
+    excluded_types: set[str],
 ) -> int:
-    """Give room to tasks that may start within the horizon; returns how many are left."""
-    for room in rooms:
+    """Give capacity to tasks that may start within the horizon; returns how many are left."""
+    for capacity in capacities:
         if count <= 0:
             break
-        if room.type.name not in closed:
-            count -= room.take(spec, count, horizon)
+        if capacity.type.name not in excluded_types:
+            count -= capacity.take(spec, count, horizon)
     return count
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -18,33 +18,33 @@
         self, state: ManagerState, records: MachineRecords, tracker: DemandTracker
     ) -> None:
         self.state, self.records, self.tracker = state, records, tracker
-        self.ordinary_cpus: dict[int, float] = {}
+        self.on_demand_cpus: dict[int, float] = {}
 
     def recount(self, serving: list[ManagedMachine]) -> None:
         """Sum up the ordinary room of each shard anew."""
         shards = self.state.shards
-        self.ordinary_cpus = dict.fromkeys(shards, 0.0)
+        self.on_demand_cpus = dict.fromkeys(shards, 0.0)
         for machine in serving:
             entry = machine.entry
             if not entry.spot and not entry.back and entry.shard in shards:
-                self.ordinary_cpus[entry.shard] += machine.type.cpus
+                self.on_demand_cpus[entry.shard] += machine.type.cpus
 
-    def may_leave(self, machine: ManagedMachine) -> bool:
+    def can_release(self, machine: ManagedMachine) -> bool:
         """Whether a machine's shard keeps enough ordinary room for its urgent work without it."""
         number = machine.entry.shard
         if machine.entry.spot or number not in self.state.shards:
             return True
         need = self.tracker.on_demand_peaks[number].value()
-        return need <= 0 or self.ordinary_cpus.get(number, 0.0) - machine.type.cpus >= need
+        return need <= 0 or self.on_demand_cpus.get(number, 0.0) - machine.type.cpus >= need
 
-    def let_go(self, now: float, machine: ManagedMachine, shard: int | None) -> None:
+    def request_release(self, now: float, machine: ManagedMachine, shard: int | None) -> None:
         """Ask a machine back, for another shard or to be returned, and count it out."""
         number = machine.entry.shard
-        if not machine.entry.spot and number in self.ordinary_cpus:
-            self.ordinary_cpus[number] -= machine.type.cpus
+        if not machine.entry.spot and number in self.on_demand_cpus:
+            self.on_demand_cpus[number] -= machine.type.cpus
         self.records.ask_back(now, machine, shard)
 
-    def cover(self, serving: list[ManagedMachine]) -> provisioning.CoverageRatio:
+    def coverage(self, serving: list[ManagedMachine]) -> provisioning.CoverageRatio:
         """How far each shard's machines, with those on their way, cover its urgent peak."""
         state = self.state
         have = dict.fromkeys(state.shards, 0.0)
@@ -54,7 +54,9 @@
                 number = machine.back_for
             if number in have:
                 have[number] += machine.type.cpus
-        for place, count, number in state.pending_requests.values():
-            have[number] += state.types[place.type].cpus * count
-        need = {number: peak.value() for number, peak in self.tracker.peaks.items()}
+        for machine_group, count, number in state.pending_requests.values():
+            have[number] += state.types[machine_group.type].cpus * count
+        need = {
+            number: urgent_peak.value() for number, urgent_peak in self.tracker.shard_peaks.items()
+        }
         return provisioning.CoverageRatio(have, need)
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -22,7 +22,7 @@
 class Destination(NamedTuple):
     """Where to rent machines, and for which shard."""
 
-    place: MachineGroup
+    machine_group: MachineGroup
     shard: int
 
 
@@ -49,8 +49,8 @@
         """Whether the plan takes no more machines."""
         return sum(self.counts.values()) >= self.most
 
-    def add(self, place: MachineGroup, shard: int) -> None:
+    def add(self, machine_group: MachineGroup, shard: int) -> None:
         """One more machine."""
-        destination = Destination(place, shard)
-        self.zones[place.zone] = self.zones.get(place.zone, 0) + 1
+        destination = Destination(machine_group, shard)
+        self.zones[machine_group.zone] = self.zones.get(machine_group.zone, 0) + 1
         self.counts[destination] = self.counts.get(destination, 0) + 1
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -46,12 +46,12 @@
     back_until: float = 0.0
 
     @property
-    def place(self) -> MachineGroup:
+    def machine_group(self) -> MachineGroup:
         """What it was rented as."""
         return MachineGroup(self.entry.type, self.entry.zone, self.entry.spot)
 
     @property
-    def spare(self) -> bool:
+    def releasable(self) -> bool:
         """Whether it could be used elsewhere or returned now."""
         return (
             self.status.idle
@@ -74,7 +74,7 @@
 class InstanceRequest(NamedTuple):
     """Machines asked of the cloud, without an answer so far."""
 
-    place: MachineGroup
+    machine_group: MachineGroup
     machines: int
     shard: int
 
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -43,29 +43,29 @@
         total += sum(
             types[p.type].cpus * count for p, count, _ in self.state.pending_requests.values()
         )
-        total += sum(types[d.place.type].cpus * count for d, count in plan.counts.items())
+        total += sum(types[d.machine_group.type].cpus * count for d, count in plan.counts.items())
         reserved_types = self.tracker.reserved_type_names()
-        cover = self.rebalancer.cover(serving)
-        for cpus, spot_only in ((warm.any, False), (warm.cheap, True)):
+        coverage = self.rebalancer.coverage(serving)
+        for cpus, spot_only in ((warm.total_cpus, False), (warm.spot_cpus, True)):
             while total < cpus and not plan.full and not self.fleet_store.full():
-                place = provisioning.choose_machine_group(
+                machine_group = provisioning.choose_machine_group(
                     None, 1, types, plan.zones, backoff, now, spot_only, reserved_types
                 )
-                if place is None:
+                if machine_group is None:
                     break
-                total += types[place.type].cpus
-                number = cover.least()
-                cover.have[number] += types[place.type].cpus
-                plan.add(place, number)
+                total += types[machine_group.type].cpus
+                number = coverage.least()
+                coverage.have[number] += types[machine_group.type].cpus
+                plan.add(machine_group, number)
         for number in self.state.shards:
-            self._keep_ordinary(now, number, serving, reserved_types, plan)
+            self._keep_on_demand(now, number, serving, reserved_types, plan)
 
-    def _keep_ordinary(
+    def _keep_on_demand(
         self,
         now: float,
         number: int,
         serving: list[ManagedMachine],
-        closed: set[str],
+        excluded_types: set[str],
         plan: ScaleOutPlan,
     ) -> None:
         """Plan ordinary room for a shard's urgent work that may use no other.
@@ -74,18 +74,18 @@
         zone has no more.
         """
         need = self.tracker.on_demand_peaks[number].value()
-        zones = self._ordinary_by_zone(number, serving, plan)
+        zones = self._on_demand_by_zone(number, serving, plan)
         while sum(zones.values()) < need and not plan.full and not self.fleet_store.full():
             most = max(sorted(zones), key=lambda zone: zones[zone], default=None)
             found: MachineGroup | None = None
             for within in dict.fromkeys((most, None)):
-                found = found or self._ordinary_place(now, closed, within)
+                found = found or self._choose_on_demand_group(now, excluded_types, within)
             if found is None:
                 break
             zones[found.zone] = zones.get(found.zone, 0.0) + self.state.types[found.type].cpus
             plan.add(found, number)
 
-    def _ordinary_by_zone(
+    def _on_demand_by_zone(
         self, number: int, serving: list[ManagedMachine], plan: ScaleOutPlan
     ) -> dict[str, float]:
         """The ordinary CPUs that a shard has or will have, by zone."""
@@ -94,47 +94,61 @@
             if machine.entry.shard == number and not machine.entry.spot:
                 zone = machine.entry.zone
                 zones[zone] = zones.get(zone, 0.0) + machine.type.cpus
-        for place, count in self._coming(number, plan):
-            if not place.spot:
-                cpus = self.state.types[place.type].cpus * count
-                zones[place.zone] = zones.get(place.zone, 0.0) + cpus
+        for machine_group, count in self._coming(number, plan):
+            if not machine_group.spot:
+                cpus = self.state.types[machine_group.type].cpus * count
+                zones[machine_group.zone] = zones.get(machine_group.zone, 0.0) + cpus
         return zones
 
     def _coming(self, number: int, plan: ScaleOutPlan) -> Iterator[tuple[MachineGroup, int]]:
         """The machines booked or planned for a shard."""
-        for booking in self.state.pending_requests.values():
-            if booking.shard == number:
-                yield booking.place, booking.machines
+        for instance_request in self.state.pending_requests.values():
+            if instance_request.shard == number:
+                yield instance_request.machine_group, instance_request.machines
         for destination, count in plan.counts.items():
             if destination.shard == number:
-                yield destination.place, count
+                yield destination.machine_group, count
 
-    def _ordinary_place(
-        self, now: float, closed: set[str], within: str | None
+    def _choose_on_demand_group(
+        self, now: float, excluded_types: set[str], within: str | None
     ) -> MachineGroup | None:
         """The cheapest place for an ordinary machine, in one zone or in any."""
         state = self.state
         return provisioning.choose_machine_group(
-            None, 1, state.types, {}, state.backoff, now, False, closed, within, on_demand_only=True
+            None,
+            1,
+            state.types,
+            {},
+            state.backoff,
+            now,
+            False,
+            excluded_types,
+            within,
+            on_demand_only=True,
         )
 
     def balance(self, now: float, serving: list[ManagedMachine]) -> None:
         """Move idle machines to the shard whose peak is covered least, before it asks."""
         if len(self.state.shards) == 1:
             return
-        cover = self.rebalancer.cover(serving)
+        coverage = self.rebalancer.coverage(serving)
         reserved_types = self.tracker.reserved_type_names()
         for machine in serving:
-            short, own = cover.least(), machine.entry.shard
-            if cover.of(short) >= 1.0:
+            short, own = coverage.least(), machine.entry.shard
+            if coverage.of(short) >= 1.0:
                 break
-            if not machine.spare or machine.entry.back or own not in cover.have or own == short:
+            if (
+                not machine.releasable
+                or machine.entry.back
+                or own not in coverage.have
+                or own == short
+            ):
                 continue
-            if machine.type.name in reserved_types or not self.rebalancer.may_leave(machine):
+            if machine.type.name in reserved_types or not self.rebalancer.can_release(machine):
                 continue
-            if cover.may_donate(own, short, machine.type.cpus):
-                cover.move(own, short, machine.type.cpus)
-                self.rebalancer.let_go(now, machine, short)
+            if coverage.can_donate(own, short, machine.type.cpus):
+                coverage.move(own, short, machine.type.cpus)
+                self.rebalancer.request_release(now, machine, short)
 
     def return_idle(self, now: float, warm: provisioning.WarmTargets, taken: float) -> None:
         """Ask back the dearest idle machines beyond the warm room."""
@@ -144,13 +158,13 @@
         idle = [
             machine
             for machine in serving
-            if machine.spare
+            if machine.releasable
             and not machine.entry.back
             and now - max(machine.idle_since, machine.up_at) >= idle_s
         ]
         idle.sort(key=lambda m: -hourly_price(m.type, m.entry.spot) / m.type.cpus)
         for machine in idle:
-            kept = warm.cheap if machine.entry.spot else warm.any
-            if total - machine.type.cpus >= kept and self.rebalancer.may_leave(machine):
+            kept = warm.spot_cpus if machine.entry.spot else warm.total_cpus
+            if total - machine.type.cpus >= kept and self.rebalancer.can_release(machine):
                 total -= machine.type.cpus
-                self.rebalancer.let_go(now, machine, None)
+                self.rebalancer.request_release(now, machine, None)
