--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, InstanceRequests
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.protocol.cloud import ListedMachine, MachineList, machines_path
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -4,8 +4,9 @@
 
 from dataclasses import dataclass
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.sliding_maximum import SlidingMaximum
 from copperpass.core.autoscaling.state import ManagerContext, ManagerState
+from copperpass.core.autoscaling.urgency import is_urgent
 from copperpass.core.scheduling.guarantees import assess_guarantees
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
 from copperpass.core.scheduling.reserved_types import ReservedTypes
@@ -14,6 +15,17 @@
 SHARD_WINDOW = 2.4
 
 
+@dataclass(frozen=True, slots=True)
+class WarmTargets:
+    """CPUs to keep up for demand that can't wait for a boot.
+
+    Room on cheap machines is kept for longer than capacity on dear ones.
+    """
+
+    total_cpus: float
+    spot_cpus: float
+
+
 @dataclass(frozen=True, slots=True)
 class Demand:
     """CPUs of all work that isn't done.
@@ -41,16 +53,12 @@
         self.slos = ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
         self.reserved_types = ReservedTypes(context.types, tuning.keep_scarce_s)
         warm_s = tuning.warm_window_boots * state.boot_s
-        self.urgent_peak = provisioning.SlidingMaximum(warm_s)
-        self.urgent_spot_peak = provisioning.SlidingMaximum(
-            tuning.cheap_window_boots * state.boot_s
-        )
+        self.urgent_peak = SlidingMaximum(warm_s)
+        self.urgent_spot_peak = SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
         window = SHARD_WINDOW * tuning.warm_window_boots * state.boot_s
-        self.shard_peaks = {number: provisioning.SlidingMaximum(window) for number in state.shards}
+        self.shard_peaks = {number: SlidingMaximum(window) for number in state.shards}
         # Urgent work that may use ordinary machines only.
-        self.on_demand_peaks = {
-            number: provisioning.SlidingMaximum(warm_s) for number in state.shards
-        }
+        self.on_demand_peaks = {number: SlidingMaximum(warm_s) for number in state.shards}
 
     def measure(self, now: float) -> Demand:
         """Sum up the work that is left; judges on the way which jobs are guaranteed."""
@@ -62,7 +70,7 @@
         assess_guarantees(jobs, {team.name: team.cpus for team in self.cluster.teams})
         self.reserved_types.observe(now, jobs)
         for job in jobs:
-            cannot_wait = provisioning.cannot_wait(job, self.slos, state.boot_s)
+            cannot_wait = is_urgent(job, self.slos, state.boot_s)
             if cannot_wait and job.spec.team in state.shard_of:
                 left = job.spec.tasks - job.done_count - len(job.finished)
                 number = state.shard_of[job.spec.team]
@@ -87,9 +95,9 @@
         """Take a measure into one shard's peak, between plans."""
         self.shard_peaks[number].add(now, demand.urgent[number])
 
-    def warm(self) -> provisioning.WarmTargets:
+    def warm(self) -> WarmTargets:
         """The room to keep up for urgent work."""
-        return provisioning.WarmTargets(self.urgent_peak.value(), self.urgent_spot_peak.value())
+        return WarmTargets(self.urgent_peak.value(), self.urgent_spot_peak.value())
 
     def reserved_type_names(self) -> set[str]:
         """The types that are kept for work that fits no other."""
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import (
     InstanceRequest,
     ManagedMachine,
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
 from copperpass.protocol.frames.messages import (
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, InstanceRequests
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.provisioning import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus, Occupancy
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -4,10 +4,16 @@
 
 from dataclasses import dataclass
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.bin_packing import pack_tasks, with_zone_affinity
 from copperpass.core.autoscaling.demand import DemandTracker
+from copperpass.core.autoscaling.free_capacity import (
+    FreeCapacity,
+    empty_machine_capacity,
+    remaining_capacity,
+)
+from copperpass.core.autoscaling.group_selection import choose_machine_group
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.rebalancing import Rebalancer
+from copperpass.core.autoscaling.rebalancing import CoverageRatio, Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import (
     CapacityRequest,
@@ -32,20 +38,18 @@
     shard: Shard
     serving: list[ManagedMachine]
     # Machines on their way to the shard.
-    capacities: list[provisioning.FreeCapacity]
+    capacities: list[FreeCapacity]
     # Idle machines of other shards, the cheapest first.
     releasable: list[ManagedMachine]
-    coverage: provisioning.CoverageRatio
+    coverage: CoverageRatio
     # About what the shard's own machines have left; None until a gang asks.
-    own_free_capacity: list[provisioning.FreeCapacity] | None = None
+    own_free_capacity: list[FreeCapacity] | None = None
 
-    def own(self) -> list[provisioning.FreeCapacity]:
+    def own(self) -> list[FreeCapacity]:
         """The capacity that is left on the shard's own machines."""
         if self.own_free_capacity is None:
             self.own_free_capacity = [
-                provisioning.remaining_capacity(
-                    machine.type, machine.machine_group, machine.used_cpus
-                )
+                remaining_capacity(machine.type, machine.machine_group, machine.used_cpus)
                 for machine in self.serving
                 if machine.entry.shard == self.shard.number
             ]
@@ -111,13 +115,13 @@
     def _offer(self, shard: Shard, serving: list[ManagedMachine]) -> ShardOffer:
         """Gather what is on its way to a shard and what others could lend."""
         capacities = [
-            provisioning.empty_machine_capacity(self.state.types[machine_group.type], machine_group)
+            empty_machine_capacity(self.state.types[machine_group.type], machine_group)
             for machine_group, count, number in self.state.pending_requests.values()
             if number == shard.number
             for _ in range(count)
         ]
         capacities += [
-            provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            empty_machine_capacity(machine.type, machine.machine_group)
             for machine in serving
             if machine.back_for == shard.number and machine.entry.back
         ]
@@ -136,7 +140,7 @@
         """Start a request's search with the capacity that is on its way."""
         job, count, horizon = request
         zone_affinity = offer.shard.zone_affinities.get(job.spec.id)
-        spec = provisioning.with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
+        spec = with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
         excluded_types = self.reserved_types.reserved_from(spec)
         zone: str | None = None
         capacities = offer.capacities
@@ -146,7 +150,7 @@
             capacities = capacities + offer.own()
             zone = spec.zone or self._gang_zone(now, spec, count, capacities, offer.releasable)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
-        left = provisioning.pack_tasks(capacities, spec, count, horizon, excluded_types)
+        left = pack_tasks(capacities, spec, count, horizon, excluded_types)
         # Work that can wait for longer than a boot asks only for the cheap kind at first.
         # Not for the rest of a gang, for which other machines are kept idle meanwhile.
         long = horizon > self.tuning.patient_boots * self.state.boot_s
@@ -158,15 +162,14 @@
         now: float,
         spec: JobSpec,
         count: int,
-        capacities: list[provisioning.FreeCapacity],
+        capacities: list[FreeCapacity],
         releasable: list[ManagedMachine],
     ) -> str | None:
         """The zone where most of a gang's tasks fit already and the rest can be provisioned."""
         state = self.state
         slots: dict[str, int] = {}
         offers = capacities + [
-            provisioning.empty_machine_capacity(machine.type, machine.machine_group)
-            for machine in releasable
+            empty_machine_capacity(machine.type, machine.machine_group) for machine in releasable
         ]
         for capacity in offers:
             slots[capacity.zone] = slots.get(capacity.zone, 0) + capacity.slots(
@@ -175,7 +178,7 @@
         for zone in sorted(slots, key=lambda z: (-slots[z], z)):
             if slots[zone] > 0 and (
                 slots[zone] >= count
-                or provisioning.choose_machine_group(
+                or choose_machine_group(
                     spec, 1, state.types, {}, state.backoff, now, False, set(), zone
                 )
             ):
@@ -200,7 +203,7 @@
                 continue
             if not offer.coverage.can_donate(donor, number, machine.type.cpus):
                 continue
-            capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            capacity = empty_machine_capacity(machine.type, machine.machine_group)
             taken = capacity.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
@@ -213,7 +216,7 @@
         """Plan new machines for what is left."""
         state, spec = self.state, search.spec
         while search.left > 0 and not plan.full and not self.fleet_store.full():
-            machine_group = provisioning.choose_machine_group(
+            machine_group = choose_machine_group(
                 spec,
                 search.left,
                 state.types,
@@ -228,9 +231,7 @@
                 break
             if spec.gang and spec.one_zone:
                 search.zone = machine_group.zone
-            capacity = provisioning.empty_machine_capacity(
-                state.types[machine_group.type], machine_group
-            )
+            capacity = empty_machine_capacity(state.types[machine_group.type], machine_group)
             taken = capacity.take(spec, search.left, search.horizon)
             if taken <= 0:
                 break
@@ -252,7 +253,7 @@
                 continue
             if not self.rebalancer.can_release(machine):
                 continue
-            capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+            capacity = empty_machine_capacity(machine.type, machine.machine_group)
             taken = capacity.take(search.spec, search.left, search.horizon)
             if taken > 0:
                 search.left -= taken
@@ -272,7 +273,7 @@
                 used = machine.used_cpus
                 if other is offer.shard or left <= 0 or beyond < used or machine.entry.back:
                     break
-                capacity = provisioning.empty_machine_capacity(machine.type, machine.machine_group)
+                capacity = empty_machine_capacity(machine.type, machine.machine_group)
                 taken = capacity.take(spec, left, 0.0)
                 if taken > 0 and machine.type.name not in self.reserved_types.reserved_from(spec):
                     left -= taken
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling import provisioning
 from copperpass.core.autoscaling.allocation_plan import allocate, fullness, remaining_by_team
-from copperpass.core.autoscaling.demand import Demand, DemandTracker
+from copperpass.core.autoscaling.demand import Demand, DemandTracker, WarmTargets
 from copperpass.core.autoscaling.instance_requests import InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.placement_plan import PlacementPlanner
@@ -115,7 +114,7 @@
         now: float,
         order: list[Shard],
         serving: list[ManagedMachine],
-        warm: provisioning.WarmTargets,
+        warm: WarmTargets,
         taken: float,
     ) -> None:
         """Serve the shards in their order, keep warm room, rent what was planned."""
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -2,12 +2,38 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling import provisioning
+from dataclasses import dataclass
+
 from copperpass.core.autoscaling.demand import DemandTracker
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerState
 
 
+@dataclass(slots=True)
+class CoverageRatio:
+    """How far the CPUs that shards have cover what they need at their peaks."""
+
+    have: dict[int, float]
+    need: dict[int, float]
+
+    def of(self, number: int, more: float = 0.0) -> float:
+        """A shard's cover with some CPUs more."""
+        return (self.have[number] + more) / max(self.need[number], 1e-3)
+
+    def least(self) -> int:
+        """The shard that is covered least."""
+        return min(self.have, key=lambda n: (self.of(n), n))
+
+    def can_donate(self, donor: int, recipient: int, cpus: float) -> bool:
+        """Whether the lender stays covered at least as far as the borrower was."""
+        return self.of(donor, -cpus) >= self.of(recipient)
+
+    def move(self, donor: int, recipient: int, cpus: float) -> None:
+        """Note that CPUs pass from one to the other."""
+        self.have[donor] -= cpus
+        self.have[recipient] += cpus
+
+
 class Rebalancer:
     """Moves machines between shards, and returns them, without leaving a shard short.
 
@@ -44,7 +70,7 @@
             self.on_demand_cpus[number] -= machine.type.cpus
         self.records.ask_back(now, machine, shard)
 
-    def coverage(self, serving: list[ManagedMachine]) -> provisioning.CoverageRatio:
+    def coverage(self, serving: list[ManagedMachine]) -> CoverageRatio:
         """How far each shard's machines, with those on their way, cover its urgent peak."""
         state = self.state
         have = dict.fromkeys(state.shards, 0.0)
@@ -59,4 +85,4 @@
         need = {
             number: urgent_peak.value() for number, urgent_peak in self.tracker.shard_peaks.items()
         }
-        return provisioning.CoverageRatio(have, need)
+        return CoverageRatio(have, need)
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine
 
 # The most machines that one call to the cloud may rent, by the protocol.
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from copperpass.core.autoscaling import provisioning
-from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.backoff import CapacityBackoff
+from copperpass.core.autoscaling.machine_groups import MachineGroup, longest_boot
 from copperpass.core.election.leader_election import (
     GRANT_TTL_RATIO,
     LeaderElection,
@@ -155,7 +155,7 @@
         self.grant_s = GRANT_TTL_RATIO * context.election.leader_ttl_s
         self.report_s = context.cluster.workers.report_s
         self.lease_s = worker_lease_expiry_s(context.cluster)
-        self.boot_s = provisioning.longest_boot(context.types)
+        self.boot_s = longest_boot(context.types)
         self.table: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
         # When each deleted machine was confirmed as gone.
@@ -169,7 +169,7 @@
         for team, number in context.shards.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
         self.pending_requests: dict[str, InstanceRequest] = {}
-        self.backoff = provisioning.CapacityBackoff()
+        self.backoff = CapacityBackoff()
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
         self.on_demand_excess = True
         state = context.cluster.state
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterator
 
-from copperpass.core.autoscaling import provisioning
-from copperpass.core.autoscaling.demand import DemandTracker
-from copperpass.core.autoscaling.provisioning import MachineGroup
+from copperpass.core.autoscaling.demand import DemandTracker, WarmTargets
+from copperpass.core.autoscaling.group_selection import choose_machine_group
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.rebalancing import Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
@@ -32,7 +32,7 @@
     def keep(
         self,
         now: float,
-        warm: provisioning.WarmTargets,
+        warm: WarmTargets,
         serving: list[ManagedMachine],
         taken: float,
         plan: ScaleOutPlan,
@@ -48,7 +48,7 @@
         coverage = self.rebalancer.coverage(serving)
         for cpus, spot_only in ((warm.total_cpus, False), (warm.spot_cpus, True)):
             while total < cpus and not plan.full and not self.fleet_store.full():
-                machine_group = provisioning.choose_machine_group(
+                machine_group = choose_machine_group(
                     None, 1, types, plan.zones, backoff, now, spot_only, reserved_types
                 )
                 if machine_group is None:
@@ -114,7 +114,7 @@
     ) -> MachineGroup | None:
         """The cheapest place for an ordinary machine, in one zone or in any."""
         state = self.state
-        return provisioning.choose_machine_group(
+        return choose_machine_group(
             None,
             1,
             state.types,
@@ -150,7 +150,7 @@
                 coverage.move(own, short, machine.type.cpus)
                 self.rebalancer.request_release(now, machine, short)
 
-    def return_idle(self, now: float, warm: provisioning.WarmTargets, taken: float) -> None:
+    def return_idle(self, now: float, warm: WarmTargets, taken: float) -> None:
         """Ask back the dearest idle machines beyond the warm room."""
         serving = self.state.serving()
         total = sum(machine.type.cpus for machine in serving) - taken
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -8,7 +8,7 @@
 
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
-from copperpass.core.autoscaling.provisioning import longest_boot
+from copperpass.core.autoscaling.machine_groups import longest_boot
 from copperpass.core.election.leader_election import (
     GRANT_TTL_RATIO,
     LeaderElection,
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.machine_groups import longest_boot
 from copperpass.core.election.leader_election import (
     GRANT_TTL_RATIO,
     election_timings,
@@ -94,7 +94,7 @@
             else 0.0,
             silence_s=silence_s,
             lost_s=max(1.5 * silence_s, rerouted_s),
-            boot_s=provisioning.longest_boot(context.types),
+            boot_s=longest_boot(context.types),
             gang_notice_s=workers.gang_notice_s,
             gang_wait_s=workers.gang_wait_s or 2 * workers.lease_s,
         )
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.bin_packing import (
+    pack_gang,
+    pack_tasks,
+    with_zone_affinity,
+    without_exhausted,
+)
+from copperpass.core.autoscaling.free_capacity import free_capacities
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling import allocation
 from copperpass.core.scheduling.bin_packing.feasibility import (
@@ -41,7 +47,7 @@
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
         if not waiting:
             return []
-        rooms = provisioning.free_capacities(self.machines.values(), now, timing.silence_s)
+        rooms = free_capacities(self.machines.values(), now, timing.silence_s)
         unreported_kinds = self.unreported_kinds()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
@@ -59,16 +65,16 @@
                 # The rest of a gang waits for it: what they take isn't free before.
                 horizon = 0.0
             where = (self.machines[m].zone for m in job.placed.values() if m in self.machines)
-            spec = provisioning.with_zone_affinity(job.spec, where)
+            spec = with_zone_affinity(job.spec, where)
             if spec.one_zone and spec.zone is not None:
                 self.zone_affinities[spec.id] = spec.zone
-            fill = provisioning.pack_gang if spec.gang else provisioning.pack_tasks
+            fill = pack_gang if spec.gang else pack_tasks
             closed = self.reservations.reserved_types.reserved_from(spec)
             left = fill(rooms, spec, count, horizon, closed)
             if left > 0:
                 unmet.append(PendingTasks(spec.id, left, horizon))
                 # Without it each job that waits would look at each full machine.
-                rooms = provisioning.without_exhausted(rooms, least_cpus)
+                rooms = without_exhausted(rooms, least_cpus)
         return unmet
 
     def _count_under_limit(self, job: Job, taken: dict[str, float]) -> int | None:
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.sliding_maximum import SlidingMaximum
+from copperpass.core.autoscaling.urgency import needs_on_demand
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy
 from copperpass.core.scheduling.context import SchedulerContext
@@ -22,9 +23,7 @@
         self.reserved_types = ReservedTypes(context.types, self.tuning.keep_scarce_s)
         # Ordinary machines that are kept for work that may use no other.
         self.reserved_machines: frozenset[str] = frozenset()
-        self.on_demand_peak = provisioning.SlidingMaximum(
-            self.tuning.warm_window_boots * state.timing.boot_s
-        )
+        self.on_demand_peak = SlidingMaximum(self.tuning.warm_window_boots * state.timing.boot_s)
 
     def is_starving(self, job: Job, now: float) -> bool:
         """Whether none of a job's tasks has had a place for so long that nothing is kept from it.
@@ -59,7 +58,7 @@
             sum(
                 job.spec.cpus * (job.spec.tasks - job.done_count)
                 for job in jobs
-                if provisioning.needs_on_demand(job, slos, boot_s)
+                if needs_on_demand(job, slos, boot_s)
             ),
         )
         need = self.on_demand_peak.value()
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -178,7 +178,7 @@
 
 
 def test_the_zone_that_a_job_is_tied_to_gets_the_machines():
-    # Guards `provisioning.with_zone_affinity`. Provisioned elsewhere, machines were of no use: they
+    # Guards `with_zone_affinity`. Provisioned elsewhere, machines were of no use: they
     # idled, were returned, and were requested again.
     simulation = Simulation(seed=2)
     simulation.cloud.capacity = {(z, s): 6 for z in "abc" for s in (True, False)}
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from copperpass.core.autoscaling import provisioning
+from copperpass.core.autoscaling.bin_packing import pack_tasks, without_exhausted
+from copperpass.core.autoscaling.free_capacity import FreeCapacity
 from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, max_machines_per_plan
 from copperpass.core.node.node import shards_of
 from copperpass.core.ports import Outbox
@@ -138,7 +139,7 @@
     kind = machine_types(TYPE)["box"]
     looks = []
 
-    class Counted(provisioning.FreeCapacity):
+    class Counted(FreeCapacity):
         def take(self, spec, count, horizon):
             looks.append(spec.id)
             return super().take(spec, count, horizon)
@@ -146,8 +147,8 @@
     rooms = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
     waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
-        assert provisioning.pack_tasks(rooms, each.spec, 2, 0.0, set()) == 2
-        rooms = provisioning.without_exhausted(rooms, least_cpus=4.0)
+        assert pack_tasks(rooms, each.spec, 2, 0.0, set()) == 2
+        rooms = without_exhausted(rooms, least_cpus=4.0)
     assert looks == ["req-000001"] * machines, "only the first job looks at all of them"
 
 
