--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -10,66 +10,72 @@
 from copperpass.core.scheduling import allocation
 from copperpass.settings import Cluster
 
-LEAST_WEIGHT = 1e-3
+# The least weight of a team in the allocation.
+MIN_WEIGHT = 1e-3
 
 
 @dataclass(slots=True)
-class Remaining:
-    """What is left to do of a team: tasks, their CPUs, their GPUs or memory."""
+class RemainingWork:
+    """What a team has left to do: tasks, their CPUs, and the other resource of the allocation.
+
+    That is GPUs where the deployment has them, else memory in GB.
+    """
 
     tasks: float = 0.0
     cpus: float = 0.0
-    second: float = 0.0
+    second_resource: float = 0.0
 
 
-def remaining_by_team(cluster: Cluster, jobs: Iterable[Job]) -> dict[str, Remaining]:
-    """Sum up what is left of each team that has jobs."""
-    teams: dict[str, Remaining] = {}
+def remaining_by_team(cluster: Cluster, jobs: Iterable[Job]) -> dict[str, RemainingWork]:
+    """The remaining work of each team that has jobs."""
+    teams: dict[str, RemainingWork] = {}
     gpus_matter = cluster.gpus_matter
     for job in jobs:
-        left = job.spec.tasks - job.done_count
-        second = job.spec.gpus if gpus_matter else job.spec.memory_gb
-        remaining = teams.setdefault(job.spec.team, Remaining())
-        remaining.tasks += left
-        remaining.cpus += left * job.spec.cpus
-        remaining.second += left * second
+        spec = job.spec
+        tasks = spec.tasks - job.done_count
+        remaining = teams.setdefault(spec.team, RemainingWork())
+        remaining.tasks += tasks
+        remaining.cpus += tasks * spec.cpus
+        remaining.second_resource += tasks * (spec.gpus if gpus_matter else spec.memory_gb)
     return teams
 
 
 def allocate(
-    cluster: Cluster, serving: list[ManagedMachine], remaining: dict[str, Remaining]
+    cluster: Cluster, serving: list[ManagedMachine], remaining: dict[str, RemainingWork]
 ) -> allocation.Allocation:
-    """Bottleneck-aware allocation of all machines among the teams that ask."""
+    """Bottleneck-aware allocation of all machines among the teams that have work left."""
     gpus_matter = cluster.gpus_matter
     claims = []
     for team in cluster.teams:
-        left = remaining.get(team.name)
-        if left is None or left.tasks <= 0:
+        work = remaining.get(team.name)
+        if work is None or work.tasks <= 0:
             continue
-        tasks, cpus = left.tasks, left.cpus
-        cap = min(tasks, team.cpus_limit * tasks / cpus) if cpus > 0 else tasks
+        tasks, cpus = work.tasks, work.cpus
+        max_tasks = min(tasks, team.cpus_limit * tasks / cpus) if cpus > 0 else tasks
         weight = team.gpus if gpus_matter and team.gpus > 0 else team.cpus
-        request = (cpus / tasks, left.second / tasks)
-        claims.append(allocation.Claim(team.name, request, max(weight, LEAST_WEIGHT), cap))
-    return allocation.allocate(
-        claims,
-        (
-            sum(machine.type.cpus for machine in serving),
-            sum(m.type.gpus if gpus_matter else m.type.memory_gb for m in serving),
-        ),
+        per_task = (cpus / tasks, work.second_resource / tasks)
+        claims.append(allocation.Claim(team.name, per_task, max(weight, MIN_WEIGHT), max_tasks))
+    capacity = (
+        sum(machine.type.cpus for machine in serving),
+        sum(m.type.gpus if gpus_matter else m.type.memory_gb for m in serving),
     )
+    return allocation.allocate(claims, capacity)
 
 
 def fullness(
     shard: Shard,
     serving: list[ManagedMachine],
-    remaining: dict[str, Remaining],
+    remaining: dict[str, RemainingWork],
     allocated: allocation.Allocation,
 ) -> float:
-    """A shard's machines as a part of its allocation: the furthest below comes first."""
-    have = sum(machine.type.cpus for machine in serving if machine.entry.shard == shard.number)
-    mine = [remaining[team] for team in shard.teams if team in remaining]
-    left, cpus = sum(team.tasks for team in mine), sum(team.cpus for team in mine)
-    share = sum(allocated.tasks.get(team, 0.0) for team in shard.teams)
-    target = cpus * share / left if left > 0 else 0.0
-    return have / target if target > 0 else float("inf")
+    """A shard's CPUs as a part of its allocation; infinite without one.
+
+    The shard with the lowest is served first: it is the furthest below its allocation.
+    """
+    cpus = sum(machine.type.cpus for machine in serving if machine.entry.shard == shard.number)
+    work = [remaining[team] for team in shard.teams if team in remaining]
+    tasks_left = sum(team.tasks for team in work)
+    cpus_left = sum(team.cpus for team in work)
+    allocated_tasks = sum(allocated.tasks.get(team, 0.0) for team in shard.teams)
+    target_cpus = cpus_left * allocated_tasks / tasks_left if tasks_left > 0 else 0.0
+    return cpus / target_cpus if target_cpus > 0 else float("inf")
--- a/src/copperpass/core/autoscaling/bin_packing.py
+++ b/src/copperpass/core/autoscaling/bin_packing.py
@@ -1,21 +1,29 @@
-"""Bin packing of pending tasks into free capacity, to find what is left unplaced."""
+"""Bin packing of pending tasks into free capacity, to find how many tasks no machine can take."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
-from copperpass.core.autoscaling.free_capacity import FreeCapacity
+from copperpass.core.autoscaling.free_capacity import EPSILON, FreeCapacity
 from copperpass.core.scheduling.bin_packing.feasibility import satisfies_constraints
 from copperpass.protocol.users import JobSpec
 
 
+class Packing(NamedTuple):
+    """Tasks of a gang that could be packed into one machine's free capacity."""
+
+    capacity: FreeCapacity
+    tasks: int
+
+
 def with_zone_affinity(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
-    """A job as it may still be placed: in one zone for all, where its other tasks are.
+    """A job's shape as it can still be placed: all in one zone, where its other tasks are.
 
-    Counted or provisioned elsewhere, capacity is of no use to it: machines came up, idled and were
-    returned.
+    Capacity that is counted or provisioned in another zone is of no use to it: machines booted,
+    idled and were returned.
     """
     if not spec.one_zone or spec.zone is not None:
         return spec
@@ -30,12 +38,12 @@
     horizon: float,
     excluded_types: set[str],
 ) -> int:
-    """Give capacity to tasks that may start within the horizon; returns how many are left."""
+    """First-fit packing of tasks that may start within the horizon; returns how many are left."""
     for capacity in capacities:
         if count <= 0:
             break
-        if capacity.type.name not in excluded_types:
-            count -= capacity.take(spec, count, horizon)
+        if capacity.machine_type.name not in excluded_types:
+            count -= capacity.reserve(spec, count, horizon)
     return count
 
 
@@ -46,31 +54,45 @@
     horizon: float,
     excluded_types: set[str],
 ) -> int:
-    """Give capacity to a gang's tasks, to all of them or to none; returns how many are left."""
+    """Pack all tasks of a gang or none of them; returns how many are left.
+
+    A gang of one zone takes the first zone, by name, that can hold it.
+    """
     zones: dict[str, list[FreeCapacity]] = {}
     for capacity in capacities:
-        if capacity.type.name not in excluded_types and satisfies_constraints(
-            spec, capacity.type, capacity.zone, capacity.spot
-        ):
+        machine_type = capacity.machine_type
+        if machine_type.name in excluded_types:
+            continue
+        if satisfies_constraints(spec, machine_type, capacity.zone, capacity.spot):
             zones.setdefault(capacity.zone if spec.one_zone else "", []).append(capacity)
-    most = (spec.tasks + 1) // 2 if spec.spread else count
     for zone in sorted(zones):
-        offers: list[tuple[FreeCapacity, int]] = []
-        taken: dict[str, int] = {}
-        left = count
-        for capacity in zones[zone]:
-            slots = min(capacity.slots(spec, left, horizon), most - taken.get(capacity.zone, 0))
-            if slots > 0:
-                offers.append((capacity, slots))
-                taken[capacity.zone] = taken.get(capacity.zone, 0) + slots
-                left -= slots
-        if left <= 0:
-            for capacity, slots in offers:
-                capacity.take(spec, slots, horizon)
+        packings = _gang_packings(zones[zone], spec, count, horizon)
+        if packings is not None:
+            for packing in packings:
+                packing.capacity.reserve(spec, packing.tasks, horizon)
             return 0
     return count
 
 
-def without_exhausted(capacities: list[FreeCapacity], least_cpus: float) -> list[FreeCapacity]:
-    """The capacities in which the smallest task that waits may still find a place at some time."""
-    return [capacity for capacity in capacities if capacity.most + 1e-6 >= least_cpus]
+def _gang_packings(
+    capacities: list[FreeCapacity], spec: JobSpec, count: int, horizon: float
+) -> list[Packing] | None:
+    """Where all tasks of a gang fit; None if they don't. Changes nothing."""
+    # A gang that is to be spread has at most half of its tasks in a zone.
+    max_per_zone = (spec.tasks + 1) // 2 if spec.spread else count
+    packings: list[Packing] = []
+    packed_by_zone: dict[str, int] = {}
+    left = count
+    for capacity in capacities:
+        packed = packed_by_zone.get(capacity.zone, 0)
+        tasks = min(capacity.feasible_tasks(spec, left, horizon), max_per_zone - packed)
+        if tasks > 0:
+            packings.append(Packing(capacity, tasks))
+            packed_by_zone[capacity.zone] = packed + tasks
+            left -= tasks
+    return packings if left <= 0 else None
+
+
+def without_exhausted(capacities: list[FreeCapacity], smallest_cpus: float) -> list[FreeCapacity]:
+    """The machines that the smallest pending task may still fit at some time."""
+    return [capacity for capacity in capacities if capacity.max_cpus + EPSILON >= smallest_cpus]
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines: what the records lack, addresses, machines that have failed."""
+"""The cloud's list of machines: machines that the records lack, addresses, and failures."""
 
 from __future__ import annotations
 
@@ -24,36 +24,39 @@
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
         self.out, self.cloud = context.out, context.cluster.cloud
-        self.next_list = state.won_at
-        self.listing = False
+        self.next_reading_at = state.won_at
+        self.reading = False
 
     def tick(self, now: float) -> None:
         """Start a reading when one is due."""
-        if now < self.next_list or self.listing or not self.instance_requests.calls.take(now, 1.0):
+        if now < self.next_reading_at or self.reading:
             return
-        self.listing = True
-        self.next_list = now + max(self.cloud.list_lag_s / 2, 4 / self.cloud.rps)
-        self._read_page(now, "")
+        if not self.instance_requests.call_budget.take(now, 1.0):
+            return
+        self.reading = True
+        self.next_reading_at = now + max(self.cloud.list_lag_s / 2, 4 / self.cloud.rps)
+        self._read_page("")
 
-    def _read_page(self, now: float, after: str) -> None:
-        """Ask for the machines whose names come after one."""
+    def _read_page(self, after: str) -> None:
+        """Request the machines whose names come after one."""
 
-        def then(n: float, outcome: CallOutcome) -> None:
+        def on_done(done_at: float, outcome: CallOutcome) -> None:
             page = decode(outcome.body, MachineList) if outcome.status == 200 else None
             if page is None or not self.state.ready:
-                self.listing = False
+                self.reading = False
                 return
             for item in page.machines:
-                self._listed(n, item)
+                self._on_listed(done_at, item)
             if page.more and page.machines:
-                self._read_page(n, page.machines[-1].id)
+                self._read_page(page.machines[-1].id)
                 return
-            self.listing = False
+            self.reading = False
 
-        self.out.calls.append(Call("cloud", "GET", machines_path(after), then, b"", CALL_TIMEOUT_S))
+        call = Call("cloud", "GET", machines_path(after), on_done, b"", CALL_TIMEOUT_S)
+        self.out.calls.append(call)
 
-    def _listed(self, now: float, item: ListedMachine) -> None:
-        """Take in what the list says of a machine."""
+    def _on_listed(self, now: float, item: ListedMachine) -> None:
+        """Record what the list says of a machine."""
         state, records = self.state, self.records
         if item.id in state.gone or item.type not in state.types:
             return
--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -1,4 +1,4 @@
-"""What machines can offer to tasks that wait: now, and within a horizon."""
+"""Free capacity: what machines can offer to pending tasks, now and within a horizon."""
 
 from __future__ import annotations
 
@@ -13,101 +13,103 @@
 from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
 
+# Sums of floats that should be equal differ by less.
+EPSILON = 1e-6
+
+# What a running task will release: seconds until then, CPUs, GPUs, memory in GB. A plain tuple,
+# since one is made for every running task whenever a scheduler measures its unmet demand.
+ExpectedRelease = tuple[float, float, float, float]
+
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """What a machine offers to tasks that wait, now or within their horizon."""
+    """What one machine offers to pending tasks; decreases as tasks are packed into it."""
 
-    type: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
     cpus: float
     gpus: float
-    memory: float
-    frees: list[tuple[float, float, float, float]]
-    # The CPUs that it has once all that runs there has ended.
-    most: float = 0.0
+    memory_gb: float
+    expected_releases: list[ExpectedRelease]
+    # The CPUs that are free once all that runs on the machine has completed.
+    max_cpus: float = 0.0
 
     def __post_init__(self) -> None:
-        self.most = self.cpus + sum(free[1] for free in self.frees)
+        self.max_cpus = self.cpus + sum(release[1] for release in self.expected_releases)
 
-    def slots(self, spec: JobSpec, count: int, horizon: float) -> int:
-        """For how many tasks, up to `count`, that may start within the horizon, it has capacity."""
-        if count <= 0 or spec.cpus > self.most + 1e-6:
+    def feasible_tasks(self, spec: JobSpec, limit: int, horizon: float) -> int:
+        """How many tasks, up to `limit`, fit here if they may start within `horizon` seconds."""
+        if limit <= 0 or spec.cpus > self.max_cpus + EPSILON:
             return 0
-        if not satisfies_constraints(spec, self.type, self.zone, self.spot):
+        if not satisfies_constraints(spec, self.machine_type, self.zone, self.spot):
             return 0
-        cpus, gpus, memory = self.cpus, self.gpus, self.memory
-        for at, c, g, m in self.frees:
-            if at <= horizon:
-                cpus, gpus, memory = cpus + c, gpus + g, memory + m
-        slots = count
-        for need, have in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory)):
+        cpus, gpus, memory_gb = self.cpus, self.gpus, self.memory_gb
+        for seconds, released_cpus, released_gpus, released_memory_gb in self.expected_releases:
+            if seconds <= horizon:
+                cpus += released_cpus
+                gpus += released_gpus
+                memory_gb += released_memory_gb
+        tasks = limit
+        for need, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
             if need > 0:
-                slots = min(slots, int((have + 1e-6) / need))
-        return max(0, slots)
+                tasks = min(tasks, int((free + EPSILON) / need))
+        return max(0, tasks)
 
-    def take(self, spec: JobSpec, count: int, horizon: float) -> int:
-        """Give capacity to up to `count` tasks that may start within the horizon."""
-        slots = self.slots(spec, count, horizon)
-        if slots <= 0:
+    def reserve(self, spec: JobSpec, limit: int, horizon: float) -> int:
+        """Pack up to `limit` tasks that may start within the horizon; returns how many fit."""
+        tasks = self.feasible_tasks(spec, limit, horizon)
+        if tasks <= 0:
             return 0
-        self.cpus -= slots * spec.cpus
-        self.most -= slots * spec.cpus
-        self.gpus -= slots * spec.gpus
-        self.memory -= slots * spec.memory_gb
-        return slots
+        self.cpus -= tasks * spec.cpus
+        self.max_cpus -= tasks * spec.cpus
+        self.gpus -= tasks * spec.gpus
+        self.memory_gb -= tasks * spec.memory_gb
+        return tasks
 
 
-def free_capacities(machines: Iterable[Machine], now: float, silence: float) -> list[FreeCapacity]:
-    """What the machines that serve, or will soon, have to offer."""
+def free_capacities(
+    machines: Iterable[Machine], now: float, heartbeat_timeout_s: float
+) -> list[FreeCapacity]:
+    """The free capacity of all machines that serve, or soon will."""
     capacities = []
-    for m in machines:
-        if (
-            m.deletion_requested
-            or m.failed
-            or m.quarantined
-            or m.draining
-            or m.notice_until is not None
-        ):
+    for machine in machines:
+        if machine.deletion_requested or machine.failed or machine.quarantined:
+            continue
+        if machine.draining or machine.notice_until is not None:
             continue
-        if m.up and (now - m.last_heartbeat_at > silence or m.unreachable_since is not None):
+        unresponsive = now - machine.last_heartbeat_at > heartbeat_timeout_s
+        if machine.up and (unresponsive or machine.unreachable_since is not None):
             continue
-        cpus, gpus, memory = m.free_capacity()
-        frees = [
-            # A gang's task that waits for the others ends after them, not by itself.
-            (remaining_s(p, now), p.cpus, p.gpus, p.memory_gb)
-            for p in m.tasks.values()
-            if p.active and p.state != TaskState.GATHERING
+        cpus, gpus, memory_gb = machine.free_capacity()
+        expected_releases = [
+            (remaining_s(task, now), task.cpus, task.gpus, task.memory_gb)
+            for task in machine.tasks.values()
+            # A gang's task that waits for the others completes after them, not by itself.
+            if task.active and task.state != TaskState.GATHERING
         ]
-        capacities.append(FreeCapacity(m.type, m.zone, m.spot, cpus, gpus, memory, frees))
+        capacities.append(
+            FreeCapacity(
+                machine.type, machine.zone, machine.spot, cpus, gpus, memory_gb, expected_releases
+            )
+        )
     return capacities
 
 
-def remaining_capacity(
-    machine_type: MachineType, machine_group: MachineGroup, used_cpus: float
+def unused_capacity(
+    machine_type: MachineType, machine_group: MachineGroup, used_cpus: float = 0.0
 ) -> FreeCapacity:
-    """About what a machine offers beside what runs there; its memory is taken to be as full."""
-    part = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
-    return FreeCapacity(
-        machine_type,
-        machine_group.zone,
-        machine_group.spot,
-        machine_type.cpus - used_cpus,
-        machine_type.gpus * part,
-        machine_type.memory_gb * part,
-        [],
-    )
-
+    """About what a machine offers beside the CPUs in use; the whole machine if there are none.
 
-def empty_machine_capacity(machine_type: MachineType, machine_group: MachineGroup) -> FreeCapacity:
-    """What an empty machine offers."""
+    Its GPUs and its memory are taken to be in use to the same part as its CPUs.
+    """
+    unused = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
     return FreeCapacity(
         machine_type,
         machine_group.zone,
         machine_group.spot,
-        machine_type.cpus,
-        machine_type.gpus,
-        machine_type.memory_gb,
+        machine_type.cpus - used_cpus,
+        machine_type.gpus * unused,
+        machine_type.memory_gb * unused,
         [],
     )
--- a/src/copperpass/core/autoscaling/group_selection.py
+++ b/src/copperpass/core/autoscaling/group_selection.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
+import enum
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass, field
+
 from copperpass.core.autoscaling.backoff import CapacityBackoff
+from copperpass.core.autoscaling.free_capacity import EPSILON
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.scheduling.bin_packing.feasibility import (
     feasible_on_type,
@@ -13,58 +18,88 @@
 from copperpass.protocol.users import JobSpec
 
 
-def slots_on_new(machine_type: MachineType, spec: JobSpec, count: int) -> int:
-    """For how many of a job's tasks, up to `count`, an empty machine of a type has capacity."""
-    per = [
-        have / need
-        for need, have in (
-            (spec.cpus, machine_type.cpus),
-            (spec.gpus, machine_type.gpus),
-            (spec.memory_gb, machine_type.memory_gb),
-        )
-        if need > 0
-    ]
-    return min(count, int(min(per) + 1e-6)) if per else count
+class PurchaseOption(enum.Enum):
+    """Which machines may be chosen: spot, on-demand or both."""
+
+    ANY = (True, False)
+    SPOT = (True,)
+    ON_DEMAND = (False,)
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class GroupQuery:
+    """What a machine group is wanted for.
+
+    Without a `spec` it is for capacity as such, whose price counts per CPU.
+    """
+
+    spec: JobSpec | None = None
+    # How many tasks of the shape wait.
+    tasks: int = 1
+    purchase_option: PurchaseOption = PurchaseOption.ANY
+    excluded_types: set[str] = field(default_factory=set)
+    # The only zone allowed, if there is one.
+    zone: str | None = None
+    # The machines that there are by zone: of equal prices the emptiest zone is chosen.
+    machines_by_zone: Mapping[str, int] = field(default_factory=dict)
 
 
 def choose_machine_group(
-    spec: JobSpec | None,
-    count: int,
-    types: dict[str, MachineType],
-    zones: dict[str, int],
-    backoff: CapacityBackoff,
-    now: float,
-    spot_only: bool,
-    excluded_types: set[str],
-    within: str | None = None,
-    on_demand_only: bool = False,
+    types: dict[str, MachineType], backoff: CapacityBackoff, now: float, query: GroupQuery
 ) -> MachineGroup | None:
-    """The cheapest place for tasks of a shape, spread over zones; or `within` one of them.
+    """The cheapest feasible group, spread over zones; None if there is none now.
 
-    The price counts per task that finds capacity there; without a shape, per CPU.
+    The price counts per task that fits an empty machine of the group. Of equal scores the first is
+    taken, in the order of the cloud's offer, spot before on-demand.
     """
     best: MachineGroup | None = None
     best_score: tuple[float, int, str] | None = None
     for machine_type in types.values():
-        if machine_type.name in excluded_types or (
-            spec is not None and not feasible_on_type(spec, machine_type)
-        ):
+        if not _feasible_type(machine_type, query):
             continue
-        slots = machine_type.cpus if spec is None else slots_on_new(machine_type, spec, count)
-        for spot in (True, False):
-            unoffered = spot and machine_type.spot_price is None
-            if unoffered or (spot_only and not spot) or (on_demand_only and spot):
+        units = max(_units_per_machine(machine_type, query), EPSILON)
+        for group in _groups_of_type(machine_type, query):
+            if not backoff.allows(group, now):
                 continue
-            price = hourly_price(machine_type, spot)
-            for zone in machine_type.zones:
-                if within is not None and zone != within:
-                    continue
-                if spec is not None and not satisfies_constraints(spec, machine_type, zone, spot):
-                    continue
-                machine_group = MachineGroup(machine_type.name, zone, spot)
-                if not backoff.open(machine_group, now):
-                    continue
-                score = (price / max(slots, 1e-6), zones.get(zone, 0), zone)
-                if best_score is None or score < best_score:
-                    best, best_score = machine_group, score
+            price = hourly_price(machine_type, group.spot)
+            score = (price / units, query.machines_by_zone.get(group.zone, 0), group.zone)
+            if best_score is None or score < best_score:
+                best, best_score = group, score
     return best
+
+
+def _feasible_type(machine_type: MachineType, query: GroupQuery) -> bool:
+    """Whether machines of a type may be chosen and can hold a task."""
+    if machine_type.name in query.excluded_types:
+        return False
+    return query.spec is None or feasible_on_type(query.spec, machine_type)
+
+
+def _units_per_machine(machine_type: MachineType, query: GroupQuery) -> float:
+    """For how many tasks that wait an empty machine has capacity; its CPUs without a shape."""
+    spec = query.spec
+    if spec is None:
+        return machine_type.cpus
+    ratios = [
+        have / need
+        for need, have in (
+            (spec.cpus, machine_type.cpus),
+            (spec.gpus, machine_type.gpus),
+            (spec.memory_gb, machine_type.memory_gb),
+        )
+        if need > 0
+    ]
+    return min(query.tasks, int(min(ratios) + EPSILON)) if ratios else query.tasks
+
+
+def _groups_of_type(machine_type: MachineType, query: GroupQuery) -> Iterator[MachineGroup]:
+    """The groups of a type that the query allows."""
+    spec = query.spec
+    for spot in query.purchase_option.value:
+        if spot and machine_type.spot_price is None:
+            continue
+        for zone in machine_type.zones:
+            if query.zone is not None and zone != query.zone:
+                continue
+            if spec is None or satisfies_constraints(spec, machine_type, zone, spot):
+                yield MachineGroup(machine_type.name, zone, spot)
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud that rent machines and return them."""
+"""Calls to the cloud that request machines and release them."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from copperpass.protocol.frames.messages import Occupancy
 from copperpass.protocol.json_codec import decode
 
-# Returns and lists of machines may take this part of the cloud's rate; as much of it as comes up
-# in the second figure's seconds can be saved up.
+# Releases and listings may take this part of the cloud's rate; as much of it as accrues in
+# `BURST_S` seconds can be saved up.
 RATE_PART = 0.9
 BURST_S = 1.8
-TRIES = 3
+MAX_ATTEMPTS = 3
 CALL_TIMEOUT_S = 3.0
-# Seconds after which a return that the cloud hasn't confirmed is asked again.
-RELEASE_AGAIN_S = 2.0
-RELEASES_PER_CALL = 100
+# Seconds after which a release that the cloud hasn't confirmed is repeated.
+RELEASE_RETRY_S = 2.0
+MAX_RELEASES_PER_CALL = 100
+TOO_MANY_REQUESTS = 429
 
 
 class InstanceRequests:
-    """Books machines and returns them.
+    """Requests machines and releases them, under the authority of one term.
 
-    A booking is stored in the fleet's record before the cloud is asked, under a name that no other
-    node ever uses, so that a later term can ask again and learn what it brought.
+    A request is stored in the inventory before it is sent, under an id that no other node ever
+    uses, so that a later term can repeat it and learn which machines it brought: it is idempotent.
     """
 
     def __init__(
@@ -46,103 +47,99 @@
         self.state, self.records, self.fleet_store = state, records, state.fleet_store
         self.out, self.election = context.out, context.election
         rps = context.cluster.cloud.rps
-        self.calls = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
-        self.count = 0
+        # For releases and listings; requests for machines are bounded by the plan.
+        self.call_budget = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
+        self.request_count = 0
 
     def resume(self, now: float) -> None:
-        """Ask again for the bookings of terms before: they may have been carried out."""
-        for request, (stored, count) in list(self.fleet_store.booked.items()):
-            instance_request = InstanceRequest(
-                MachineGroup(*stored), count, self.state.neediest_shard()
-            )
-            self.state.pending_requests[request] = instance_request
-            self._send(now, instance_request, request, TRIES)
+        """Repeat the requests of earlier terms: they may have been carried out."""
+        for request_id, (stored_group, count) in list(self.fleet_store.booked.items()):
+            shard = self.state.neediest_shard()
+            request = InstanceRequest(MachineGroup(*stored_group), count, shard)
+            self.state.pending_requests[request_id] = request
+            self._send(request_id, request, MAX_ATTEMPTS)
 
     def provision(self, now: float, machine_group: MachineGroup, count: int, shard: int) -> None:
-        """Book machines for a shard."""
-        self.count += 1
-        # The token is this authority's alone, so the name is never used again by any node.
-        request = f"b-{self.state.epoch}-{self.count}"
-        instance_request = InstanceRequest(machine_group, count, shard)
-        self.state.pending_requests[request] = instance_request
-
-        def stored(n: float, ok: bool) -> None:
-            if ok and self.election.has_authority(n):
-                self._send(n, instance_request, request, TRIES)
+        """Request machines for a shard."""
+        self.request_count += 1
+        # The epoch is this authority's alone, so no node ever uses the id again.
+        request_id = f"b-{self.state.epoch}-{self.request_count}"
+        request = InstanceRequest(machine_group, count, shard)
+        self.state.pending_requests[request_id] = request
+
+        def on_stored(done_at: float, ok: bool) -> None:
+            if ok and self.election.has_authority(done_at):
+                self._send(request_id, request, MAX_ATTEMPTS)
             else:
-                self.state.pending_requests.pop(request, None)
-                self.fleet_store.ended(n, request, [])
+                self.state.pending_requests.pop(request_id, None)
+                self.fleet_store.ended(done_at, request_id, [])
 
-        self.fleet_store.book(now, request, machine_group, count, stored)
+        self.fleet_store.book(now, request_id, machine_group, count, on_stored)
 
-    def _send(
-        self, now: float, instance_request: InstanceRequest, request: str, tries: int
-    ) -> None:
-        """Ask the cloud for a booking's machines."""
-        machine_group = instance_request.machine_group
+    def _send(self, request_id: str, request: InstanceRequest, attempts: int) -> None:
+        """Send a stored request to the cloud, with so many attempts at the most."""
 
-        def then(n: float, outcome: CallOutcome) -> None:
+        def on_done(done_at: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
-                self._on_answer(n, instance_request, request, outcome.body)
+                self._on_machines(done_at, request_id, request, outcome.body)
                 return
-            if outcome.status in (NO_ANSWER, 429) and tries > 1 and self.election.has_authority(n):
-                self._send(n, instance_request, request, tries - 1)
+            retryable = outcome.status in (NO_ANSWER, TOO_MANY_REQUESTS)
+            if retryable and attempts > 1 and self.election.has_authority(done_at):
+                self._send(request_id, request, attempts - 1)
                 return
-            self.state.pending_requests.pop(request, None)
-            self.state.backoff.refused(machine_group, n, self.state.boot_s / 2)
+            self.state.pending_requests.pop(request_id, None)
+            self.state.backoff.on_exhausted(group, done_at, self.state.boot_s / 2)
+            # Without an answer it may have been carried out: it stays stored for a later term.
             if outcome.status != NO_ANSWER:
-                self.fleet_store.ended(n, request, [])
+                self.fleet_store.ended(done_at, request_id, [])
 
+        group = request.machine_group
         body = instance_request_body(
-            request,
-            machine_group.type,
-            machine_group.zone,
-            machine_group.spot,
-            instance_request.machines,
+            request_id, group.type, group.zone, group.spot, request.machines
         )
-        self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, then, body, CALL_TIMEOUT_S))
+        self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, on_done, body, CALL_TIMEOUT_S))
 
-    def _on_answer(
-        self, now: float, instance_request: InstanceRequest, request: str, body: bytes
+    def _on_machines(
+        self, now: float, request_id: str, request: InstanceRequest, body: bytes
     ) -> None:
-        """The cloud has carried out a booking, in full or in part."""
-        state, machine_group = self.state, instance_request.machine_group
-        known = state.pending_requests.pop(request, None)
-        shard = known.shard if known is not None else state.neediest_shard()
-        rented = decode(body, InstanceAnswer)
-        names = rented.machines if rented else []
-        if len(names) < instance_request.machines:
-            state.backoff.refused(machine_group, now, state.boot_s / 2)
+        """The cloud has carried out a request, in full or in part."""
+        state, machine_group = self.state, request.machine_group
+        pending = state.pending_requests.pop(request_id, None)
+        shard = pending.shard if pending is not None else state.neediest_shard()
+        answer = decode(body, InstanceAnswer)
+        names = answer.machines if answer else []
+        if len(names) < request.machines:
+            state.backoff.on_exhausted(machine_group, now, state.boot_s / 2)
         else:
-            state.backoff.granted(machine_group)
+            state.backoff.on_fulfilled(machine_group)
         self.out.log(
-            "info", "rented", machine_group=str(tuple(machine_group)), count=len(names), shard=shard
+            "info", "rented", place=str(tuple(machine_group)), count=len(names), shard=shard
         )
-        self.fleet_store.ended(now, request, names)
+        self.fleet_store.ended(now, request_id, names)
         for name in names:
             if name not in state.machines and name not in state.gone:
                 self.records.add(now, name, machine_group, shard, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
-        """Return machines, with those whose return hasn't been confirmed."""
+        """Release machines, together with those whose release hasn't been confirmed in time."""
         if not self.election.has_authority(now):
             return
         for machine in machines:
             machine.releasing = True
-        waiting = [
+        unconfirmed = [
             machine
             for machine in self.state.machines.values()
-            if machine.releasing and now - machine.release_sent > RELEASE_AGAIN_S
-        ][:RELEASES_PER_CALL]
-        if not waiting or not self.calls.take(now, 1.0):
+            if machine.releasing and now - machine.release_sent > RELEASE_RETRY_S
+        ][:MAX_RELEASES_PER_CALL]
+        if not unconfirmed or not self.call_budget.take(now, 1.0):
             return
-        for machine in waiting:
+        for machine in unconfirmed:
             machine.release_sent = now
 
-        def then(n: float, outcome: CallOutcome) -> None:
+        def on_done(done_at: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
-                for machine in waiting:
-                    self.records.mark_gone(n, machine)
+                for machine in unconfirmed:
+                    self.records.mark_gone(done_at, machine)
 
-        body = release_body([machine.entry.name for machine in waiting])
-        self.out.calls.append(Call("cloud", "POST", RELEASE_PATH, then, body, CALL_TIMEOUT_S))
+        body = release_body([machine.entry.name for machine in unconfirmed])
+        self.out.calls.append(Call("cloud", "POST", RELEASE_PATH, on_done, body, CALL_TIMEOUT_S))
--- a/src/copperpass/core/autoscaling/machine_groups.py
+++ b/src/copperpass/core/autoscaling/machine_groups.py
@@ -6,9 +6,12 @@
 
 from copperpass.protocol.cloud import MachineType
 
+# Seconds that a common machine boots for; counts before the cloud's offer is known.
+DEFAULT_BOOT_S = 20.0
+
 
 class MachineGroup(NamedTuple):
-    """What can be rented: a type of machine in a zone, of the cheap kind or the ordinary one."""
+    """Machines that are provisioned alike: of one type, in one zone, all spot or all on-demand."""
 
     type: str
     zone: str
@@ -16,5 +19,5 @@
 
 
 def longest_boot(types: dict[str, MachineType]) -> float:
-    """The longest usual boot time; before the offer is known, that of a common machine."""
-    return max((t.boot_s for t in types.values()), default=20.0)
+    """The longest usual boot time in seconds; before the offer is known, that of a common type."""
+    return max((machine_type.boot_s for machine_type in types.values()), default=DEFAULT_BOOT_S)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -1,11 +1,11 @@
-"""What becomes of machines: what their owners tell, reports that no owner takes, timeouts."""
+"""The lifecycle of machines: statuses from their owners, unassigned machines, timeouts."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import replace
 
-from copperpass.core.autoscaling.instance_requests import RELEASE_AGAIN_S, InstanceRequests
+from copperpass.core.autoscaling.instance_requests import RELEASE_RETRY_S, InstanceRequests
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
@@ -13,12 +13,16 @@
 from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus, Occupancy
 from copperpass.protocol.workers import WorkerHeartbeat
 
-# A machine that hasn't come up after so many boot times is returned.
-BOOTS_TO_COME_UP = 5
+# A machine that hasn't come up after so many boot times is released to the cloud.
+MAX_BOOTS = 5
 
 
 class MachineTracker:
-    """Follows each machine from its first report until it is given back or returned."""
+    """Follows each machine from its first heartbeat until it is reassigned or deleted.
+
+    Owns no state of its own: it writes the statuses in `ManagerState`, and changes what the members
+    know of a machine through `MachineRecords` alone.
+    """
 
     def __init__(
         self,
@@ -29,48 +33,48 @@
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
         self.jobs: JobTable = context.jobs
-        # How long a deleted machine is remembered.
-        self.gone_s = 20 * context.cluster.cloud.list_lag_s + 4 * state.lease_s
+        # Seconds for which a deleted machine is remembered: no message about it comes later.
+        self.deleted_retention_s = 20 * context.cluster.cloud.list_lag_s + 4 * state.lease_s
 
-    # -- what owners tell -----------------------------------------------------------------
+    # -- statuses from owners ---------------------------------------------------------------
 
     def told(self, now: float, sender: str, statuses: Iterable[MachineStatus]) -> None:
-        """An owner's table has news."""
+        """An owner's machines have new statuses; those of earlier assignments are ignored."""
         for status in statuses:
             machine = self.state.machines.get(status.name)
             if machine is None or status.base != machine.entry.base:
                 continue
             if self.state.owner_of(machine) != sender:
                 continue
-            self._take(now, machine, status)
+            self._on_status(now, machine, status)
 
-    def _take(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
-        """Take in a machine's new status."""
+    def _on_status(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
+        """Apply a machine's new status."""
         records = self.records
-        status = self._note_changes(now, machine, status)
-        before, machine.status = machine.status, status
+        status = self._apply_transitions(now, machine, status)
+        previous, machine.status = machine.status, status
         machine.used_cpus = status.used_cpus
-        if status.settled and not before.settled and machine.entry.may_hold != Occupancy.EMPTY:
+        if status.settled and not previous.settled and machine.entry.may_hold != Occupancy.EMPTY:
             records.update(machine, may_hold=Occupancy.EMPTY)
         if status.contact is not None and not status.given:
             records.learn_contact(machine, status.contact.address, status.contact.session)
         if status.given:
-            self._given(now, machine, status)
+            self._on_released(now, machine, status)
             return
-        refused = not status.idle or now > machine.back_until
-        if machine.entry.back and not machine.entry.vacate and refused:
+        declined = not status.idle or now > machine.back_until
+        if machine.entry.back and not machine.entry.vacate and declined:
             machine.back_for = None
             records.update(machine, back=False)
         if status.release and not machine.releasing:
             self.instance_requests.release(now, [machine])
 
-    def _note_changes(
+    def _apply_transitions(
         self, now: float, machine: ManagedMachine, status: MachineStatus
     ) -> MachineStatus:
-        """Note since when a machine is up and idle; returns the status to keep."""
+        """Record since when a machine is up and idle; returns the status to keep."""
         if machine.status.up and not status.up:
-            # A new owner has not heard it yet; that doesn't make it one that never came up, which
-            # would be deleted with all that runs there.
+            # A new owner has had no heartbeat from it yet. It must not count as one that never came
+            # up, which would be deleted with all that runs there.
             status = replace(status, up=True)
         if status.up and not machine.status.up:
             machine.up_at = machine.idle_since = now
@@ -79,8 +83,8 @@
             machine.idle_since = now
         return status
 
-    def _given(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
-        """An owner has given a machine back: nobody commands it now."""
+    def _on_released(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
+        """An owner has released a machine: no member commands it now."""
         if status.shard != NO_SHARD:
             # It holds tasks of another shard.
             self.records.rebase(
@@ -92,29 +96,29 @@
             self.records.rebase(machine, NO_SHARD, Occupancy.EMPTY, status)
             self.instance_requests.release(now, [machine])
 
-    # -- machines that nobody owns ----------------------------------------------------------
+    # -- unassigned machines ------------------------------------------------------------------
 
-    def unowned(self, now: float, report: WorkerHeartbeat) -> None:
-        """A machine reports that is in nobody's shard: find out whose it is."""
+    def unowned(self, now: float, heartbeat: WorkerHeartbeat) -> None:
+        """A machine that is assigned to no shard has sent a heartbeat: assign it to one."""
         state = self.state
-        machine = state.machines.get(report.machine)
+        machine = state.machines.get(heartbeat.machine)
         if machine is None:
-            if report.machine in state.gone or report.type not in state.types:
+            if heartbeat.machine in state.gone or heartbeat.type not in state.types:
                 return
-            # Unexpected: rented by a request that was carried out late, or a late copy about a
-            # machine that is gone. Whoever owns it will see whether answers reach it.
-            machine_group = MachineGroup(report.type, report.zone, report.spot)
+            # Unexpected: of a request that was carried out late, or a late copy of a heartbeat of a
+            # machine that is deleted. Its owner will find out whether answers reach it.
+            machine_group = MachineGroup(heartbeat.type, heartbeat.zone, heartbeat.spot)
             machine = self.records.add(
-                now, report.machine, machine_group, NO_SHARD, Occupancy.EMPTY
+                now, heartbeat.machine, machine_group, NO_SHARD, Occupancy.EMPTY
             )
         if machine.entry.shard != NO_SHARD or machine.releasing:
             return
-        self.records.rebase(machine, self._shard_of(report), machine.entry.may_hold)
+        self.records.rebase(machine, self._shard_of(heartbeat), machine.entry.may_hold)
 
-    def _shard_of(self, report: WorkerHeartbeat) -> int:
-        """The shard with the most tasks in a report; the neediest if it has none."""
+    def _shard_of(self, heartbeat: WorkerHeartbeat) -> int:
+        """The shard with the most tasks on a machine; the neediest if there are none."""
         counts: dict[int, int] = {}
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             job = self.jobs.jobs.get(task.task.rpartition("/")[0])
             if job is not None and job.spec.team in self.state.shard_of:
                 number = self.state.shard_of[job.spec.team]
@@ -126,21 +130,31 @@
     # -- time -------------------------------------------------------------------------------
 
     def sweep(self, now: float) -> None:
-        """Return machines that never came up or that nobody has answered; forget the gone."""
+        """Release machines that never came up or that nobody has contact with."""
         state = self.state
         for machine in list(state.machines.values()):
-            slow = BOOTS_TO_COME_UP * machine.type.boot_s
-            never = not machine.status.up and now - machine.created_at > slow
-            again = machine.releasing and now - machine.release_sent > RELEASE_AGAIN_S
-            if again or (never and not machine.releasing):
+            booting_too_long = (
+                not machine.status.up and now - machine.created_at > MAX_BOOTS * machine.type.boot_s
+            )
+            if machine.releasing:
+                if now - machine.release_sent > RELEASE_RETRY_S:
+                    self.instance_requests.release(now, [machine])
+            elif booting_too_long:
                 self.instance_requests.release(now, [machine])
             unclaimed = (
                 machine.entry.may_hold != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
             )
             if unclaimed and now - state.won_at > state.lease_s + state.grant_s:
-                # Nobody has answered it in this term, nor under a grant of the term before, so its
-                # session is over; it is gone.
+                # No member has answered it in this term, nor under a grant of the term before, so
+                # the lease of its session has expired and nothing runs there any more.
                 self.records.update(machine, may_hold=Occupancy.EMPTY)
                 self.instance_requests.release(now, [machine])
-        for name in [name for name, at in state.gone.items() if now - at > self.gone_s]:
-            del state.gone[name]
+        self._forget_deleted(now)
+
+    def _forget_deleted(self, now: float) -> None:
+        gone = self.state.gone
+        expired = [
+            name for name, deleted_at in gone.items() if now - deleted_at > self.deleted_retention_s
+        ]
+        for name in expired:
+            del gone[name]
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -1,4 +1,4 @@
-"""Finds capacity for what owners have none for: idle machines of others first, then new ones."""
+"""Placement of requested capacity: on releasable machines of other shards, then on new ones."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from copperpass.core.autoscaling.bin_packing import pack_tasks, with_zone_affinity
 from copperpass.core.autoscaling.demand import DemandTracker
-from copperpass.core.autoscaling.free_capacity import (
-    FreeCapacity,
-    empty_machine_capacity,
-    remaining_capacity,
+from copperpass.core.autoscaling.free_capacity import FreeCapacity, unused_capacity
+from copperpass.core.autoscaling.group_selection import (
+    GroupQuery,
+    PurchaseOption,
+    choose_machine_group,
 )
-from copperpass.core.autoscaling.group_selection import choose_machine_group
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.rebalancing import CoverageRatio, Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
@@ -24,58 +25,75 @@
 )
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.prices import hourly_price
+from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import NO_SHARD
 from copperpass.protocol.users import JobSpec
 
-# Requests older than this many reports' time are no longer true.
+# A shard's requests are out of date after so many heartbeat intervals.
 REQUEST_REPORTS = 2
 
 
 @dataclass(slots=True)
-class ShardOffer:
-    """What there is for one shard while its requests are served; each request takes its part."""
+class ShardSupply:
+    """The capacity that one shard can get; each of its requests in turn takes a part."""
 
     shard: Shard
     serving: list[ManagedMachine]
-    # Machines on their way to the shard.
-    capacities: list[FreeCapacity]
-    # Idle machines of other shards, the cheapest first.
+    # Machines that are requested for the shard or will be released to it.
+    incoming: list[FreeCapacity]
+    # Releasable machines of other shards, the cheapest CPUs first.
     releasable: list[ManagedMachine]
     coverage: CoverageRatio
-    # About what the shard's own machines have left; None until a gang asks.
-    own_free_capacity: list[FreeCapacity] | None = None
+    # Computed when a gang needs it.
+    _own: list[FreeCapacity] | None = None
 
     def own(self) -> list[FreeCapacity]:
-        """The capacity that is left on the shard's own machines."""
-        if self.own_free_capacity is None:
-            self.own_free_capacity = [
-                remaining_capacity(machine.type, machine.machine_group, machine.used_cpus)
+        """About what the shard's own machines have free."""
+        if self._own is None:
+            self._own = [
+                unused_capacity(machine.type, machine.machine_group, machine.used_cpus)
                 for machine in self.serving
                 if machine.entry.shard == self.shard.number
             ]
-        return self.own_free_capacity
+        return self._own
 
 
 @dataclass(slots=True)
-class Search:
+class PlacementSearch:
     """How far the search of capacity for one request has come."""
 
     job: Job
-    # The job's shape, with the zone that it is tied to.
+    # The job's shape, with its zone affinity.
     spec: JobSpec
-    # Tasks that have found no capacity so far.
-    left: int
+    # Tasks that no machine has been found for.
+    unplaced: int
+    # Seconds until the tasks should start.
     horizon: float
-    # The types that are kept for others.
+    # The types that are reserved for other work.
     excluded_types: set[str]
     # The zone that all of a gang's tasks must be in.
     zone: str | None
-    # Whether it waits for cheap capacity.
-    patient: bool
+    # Whether it waits for spot capacity.
+    prefers_spot: bool
+
+    def place_on_empty(
+        self, machine_type: MachineType, machine_group: MachineGroup
+    ) -> FreeCapacity | None:
+        """Place tasks on an empty machine; returns what is left of it, None if no task fits."""
+        capacity = unused_capacity(machine_type, machine_group)
+        placed = capacity.reserve(self.spec, self.unplaced, self.horizon)
+        self.unplaced -= placed
+        return capacity if placed > 0 else None
+
+    def excludes(self, machine: ManagedMachine) -> bool:
+        """Whether a machine is of a type or in a zone that the tasks may not use."""
+        if machine.type.name in self.excluded_types:
+            return True
+        return self.zone is not None and machine.entry.zone != self.zone
 
 
 class PlacementPlanner:
-    """Serves the requests of one shard after the other."""
+    """Serves the capacity requests of one shard after the other."""
 
     def __init__(
         self,
@@ -94,34 +112,34 @@
     ) -> None:
         """Serve a shard's requests, each with what those before it have left.
 
-        Without a plan nothing is rented, and nothing taken that others need: this only moves what
-        idles.
+        Without a plan nothing is provisioned, and nothing claimed that others keep for their
+        peaks: this only moves machines that are idle and not needed.
         """
         if now - shard.wants_at > REQUEST_REPORTS * self.state.report_s:
             return
-        offer = self._offer(shard, serving)
+        supply = self._supply(shard, serving)
         for request in shard.wants:
-            over = plan is not None and plan.full and not offer.releasable
-            if over and not request.job.guaranteed:
-                # Nothing can be rented or moved in this plan any more: the next one goes on.
+            exhausted = plan is not None and plan.full and not supply.releasable
+            if exhausted and not request.job.guaranteed:
+                # This plan can neither provision nor move anything more: the next one goes on.
                 continue
-            search = self._begin(now, offer, request)
-            self._move_releasable(now, offer, search)
+            search = self._begin(now, supply, request)
+            self._move_releasable(now, supply, search)
             if plan is not None:
-                self._rent(now, offer, search, plan)
-                self._claim_warm_capacity(now, offer, search)
-                self._reclaim_guarantee(now, offer, search)
+                self._provision(now, supply, search, plan)
+                self._claim_warm_capacity(now, supply, search)
+                self._reclaim_guarantee(now, supply, search)
 
-    def _offer(self, shard: Shard, serving: list[ManagedMachine]) -> ShardOffer:
-        """Gather what is on its way to a shard and what others could lend."""
-        capacities = [
-            empty_machine_capacity(self.state.types[machine_group.type], machine_group)
-            for machine_group, count, number in self.state.pending_requests.values()
-            if number == shard.number
-            for _ in range(count)
+    def _supply(self, shard: Shard, serving: list[ManagedMachine]) -> ShardSupply:
+        """What is incoming for a shard and what other shards could release."""
+        incoming = [
+            unused_capacity(self.state.types[request.machine_group.type], request.machine_group)
+            for request in self.state.pending_requests.values()
+            if request.shard == shard.number
+            for _ in range(request.machines)
         ]
-        capacities += [
-            empty_machine_capacity(machine.type, machine.machine_group)
+        incoming += [
+            unused_capacity(machine.type, machine.machine_group)
             for machine in serving
             if machine.back_for == shard.number and machine.entry.back
         ]
@@ -134,28 +152,29 @@
             and machine.entry.shard != NO_SHARD
         ]
         releasable.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
-        return ShardOffer(shard, serving, capacities, releasable, self.rebalancer.coverage(serving))
+        return ShardSupply(shard, serving, incoming, releasable, self.rebalancer.coverage(serving))
 
-    def _begin(self, now: float, offer: ShardOffer, request: CapacityRequest) -> Search:
-        """Start a request's search with the capacity that is on its way."""
-        job, count, horizon = request
-        zone_affinity = offer.shard.zone_affinities.get(job.spec.id)
+    def _begin(self, now: float, supply: ShardSupply, request: CapacityRequest) -> PlacementSearch:
+        """Start a request's search by packing its tasks into the incoming capacity."""
+        job, count, horizon = request.job, request.tasks, request.horizon
+        zone_affinity = supply.shard.zone_affinities.get(job.spec.id)
         spec = with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
         excluded_types = self.reserved_types.reserved_from(spec)
         zone: str | None = None
-        capacities = offer.capacities
+        capacities = supply.incoming
         if spec.gang and spec.one_zone:
-            # All of it in one zone: what the shard has there, then what is moved or rented. The
-            # owner asks for the whole: only the leader can complete what one zone has.
-            capacities = capacities + offer.own()
-            zone = spec.zone or self._gang_zone(now, spec, count, capacities, offer.releasable)
+            # All of it in one zone: on the shard's own machines there, then on those that are moved
+            # or provisioned. The owner requests capacity for the whole gang: only the leader can
+            # complete what one zone has.
+            capacities = capacities + supply.own()
+            zone = spec.zone or self._gang_zone(now, spec, count, capacities, supply.releasable)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
-        left = pack_tasks(capacities, spec, count, horizon, excluded_types)
-        # Work that can wait for longer than a boot asks only for the cheap kind at first.
-        # Not for the rest of a gang, for which other machines are kept idle meanwhile.
-        long = horizon > self.tuning.patient_boots * self.state.boot_s
-        patient = long and spec.spot and zone is None
-        return Search(job, spec, left, horizon, excluded_types, zone, patient)
+        unplaced = pack_tasks(capacities, spec, count, horizon, excluded_types)
+        # Work that can wait for longer than a boot requests only spot capacity at first. Not the
+        # rest of a gang, since other machines are kept idle for it meanwhile.
+        deferrable = horizon > self.tuning.patient_boots * self.state.boot_s
+        prefers_spot = deferrable and spec.spot and zone is None
+        return PlacementSearch(job, spec, unplaced, horizon, excluded_types, zone, prefers_spot)
 
     def _gang_zone(
         self,
@@ -167,115 +186,104 @@
     ) -> str | None:
         """The zone where most of a gang's tasks fit already and the rest can be provisioned."""
         state = self.state
-        slots: dict[str, int] = {}
         offers = capacities + [
-            empty_machine_capacity(machine.type, machine.machine_group) for machine in releasable
+            unused_capacity(machine.type, machine.machine_group) for machine in releasable
         ]
+        fitting: dict[str, int] = {}
         for capacity in offers:
-            slots[capacity.zone] = slots.get(capacity.zone, 0) + capacity.slots(
-                spec, count, state.boot_s
-            )
-        for zone in sorted(slots, key=lambda z: (-slots[z], z)):
-            if slots[zone] > 0 and (
-                slots[zone] >= count
-                or choose_machine_group(
-                    spec, 1, state.types, {}, state.backoff, now, False, set(), zone
-                )
+            tasks = capacity.feasible_tasks(spec, count, state.boot_s)
+            fitting[capacity.zone] = fitting.get(capacity.zone, 0) + tasks
+        for zone in sorted(fitting, key=lambda name: (-fitting[name], name)):
+            if fitting[zone] <= 0:
+                continue
+            query = GroupQuery(spec=spec, zone=zone)
+            if fitting[zone] >= count or choose_machine_group(
+                state.types, state.backoff, now, query
             ):
                 return zone
         return None
 
-    def _move_releasable(self, now: float, offer: ShardOffer, search: Search) -> None:
-        """Ask for idle machines of shards that stay covered as far as this one."""
-        number = offer.shard.number
-        for machine in list(offer.releasable):
-            if search.left <= 0:
+    def _move_releasable(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
+        """Request the release of idle machines whose shards stay covered as far as this one."""
+        number = supply.shard.number
+        spot_only = search.prefers_spot and self.state.on_demand_excess
+        for machine in list(supply.releasable):
+            if search.unplaced <= 0:
                 break
-            donor = machine.entry.shard
-            if search.zone is not None and machine.entry.zone != search.zone:
-                continue
-            if (
-                not self.rebalancer.can_release(machine)
-                or machine.type.name in search.excluded_types
-            ):
+            if search.excludes(machine) or not self.rebalancer.can_release(machine):
                 continue
-            if search.patient and self.state.on_demand_excess and not machine.entry.spot:
+            if spot_only and not machine.entry.spot:
                 continue
-            if not offer.coverage.can_donate(donor, number, machine.type.cpus):
+            donor, cpus = machine.entry.shard, machine.type.cpus
+            if not supply.coverage.can_donate(donor, number, cpus):
                 continue
-            capacity = empty_machine_capacity(machine.type, machine.machine_group)
-            taken = capacity.take(search.spec, search.left, search.horizon)
-            if taken > 0:
-                search.left -= taken
-                offer.coverage.move(donor, number, machine.type.cpus)
-                offer.capacities.append(capacity)
-                offer.releasable.remove(machine)
+            capacity = search.place_on_empty(machine.type, machine.machine_group)
+            if capacity is not None:
+                supply.coverage.move(donor, number, cpus)
+                supply.incoming.append(capacity)
+                supply.releasable.remove(machine)
                 self.rebalancer.request_release(now, machine, number)
 
-    def _rent(self, now: float, offer: ShardOffer, search: Search, plan: ScaleOutPlan) -> None:
-        """Plan new machines for what is left."""
+    def _provision(
+        self, now: float, supply: ShardSupply, search: PlacementSearch, plan: ScaleOutPlan
+    ) -> None:
+        """Plan new machines for the tasks that are still unplaced."""
         state, spec = self.state, search.spec
-        while search.left > 0 and not plan.full and not self.fleet_store.full():
-            machine_group = choose_machine_group(
-                spec,
-                search.left,
-                state.types,
-                plan.zones,
-                state.backoff,
-                now,
-                search.patient,
-                search.excluded_types,
-                search.zone,
+        any_or_spot = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
+        while search.unplaced > 0 and not plan.full and not self.fleet_store.full():
+            query = GroupQuery(
+                spec=spec,
+                tasks=search.unplaced,
+                purchase_option=any_or_spot,
+                excluded_types=search.excluded_types,
+                zone=search.zone,
+                machines_by_zone=plan.machines_by_zone,
             )
+            machine_group = choose_machine_group(state.types, state.backoff, now, query)
             if machine_group is None:
                 break
             if spec.gang and spec.one_zone:
                 search.zone = machine_group.zone
-            capacity = empty_machine_capacity(state.types[machine_group.type], machine_group)
-            taken = capacity.take(spec, search.left, search.horizon)
-            if taken <= 0:
+            capacity = search.place_on_empty(state.types[machine_group.type], machine_group)
+            if capacity is None:
                 break
-            search.left -= taken
-            offer.capacities.append(capacity)
-            plan.add(machine_group, offer.shard.number)
+            supply.incoming.append(capacity)
+            plan.add(machine_group, supply.shard.number)
 
-    def _claim_warm_capacity(self, now: float, offer: ShardOffer, search: Search) -> None:
-        """Nothing can be rented: what others keep for later serves who needs it now."""
-        if search.left <= 0 or search.horizon > self.state.boot_s:
+    def _claim_warm_capacity(
+        self, now: float, supply: ShardSupply, search: PlacementSearch
+    ) -> None:
+        """Nothing can be provisioned: urgent work gets what others keep for their peaks."""
+        if search.unplaced <= 0 or search.horizon > self.state.boot_s:
             return
-        for machine in offer.releasable:
-            if search.left <= 0:
+        for machine in supply.releasable:
+            if search.unplaced <= 0:
                 break
-            if machine.type.name in search.excluded_types or search.zone not in (
-                None,
-                machine.entry.zone,
-            ):
+            if search.excludes(machine) or not self.rebalancer.can_release(machine):
                 continue
-            if not self.rebalancer.can_release(machine):
-                continue
-            capacity = empty_machine_capacity(machine.type, machine.machine_group)
-            taken = capacity.take(search.spec, search.left, search.horizon)
-            if taken > 0:
-                search.left -= taken
-                self.rebalancer.request_release(now, machine, offer.shard.number)
-        offer.releasable = [machine for machine in offer.releasable if not machine.entry.back]
+            if search.place_on_empty(machine.type, machine.machine_group) is not None:
+                self.rebalancer.request_release(now, machine, supply.shard.number)
+        supply.releasable = [machine for machine in supply.releasable if not machine.entry.back]
 
-    def _reclaim_guarantee(self, now: float, offer: ShardOffer, search: Search) -> None:
-        """Give a shard its guarantee out of what another has beyond its own."""
-        job, spec, left = search.job, search.job.spec, search.left
-        if left <= 0 or not job.guaranteed or search.horizon > self.state.boot_s:
+    def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
+        """Give a shard its guaranteed quota out of what others use beyond their own."""
+        spec, unplaced = search.job.spec, search.unplaced
+        if unplaced <= 0 or not search.job.guaranteed or search.horizon > self.state.boot_s:
             return
+        excluded_types = self.reserved_types.reserved_from(spec)
         for other in self.state.shards.values():
-            theirs = [m for m in offer.serving if m.entry.shard == other.number]
-            own = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
-            beyond = sum(machine.used_cpus for machine in theirs) - own
-            for machine in sorted(theirs, key=lambda m: m.used_cpus):
-                used = machine.used_cpus
-                if other is offer.shard or left <= 0 or beyond < used or machine.entry.back:
+            if other is supply.shard or unplaced <= 0:
+                continue
+            machines = [m for m in supply.serving if m.entry.shard == other.number]
+            quota = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
+            excess = sum(machine.used_cpus for machine in machines) - quota
+            for machine in sorted(machines, key=lambda m: m.used_cpus):
+                used_cpus = machine.used_cpus
+                if unplaced <= 0 or excess < used_cpus or machine.entry.back:
                     break
-                capacity = empty_machine_capacity(machine.type, machine.machine_group)
-                taken = capacity.take(spec, left, 0.0)
-                if taken > 0 and machine.type.name not in self.reserved_types.reserved_from(spec):
-                    left -= taken
-                    beyond -= used
-                    self.records.ask_back(now, machine, offer.shard.number, vacate=True)
+                capacity = unused_capacity(machine.type, machine.machine_group)
+                placed = capacity.reserve(spec, unplaced, 0.0)
+                if placed > 0 and machine.type.name not in excluded_types:
+                    unplaced -= placed
+                    excess -= used_cpus
+                    self.records.ask_back(now, machine, supply.shard.number, vacate=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -1,4 +1,4 @@
-"""The plan, made every quarter of a report's time: what to move, to rent and to return."""
+"""The scaling plan, made four times per heartbeat interval: rebalancing, scale-out and scale-in."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from copperpass.core.autoscaling.placement_plan import PlacementPlanner
 from copperpass.core.autoscaling.rebalancing import Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import (
-    MACHINES_PER_CALL,
+    MAX_MACHINES_PER_CALL,
     ScaleOutPlan,
     max_machines_per_plan,
 )
@@ -24,14 +24,15 @@
 from copperpass.core.scheduling import allocation
 from copperpass.protocol.frames.messages import CapacityRequests, Occupancy
 
-# The part of patient work's room that doesn't count as warm room for work that can't wait.
-PATIENT_PART = 1.0
-# The fleet is logged once in so many reports' time.
+# The fleet is logged once in so many heartbeat intervals.
 SUMMARY_REPORTS = 5
 
 
 class Planner:
-    """Shares the fleet out among shards and changes its size."""
+    """Divides the fleet among the shards and changes its size.
+
+    Owns the parts of the plan, and when the next one is due.
+    """
 
     def __init__(
         self,
@@ -46,20 +47,23 @@
         self.rebalancer = Rebalancer(state, records, self.tracker)
         self.placement = PlacementPlanner(context, state, records, self.tracker, self.rebalancer)
         self.warm_capacity = WarmCapacity(context, state, self.tracker, self.rebalancer)
-        self.next_plan = self.next_summary = state.won_at
+        self.next_plan_at = self.next_summary_at = state.won_at
         cloud_rps = context.cluster.cloud.rps
-        self.plan_s = max(state.report_s / 4, 2.0 / cloud_rps)
-        self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_s)
+        self.plan_interval_s = max(state.report_s / 4, 2.0 / cloud_rps)
+        self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_interval_s)
 
     def due(self, now: float) -> bool:
         """Whether it is time for the next plan; needs the cloud's offer."""
-        if now < self.next_plan or not self.state.types:
+        if now < self.next_plan_at or not self.state.types:
             return False
-        self.next_plan = now + self.plan_s
+        self.next_plan_at = now + self.plan_interval_s
         return True
 
     def asked(self, now: float, frame: CapacityRequests) -> None:
-        """An owner has tasks that its machines have no room for in time."""
+        """An owner requests capacity for tasks that its machines can't start in time.
+
+        Ignored if it was sent before the owner knew of the machines that it was last assigned.
+        """
         state = self.state
         shard = state.shards.get(frame.shard)
         if shard is None or frame.applied < state.added.get(shard.number, 0):
@@ -72,68 +76,73 @@
         ]
         shard.wants_at = now
         if shard.wants and len(state.shards) > 1 and state.ready:
-            # Idle machines of others can serve at once; renting waits for the next plan.
+            # Idle machines of other shards can serve at once; scale-out waits for the next plan.
             self.tracker.sample_shard(now, shard.number, self.tracker.measure(now))
             self.placement.serve(now, shard, state.serving(), None)
 
     def plan(self, now: float) -> None:
-        """Compute shares, move what idles to where it is needed, rent the rest, return."""
+        """Allocate the fleet, move idle machines, request what is missing, scale in the rest."""
+        state = self.state
         demand = self.tracker.measure(now)
         self.tracker.sample(now, demand)
-        warm = self.tracker.warm()
-        serving = self.state.serving()
+        targets = self.tracker.warm_targets()
+        serving = state.serving()
         self.rebalancer.recount(serving)
-        taken = self._deferrable_cpus_in_use(serving, demand)
-        room = sum(machine.type.cpus for machine in serving)
-        self.state.on_demand_excess = room - taken > warm.total_cpus
+        deferrable_cpus = self._deferrable_cpus_in_use(serving, demand)
+        total_cpus = sum(machine.type.cpus for machine in serving)
+        state.on_demand_excess = total_cpus - deferrable_cpus > targets.total_cpus
         remaining = remaining_by_team(self.cluster, self.jobs.jobs.values())
         allocated = allocate(self.cluster, serving, remaining)
-        order = sorted(
-            self.state.shards.values(),
+        shards = sorted(
+            state.shards.values(),
             key=lambda shard: fullness(shard, serving, remaining, allocated),
         )
+        # Not while a machine may hold tasks of any shard, as after a failover.
         if not any(machine.entry.may_hold == Occupancy.ANY_SHARD for machine in serving):
-            self._change(now, order, serving, warm, taken)
-        if now >= self.next_summary:
-            self.next_summary = now + SUMMARY_REPORTS * self.state.report_s
-            self._summary(warm.total_cpus, demand.total_urgent, allocated)
-        self.warm_capacity.return_idle(now, warm, taken)
+            self._scale_out(now, shards, serving, targets, deferrable_cpus)
+        if now >= self.next_summary_at:
+            self.next_summary_at = now + SUMMARY_REPORTS * state.report_s
+            self._log_fleet(targets, demand, allocated)
+        self.warm_capacity.scale_in(now, targets, deferrable_cpus)
 
     def _deferrable_cpus_in_use(self, serving: list[ManagedMachine], demand: Demand) -> float:
-        """The CPUs in use by work that can wait.
+        """The CPUs in use by deferrable work, which don't count as warm capacity.
 
-        Where a class can't wait for a boot: else nothing is gained by keeping room beside work
-        that can wait, and a good deal is paid for it.
+        None where every class can wait for a machine to boot: nothing is gained there by keeping
+        capacity beside deferrable work, and it costs a good deal.
         """
-        used = sum(machine.used_cpus for machine in serving)
-        apart = PATIENT_PART if self.tracker.slos.has_start_target_below(self.state.boot_s) else 0.0
-        return apart * min(demand.patient, max(0.0, used - demand.total_urgent))
+        if not self.tracker.slos.has_start_target_below(self.state.boot_s):
+            return 0.0
+        used_cpus = sum(machine.used_cpus for machine in serving)
+        return min(demand.deferrable, max(0.0, used_cpus - demand.total_urgent))
 
-    def _change(
+    def _scale_out(
         self,
         now: float,
-        order: list[Shard],
+        shards: list[Shard],
         serving: list[ManagedMachine],
-        warm: WarmTargets,
-        taken: float,
+        targets: WarmTargets,
+        deferrable_cpus: float,
     ) -> None:
-        """Serve the shards in their order, keep warm room, rent what was planned."""
-        plan = ScaleOutPlan.beside(serving, self.max_machines_per_plan)
-        for shard in order:
+        """Serve the shards in their order, keep warm capacity, request the planned machines."""
+        plan = ScaleOutPlan.for_fleet(serving, self.max_machines_per_plan)
+        for shard in shards:
             self.placement.serve(now, shard, serving, plan)
-        self.warm_capacity.keep(now, warm, serving, taken, plan)
-        self.warm_capacity.balance(now, serving)
-        for (machine_group, number), count in plan.counts.items():
-            if not any(
-                instance_request.machine_group == machine_group
-                for instance_request in self.state.pending_requests.values()
-            ):
+        self.warm_capacity.provision(now, targets, serving, deferrable_cpus, plan)
+        self.warm_capacity.rebalance(now, serving)
+        for destination, count in plan.counts.items():
+            machine_group = destination.machine_group
+            pending = self.state.pending_requests.values()
+            # At most one pending request per group.
+            if not any(request.machine_group == machine_group for request in pending):
                 self.instance_requests.provision(
-                    now, machine_group, min(count, MACHINES_PER_CALL), number
+                    now, machine_group, min(count, MAX_MACHINES_PER_CALL), destination.shard
                 )
 
-    def _summary(self, warm: float, tight: float, allocated: allocation.Allocation) -> None:
-        """Say for the log how the fleet stands."""
+    def _log_fleet(
+        self, targets: WarmTargets, demand: Demand, allocated: allocation.Allocation
+    ) -> None:
+        """Log the machines by shard, type and state: their number, their CPUs, how many idle."""
         kinds: dict[str, list[float]] = {}
         for machine in self.state.machines.values():
             entry, status = machine.entry, machine.status
@@ -148,8 +157,8 @@
         self.out.log(
             "info",
             "fleet",
-            warm=round(warm),
-            tight=round(tight),
+            warm=round(targets.total_cpus),
+            tight=round(demand.total_urgent),
             machines={key: [round(x) for x in sums] for key, sums in sorted(kinds.items())},
             owners={shard.number: shard.owner for shard in self.state.shards.values()},
             factors=[round(factor, 3) for factor in allocated.factors],
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -1,4 +1,4 @@
-"""Which machines a shard can do without, and which shard is covered least."""
+"""Rebalancing: which machines a shard can release, and which shard has the least coverage."""
 
 from __future__ import annotations
 
@@ -8,36 +8,40 @@
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import ManagedMachine, ManagerState
 
+# Keeps the ratio of a shard without any demand finite.
+MIN_PEAK_CPUS = 1e-3
+
 
 @dataclass(slots=True)
 class CoverageRatio:
-    """How far the CPUs that shards have cover what they need at their peaks."""
+    """How far each shard's CPUs cover its peak demand; below 1 they don't."""
 
-    have: dict[int, float]
-    need: dict[int, float]
+    cpus: dict[int, float]
+    peak_cpus: dict[int, float]
 
-    def of(self, number: int, more: float = 0.0) -> float:
-        """A shard's cover with some CPUs more."""
-        return (self.have[number] + more) / max(self.need[number], 1e-3)
+    def of(self, shard: int, extra_cpus: float = 0.0) -> float:
+        """A shard's ratio, as if it had some more CPUs."""
+        return (self.cpus[shard] + extra_cpus) / max(self.peak_cpus[shard], MIN_PEAK_CPUS)
 
-    def least(self) -> int:
-        """The shard that is covered least."""
-        return min(self.have, key=lambda n: (self.of(n), n))
+    def least_covered(self) -> int:
+        """The shard with the lowest ratio; of equals the one with the lowest number."""
+        return min(self.cpus, key=lambda shard: (self.of(shard), shard))
 
     def can_donate(self, donor: int, recipient: int, cpus: float) -> bool:
-        """Whether the lender stays covered at least as far as the borrower was."""
+        """Whether the donor keeps at least the ratio that the recipient has now."""
         return self.of(donor, -cpus) >= self.of(recipient)
 
     def move(self, donor: int, recipient: int, cpus: float) -> None:
-        """Note that CPUs pass from one to the other."""
-        self.have[donor] -= cpus
-        self.have[recipient] += cpus
+        """Count CPUs for the recipient in place of the donor."""
+        self.cpus[donor] -= cpus
+        self.cpus[recipient] += cpus
 
 
 class Rebalancer:
-    """Moves machines between shards, and returns them, without leaving a shard short.
+    """Asks shards to release machines, for another shard or for scale-in, without a shortage.
 
-    Holds, from one plan to the next, the ordinary CPUs of each shard that aren't asked back.
+    Owns `on_demand_cpus`: from one plan to the next, the on-demand CPUs of each shard that it
+    hasn't been asked to release.
     """
 
     def __init__(
@@ -47,7 +51,7 @@
         self.on_demand_cpus: dict[int, float] = {}
 
     def recount(self, serving: list[ManagedMachine]) -> None:
-        """Sum up the ordinary room of each shard anew."""
+        """Recompute each shard's on-demand CPUs."""
         shards = self.state.shards
         self.on_demand_cpus = dict.fromkeys(shards, 0.0)
         for machine in serving:
@@ -56,33 +60,33 @@
                 self.on_demand_cpus[entry.shard] += machine.type.cpus
 
     def can_release(self, machine: ManagedMachine) -> bool:
-        """Whether a machine's shard keeps enough ordinary room for its urgent work without it."""
-        number = machine.entry.shard
-        if machine.entry.spot or number not in self.state.shards:
+        """Whether its shard keeps enough on-demand CPUs for its urgent work without a machine."""
+        shard = machine.entry.shard
+        if machine.entry.spot or shard not in self.state.shards:
+            return True
+        needed_cpus = self.tracker.on_demand_peaks[shard].value()
+        if needed_cpus <= 0:
             return True
-        need = self.tracker.on_demand_peaks[number].value()
-        return need <= 0 or self.on_demand_cpus.get(number, 0.0) - machine.type.cpus >= need
+        return self.on_demand_cpus.get(shard, 0.0) - machine.type.cpus >= needed_cpus
 
-    def request_release(self, now: float, machine: ManagedMachine, shard: int | None) -> None:
-        """Ask a machine back, for another shard or to be returned, and count it out."""
-        number = machine.entry.shard
-        if not machine.entry.spot and number in self.on_demand_cpus:
-            self.on_demand_cpus[number] -= machine.type.cpus
-        self.records.ask_back(now, machine, shard)
+    def request_release(self, now: float, machine: ManagedMachine, recipient: int | None) -> None:
+        """Ask a machine's owner to release it: for a recipient, or None for scale-in."""
+        shard = machine.entry.shard
+        if not machine.entry.spot and shard in self.on_demand_cpus:
+            self.on_demand_cpus[shard] -= machine.type.cpus
+        self.records.ask_back(now, machine, recipient)
 
     def coverage(self, serving: list[ManagedMachine]) -> CoverageRatio:
-        """How far each shard's machines, with those on their way, cover its urgent peak."""
+        """The coverage by what serves a shard, will be released to it or is requested for it."""
         state = self.state
-        have = dict.fromkeys(state.shards, 0.0)
+        cpus = dict.fromkeys(state.shards, 0.0)
         for machine in serving:
-            number = machine.entry.shard
+            shard = machine.entry.shard
             if machine.entry.back and machine.back_for is not None:
-                number = machine.back_for
-            if number in have:
-                have[number] += machine.type.cpus
-        for machine_group, count, number in state.pending_requests.values():
-            have[number] += state.types[machine_group.type].cpus * count
-        need = {
-            number: urgent_peak.value() for number, urgent_peak in self.tracker.shard_peaks.items()
-        }
-        return CoverageRatio(have, need)
+                shard = machine.back_for
+            if shard in cpus:
+                cpus[shard] += machine.type.cpus
+        for request in state.pending_requests.values():
+            cpus[request.shard] += state.types[request.machine_group.type].cpus * request.machines
+        peak_cpus = {shard: peak.value() for shard, peak in self.tracker.shard_peaks.items()}
+        return CoverageRatio(cpus, peak_cpus)
--- a/src/copperpass/core/autoscaling/urgency.py
+++ b/src/copperpass/core/autoscaling/urgency.py
@@ -1,4 +1,4 @@
-"""Which jobs are urgent: they must start before a machine could boot for them."""
+"""Urgent jobs: those that must start before a machine could boot for them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,10 @@
     wait = slos.tightest_start_target(job.spec.job_class)
     if wait is not None and wait < boot_s:
         return True
-    return (
-        slos.guarantee_target_s is not None and slos.guarantee_target_s < boot_s and job.guaranteed
-    )
+    guarantee_wait = slos.guarantee_target_s
+    return guarantee_wait is not None and guarantee_wait < boot_s and job.guaranteed
 
 
 def needs_on_demand(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
-    """Whether a job may use ordinary machines only and can't wait for one to boot."""
+    """Whether a job is urgent and may not run on spot machines."""
     return not job.spec.spot and is_urgent(job, slos, boot_s)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.autoscaling.bin_packing import pack_tasks, without_exhausted
 from copperpass.core.autoscaling.free_capacity import FreeCapacity
-from copperpass.core.autoscaling.scale_out_plan import MACHINES_PER_CALL, max_machines_per_plan
+from copperpass.core.autoscaling.scale_out_plan import MAX_MACHINES_PER_CALL, max_machines_per_plan
 from copperpass.core.node.node import shards_of
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.relay import HeartbeatRelay
@@ -114,8 +114,8 @@
 
 def test_a_plan_rents_more_where_the_cloud_takes_more_calls():
     # Fifty in each plan took a minute for 4,000 machines, whatever the cloud allowed.
-    assert max_machines_per_plan(cloud_rps=6.0, plan_s=1 / 3) == MACHINES_PER_CALL
-    assert max_machines_per_plan(cloud_rps=36.0, plan_s=1.0) == 3 * MACHINES_PER_CALL
+    assert max_machines_per_plan(cloud_rps=6.0, plan_interval_s=1 / 3) == MAX_MACHINES_PER_CALL
+    assert max_machines_per_plan(cloud_rps=36.0, plan_interval_s=1.0) == 3 * MAX_MACHINES_PER_CALL
 
 
 @pytest.mark.parametrize("value_kb", [2.0, 4.0])
@@ -134,21 +134,21 @@
 
 
 @pytest.mark.parametrize("machines", [400, 4000])
-def test_a_job_that_finds_no_room_does_not_look_at_full_machines(machines):
+def test_a_job_that_finds_no_capacity_does_not_look_at_full_machines(machines):
     # Each waiting job looked at each machine: thousands by thousands, several times a second.
     kind = machine_types(TYPE)["box"]
     looks = []
 
     class Counted(FreeCapacity):
-        def take(self, spec, count, horizon):
+        def reserve(self, spec, limit, horizon):
             looks.append(spec.id)
-            return super().take(spec, count, horizon)
+            return super().reserve(spec, limit, horizon)
 
-    rooms = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
+    capacities = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
     waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
-        assert pack_tasks(rooms, each.spec, 2, 0.0, set()) == 2
-        rooms = without_exhausted(rooms, least_cpus=4.0)
+        assert pack_tasks(capacities, each.spec, 2, 0.0, set()) == 2
+        capacities = without_exhausted(capacities, smallest_cpus=4.0)
     assert looks == ["req-000001"] * machines, "only the first job looks at all of them"
 
 
