--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -290,8 +290,10 @@
         while len(self.finals) > self.most_finals:
             self.finals.popitem(last=False)
 
-    def _get(self, key: str, then: Callable[[float, CallOutcome], None]) -> None:
-        self.out.calls.append(Call("state", "GET", key_path(key), then, b"", self.read_timeout / 2))
+    def _get(self, key: str, on_done: Callable[[float, CallOutcome], None]) -> None:
+        self.out.calls.append(
+            Call("state", "GET", key_path(key), on_done, b"", self.read_timeout / 2)
+        )
 
     # -- answers --------------------------------------------------------------
 
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -269,13 +269,13 @@
             self.lease_to_revoke = lease
 
     def _revoke_lease(self, lease: int) -> None:
-        def then(now: float, outcome: CallOutcome) -> None:
+        def on_done(now: float, outcome: CallOutcome) -> None:
             if outcome.status in (200, 404):
                 # A late write of the key is refused from now on.
                 self.unresolved_leases.discard(lease)
 
         self.out.calls.append(
-            Call("state", "DELETE", lease_path(lease), then, b"", self.leader_ttl_s)
+            Call("state", "DELETE", lease_path(lease), on_done, b"", self.leader_ttl_s)
         )
 
     # -- frames from the others -----------------------------------------------
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -62,7 +62,7 @@
     def _read(self, member: str) -> None:
         self.busy.add(member)
 
-        def then(now: float, outcome: CallOutcome) -> None:
+        def on_done(now: float, outcome: CallOutcome) -> None:
             self.busy.discard(member)
             item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
             record = decode(bytes(item.value), VersionRecord) if item else None
@@ -75,14 +75,21 @@
                 self._write(now, item.version if item is not None else 0)
 
         self.out.calls.append(
-            Call("state", "GET", key_path(MEMBER_VERSIONS_PREFIX + member), then, b"", self.timeout)
+            Call(
+                "state",
+                "GET",
+                key_path(MEMBER_VERSIONS_PREFIX + member),
+                on_done,
+                b"",
+                self.timeout,
+            )
         )
 
     def _write(self, now: float, version: int) -> None:
         key, member = MEMBER_VERSIONS_PREFIX + self.member, self.member
         self.busy.add(member)
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             # Anything but applied is read again: it may have been, or another run was first.
             self.busy.discard(member)
             if outcome is TransactionOutcome.APPLIED:
@@ -92,6 +99,6 @@
         self.transactions.submit(
             now,
             Operation(
-                {key: version}, [PutKey(key, value)], then, now + self.gap_s, Priority.NORMAL
+                {key: version}, [PutKey(key, value)], on_done, now + self.gap_s, Priority.NORMAL
             ),
         )
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -502,7 +502,7 @@
     def _fetch_types(self, now: float) -> None:
         self.fetching_types = True
 
-        def then(n: float, outcome: CallOutcome) -> None:
+        def on_done(n: float, outcome: CallOutcome) -> None:
             self.fetching_types = False
             offer = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
             if offer is None:
@@ -513,7 +513,7 @@
             # Only the leader needs prices that follow the market.
             self.next_types = n + (30.0 if self.cluster_manager is not None else 300.0)
 
-        self.out.calls.append(Call("cloud", "GET", MACHINE_TYPES_PATH, then, b"", 3.0))
+        self.out.calls.append(Call("cloud", "GET", MACHINE_TYPES_PATH, on_done, b"", 3.0))
 
     def _use_types(self, offer: MachineTypes) -> None:
         self.types.update({t.name: t for t in offer.types})
@@ -531,7 +531,7 @@
             self.types_too_large = True
             return
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.types_too_large = self.types_too_large or outcome is TransactionOutcome.INVALID
 
         self.transactions.submit(
@@ -540,7 +540,7 @@
             Operation(
                 {FENCING_TOKEN_KEY: self.election.election_revision, MACHINE_TYPES_KEY: 0},
                 [PutKey(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))],
-                then,
+                on_done,
                 now + self.timings.leader_ttl_s,
                 Priority.BATCHED,
             ),
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -30,7 +30,7 @@
     service: str
     method: str
     path: str
-    then: OnCallDone
+    on_done: OnCallDone
     body: bytes = b""
     timeout: float = 1.0
     address: str = ""
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -144,13 +144,13 @@
         self.directs += 1
         ordered = bool(commands)
 
-        def then(at: float, outcome: CallOutcome) -> None:
+        def on_done(at: float, outcome: CallOutcome) -> None:
             self._answered(at, outcome, machine, starts, ordered)
 
         body = encode(DirectCommands(machine.token, max(1, machine.session), commands))
         timeout = self.timing.report_s / 2 + 0.25
         self.context.out.calls.append(
-            Call("worker", "POST", COMMANDS_PATH, then, body, timeout, machine.address)
+            Call("worker", "POST", COMMANDS_PATH, on_done, body, timeout, machine.address)
         )
 
     def _answered(
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -49,7 +49,7 @@
         key = LIVE_JOBS_PREFIX + job.spec.id
         final = {"final": JobState.DONE, "count": job.spec.tasks}
 
-        def then(at: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(at: float, outcome: TransactionOutcome, revision: int) -> None:
             job.storing = False
             if outcome is TransactionOutcome.APPLIED:
                 job.version = max(job.version, revision)
@@ -60,7 +60,7 @@
 
         writes: list[Write] = [DeleteKey(key), PutKey(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
         deadline = now + 2 * self.state.timing.lease_s
-        operation = Operation({key: job.version}, writes, then, deadline)
+        operation = Operation({key: job.version}, writes, on_done, deadline)
         self.context.transactions.submit(now, operation)
 
     def store_outstanding(self, now: float) -> None:
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -231,7 +231,7 @@
             return
         shard.reading, serial = True, shard.serial
 
-        def then(n: float, outcome: CallOutcome) -> None:
+        def on_done(n: float, outcome: CallOutcome) -> None:
             applied = decode(outcome.body, TransactionApplied) if outcome.status == 200 else None
             if shard.serial == serial:
                 shard.reading = False
@@ -243,7 +243,7 @@
                 "state",
                 "POST",
                 TRANSACTION_PATH,
-                then,
+                on_done,
                 transaction_body({FENCING_TOKEN_KEY: self.state.token_version()}, []),
                 self.election.leader_ttl_s / 3,
             )
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -322,7 +322,7 @@
         jobs, gone = set(page.jobs), dict(page.gone)
         version = max(page.version, self.versions.get(page.key, 0))
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             page.writing = False
             if outcome is TransactionOutcome.APPLIED:
                 page.version = max(page.version, revision)
@@ -343,7 +343,7 @@
             Operation(
                 {FENCING_TOKEN_KEY: self.token_version(), page.key: version},
                 [PutKey(page.key, self._value(page))],
-                then,
+                on_done,
                 now + self.deadline_s,
                 Priority.BATCHED,
             ),
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -283,11 +283,13 @@
         """Whether the one record has no room for more machines; there are always more pages."""
         return not self.paged and not self.moving and self.size > 0.85 * self.room
 
-    def book(self, now: float, request: str, place: MachineGroup, count: int, then: Wait) -> None:
-        """Store a booking; `then` is told whether it may be sent."""
+    def book(
+        self, now: float, request: str, place: MachineGroup, count: int, on_done: Wait
+    ) -> None:
+        """Store a booking; `on_done` is told whether it may be sent."""
         self.booked[request] = (place, count)
         page = self._file(request, place)
-        (self.waits if page is None else page.waits).append(then)
+        (self.waits if page is None else page.waits).append(on_done)
         self._touch(now, page)
 
     def ended(self, now: float, request: str, names: list[str]) -> None:
@@ -429,13 +431,13 @@
         waits, self.waits = self.waits, []
         marked, self.moved_marks = self.moved_marks, set()
         self._mark(now, marked)
-        for then in waits:
-            then(now, True)
+        for on_done in waits:
+            on_done(now, True)
 
     def _remove_record(self, now: float) -> None:
         """The last step of a move: all pages are stored, so the one record may go."""
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
             if outcome is TransactionOutcome.APPLIED:
                 self._moved(n)
@@ -448,7 +450,7 @@
         self._submit(
             now,
             Operation(
-                guards, [DeleteKey(INVENTORY_KEY)], then, now + self.deadline_s, Priority.NORMAL
+                guards, [DeleteKey(INVENTORY_KEY)], on_done, now + self.deadline_s, Priority.NORMAL
             ),
         )
 
@@ -458,7 +460,7 @@
         guards = {FENCING_TOKEN_KEY: self.token_version()}
         guards.update({f"{INVENTORY_PAGES_PREFIX}{n}": self.leftover[n] for n in numbers})
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
             if outcome is TransactionOutcome.APPLIED:
                 for number in numbers:
@@ -468,7 +470,9 @@
 
         self.writing = True
         writes = [DeleteKey(f"{INVENTORY_PAGES_PREFIX}{n}") for n in numbers]
-        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
+        self._submit(
+            now, Operation(guards, writes, on_done, now + self.deadline_s, Priority.NORMAL)
+        )
         self.next_write = now + len(numbers) * self.gap_s
 
     # -- writing ---------------------------------------------------------------------------------
@@ -530,7 +534,7 @@
         value = msgspec.to_builtins(self._record(items))
         token, version = self.token_version(), self.version
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.UNKNOWN and version == 0:
                 self.unsure_at = token
             self._written(n, outcome, revision, waits, marked)
@@ -538,7 +542,7 @@
         op = Operation(
             {FENCING_TOKEN_KEY: token, INVENTORY_KEY: version},
             [PutKey(INVENTORY_KEY, value)],
-            then,
+            on_done,
             now + self.deadline_s,
             Priority.NORMAL,
         )
@@ -569,8 +573,8 @@
                     self.next_write = now
                     return
                 self.waits = self.waits[len(waits) :]
-        for then in waits:
-            then(now, outcome is TransactionOutcome.APPLIED)
+        for on_done in waits:
+            on_done(now, outcome is TransactionOutcome.APPLIED)
 
     def _write_pages(self, now: float, due: list[InventoryPage]) -> None:
         pages: list[tuple[InventoryPage, list[Wait], set[str]]] = []
@@ -592,7 +596,7 @@
             waits, page.waits, page.due = page.waits, [], None
             pages.append((page, waits, set(page.items)))
 
-        def then(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
             learnt = outcome is TransactionOutcome.INVALID and self._refused(
                 pages[0][0], largest, len(pages)
@@ -614,7 +618,9 @@
 
         self.writing = True
         marked = set(self.up)
-        self._submit(now, Operation(guards, writes, then, now + self.deadline_s, Priority.NORMAL))
+        self._submit(
+            now, Operation(guards, writes, on_done, now + self.deadline_s, Priority.NORMAL)
+        )
 
     def _refused(self, page: InventoryPage, size: int, count: int) -> bool:
         """The state service has refused pages as invalid; returns whether that taught anything.
@@ -656,5 +662,5 @@
             self.waits.extend(waits)
             return
         self._mark(now, names & marked)
-        for then in waits:
-            then(now, True)
+        for on_done in waits:
+            on_done(now, True)
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -165,7 +165,7 @@
             try:
                 if status == NOT_SENT and call.service != "worker":
                     status = NO_ANSWER
-                call.then(self.now(), CallOutcome(status, body))
+                call.on_done(self.now(), CallOutcome(status, body))
             except Exception:
                 logger.exception("an answer could not be handled")
             self._drain()
--- a/tests/production.py
+++ b/tests/production.py
@@ -34,6 +34,7 @@
 
 # The same for the classes of a node's parts.
 FORMER_PART_NAMES = {
+    "Call": {"on_done": "then"},
     "Authority": {"has_authority": "entitled"},
     "Holder": {"has_authority": "entitled"},
 }
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -148,7 +148,7 @@
                 return
             over.append(True)
             if self.life[name] == life and name in self.nodes:
-                call.then(self.now, CallOutcome(status, body))
+                call.on_done(self.now, CallOutcome(status, body))
                 self.drain(name)
 
         def reply(status, body):
--- a/tests/state_service.py
+++ b/tests/state_service.py
@@ -81,7 +81,7 @@
             answer = self.serve(call) if fate in ("served", "answer lost") else (0, b"")
             if fate == "late":
                 self.late.append(call)
-            call.then(self.now, CallOutcome(*answer) if fate == "served" else CallOutcome(0))
+            call.on_done(self.now, CallOutcome(*answer) if fate == "served" else CallOutcome(0))
         before, held = getattr(self, "seen", {}), self.stored()
         fleet_store.saw(held.version)
         for number in {*held.pages, *before}:
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -56,7 +56,7 @@
         calls, service.out.calls = service.out.calls, []
         for call in calls:
             before = ends_stored(service, progress.jobs.jobs)
-            call.then(service.now, CallOutcome(*service.serve(call)))
+            call.on_done(service.now, CallOutcome(*service.serve(call)))
             after = ends_stored(service, progress.jobs.jobs)
             assert all(before[i] <= after[i] for i in before)
         service.now += 0.05
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -214,7 +214,7 @@
     node.out.calls.clear()
     node.user_api.note_removed("req-000001")
     item = {"path": "c/live/req-000001", "value": {"spec": job(1)}, "stamp": 3}
-    read.then(simulation.now, CallOutcome(200, json.dumps(item).encode()))
+    read.on_done(simulation.now, CallOutcome(200, json.dumps(item).encode()))
     assert not node.out.replies
     assert [c.path for c in node.out.calls] == ["/kv/d/job/req-000001"]
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -262,7 +262,7 @@
                 rng.choice(PLACES),
             )
 
-            def then(n, ok):
+            def on_done(n, ok):
                 if self.fleet_store is not fleet_store:
                     return
                 if ok:
@@ -272,7 +272,7 @@
                     fleet_store.ended(n, request, [])
 
             count = rng.randint(1, 20)
-            fleet_store.book(now, request, place, count, then)
+            fleet_store.book(now, request, place, count, on_done)
         elif kind < 0.5 and self.open:
             request = rng.choice(sorted(self.open))
             del self.open[request]
@@ -375,11 +375,11 @@
     service.state.drop(value_kb=0.5)
     sent, pages, request = [], len(fleet_store.pages), "b" * 600
 
-    def then(now, ok):
+    def on_done(now, ok):
         sent.append(ok)
         fleet_store.ended(now, request, [])
 
-    fleet_store.book(service.now, request, PLACES[0], 1, then)
+    fleet_store.book(service.now, request, PLACES[0], 1, on_done)
     service.run(fleet_store, 10.0)
     # Its booker is told, may not send it and lets it go; what else there is finds a page.
     assert sent == [False] and len(fleet_store.pages) <= pages + 1
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -40,7 +40,7 @@
                 self.seq += 1
                 self.shown = self.shown + runs
                 body = encode(self.message(self.shown, seq=self.seq))
-                call.then(self.now, CallOutcome(200, body))
+                call.on_done(self.now, CallOutcome(200, body))
         return found
 
     def tell(self, *states, attempt=None, seq=None):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -46,13 +46,13 @@
     bench.owner.tick(bench.now)
     for status, token, seq in ((409, 1, 7), (200, machine.base, 8)):
         (probe,) = bench.take("worker")
-        probe.then(bench.now, CallOutcome(status, said("m-9", [], token, 4, seq)))
+        probe.on_done(bench.now, CallOutcome(status, said("m-9", [], token, 4, seq)))
         bench.owner.commands.probe(bench.now)
     bench.owner.machines["m-1"].backoff_until = bench.now + 99.0
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
-    call.then(bench.now, CallOutcome(200, said("m-9", tasks, machine.base, 4, 9)))
+    call.on_done(bench.now, CallOutcome(200, said("m-9", tasks, machine.base, 4, 9)))
     bench.owner.scan(taken + bench.owner.timing.lease_s + 0.1)
     assert bench.job.placed == {0: "m-9"}
     bench.owner.scan(bench.now + bench.owner.timing.lease_s + 0.1)
@@ -129,10 +129,10 @@
     core.tick(50.0)
     (make,) = out.calls
     out.calls.clear()
-    make.then(50.0, CallOutcome(200, b'{"permit":7}'))
+    make.on_done(50.0, CallOutcome(200, b'{"permit":7}'))
     (win,) = out.calls
     out.calls.clear()
-    win.then(51.0, CallOutcome(0))
+    win.on_done(51.0, CallOutcome(0))
 
     def promised():
         out.frames.clear()
@@ -142,7 +142,7 @@
     assert not promised()
     if settles == "lease ended":
         (drop,) = out.calls
-        drop.then(51.1, CallOutcome(200))
+        drop.on_done(51.1, CallOutcome(200))
     else:
         core.on_watch_event(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
     assert promised()
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -116,7 +116,7 @@
                 self.after(self.hung[name] - self.now, lambda: finish(status, body))
             elif not over and self.nodes[name] is node:
                 over.append(True)
-                call.then(self.clock(name), CallOutcome(status, body))
+                call.on_done(self.clock(name), CallOutcome(status, body))
                 self.drain(name)
 
         def arrive():
@@ -243,7 +243,7 @@
     (asked,) = node.out.calls
     node.out.calls.clear()
     model.state.handle(
-        asked.method, asked.path, asked.body, lambda s, b: asked.then(now, CallOutcome(s, b))
+        asked.method, asked.path, asked.body, lambda s, b: asked.on_done(now, CallOutcome(s, b))
     )
     (sent,) = node.out.calls
     node.out.calls.clear()
@@ -277,14 +277,14 @@
     # Guards whoever holds the vote_s: the late win would be this member's, which after a restart
     # keeps no promise. It is over once the lease is certainly gone or another token is stored.
     _, node, now, sent = campaign_on_its_way()
-    sent.then(now, CallOutcome(0))
+    sent.on_done(now, CallOutcome(0))
     (drop,) = node.out.calls
     assert (drop.method, node.campaigning) == ("DELETE", False)
     assert not votes(node, now)
     if over == "token seen":
         node.on_watch_event(now, "c/token", b'{"token":1,"member":"b"}', 50)
     else:
-        drop.then(now, CallOutcome(503))
+        drop.on_done(now, CallOutcome(503))
         assert not votes(node, now)
-        drop.then(now, CallOutcome(200 if over == "lease ended" else 404))
+        drop.on_done(now, CallOutcome(200 if over == "lease ended" else 404))
     assert votes(node, now)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -33,7 +33,7 @@
     while "user" not in order and now < 5.0:
         calls, out.calls = out.calls, []
         for call in calls:
-            call.then(now, CallOutcome(200, b'{"issue":1}'))
+            call.on_done(now, CallOutcome(200, b'{"issue":1}'))
         now += 0.05
         transactions.pump(now)
     assert "user" in order and now < 0.5 and len(order) < 20
@@ -55,7 +55,7 @@
     body = json.loads(write.body)
     assert not sent and body["writes"][0]["value"]["places"][0]["booked"] == {"b-1-1": 2}
     assert {g["path"] for g in body["guards"]} == {"c/token", "c/fleet"}
-    write.then(0.1, CallOutcome(200, b'{"issue":5}'))
+    write.on_done(0.1, CallOutcome(200, b'{"issue":5}'))
     assert sent == [True]
     # A successor that finds the booking repeats it; one that finds the names needn't.
     value = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
@@ -73,14 +73,14 @@
     made.came_up(0.0, "m-2", ("box", "a", True))
     (first,) = out.calls
     out.calls.clear()
-    first.then(0.1, CallOutcome(0))
+    first.on_done(0.1, CallOutcome(0))
     assert not marked
     made.saw(9)
     made.tick(2.0)
     (second,) = out.calls
     guards = json.loads(second.body)["guards"]
     assert {"path": "c/fleet", "stamp": 9} in guards
-    second.then(2.1, CallOutcome(200, b'{"issue":10}'))
+    second.on_done(2.1, CallOutcome(200, b'{"issue":10}'))
     assert sorted(marked) == ["m-1", "m-2"]
 
 
@@ -91,10 +91,10 @@
     watch_cache = WatchCache(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
     watch_cache.tick(0.0)
     page = {"items": [{"path": "c/x", "value": 1, "stamp": 10}], "truncated": False, "issue": 6}
-    out.calls.pop().then(0.0, CallOutcome(200, json.dumps(page).encode()))
+    out.calls.pop().on_done(0.0, CallOutcome(200, json.dumps(page).encode()))
     news = {
         "issue": 10,
         "news": [{"remove": "c/x", "stamp": 7}, {"put": "c/x", "value": 1, "stamp": 10}],
     }
-    out.calls.pop().then(0.1, CallOutcome(200, json.dumps(news).encode()))
+    out.calls.pop().on_done(0.1, CallOutcome(200, json.dumps(news).encode()))
     assert seen["c/x"] is not None
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -491,7 +491,7 @@
     # the new process has seen no token that passes it.
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, CallOutcome(0))
+    call.on_done(bench.now, CallOutcome(0))
     bench.report([])
     assert bench.job.placed == {0: "m-1"}, "it may yet be carried out"
     bench.report([], token=0, session=2, seq=1)
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -94,7 +94,7 @@
 
     def answer_state(self, status=200):
         for call in self.take("state"):
-            call.then(self.now, CallOutcome(status, b'{"issue":60}'))
+            call.on_done(self.now, CallOutcome(status, b'{"issue":60}'))
 
     def take(self, service):
         found = [c for c in self.out.calls if c.service == service]
@@ -121,7 +121,7 @@
 def test_an_unanswered_start_stays_possible_until_a_higher_token_is_seen():
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, CallOutcome(0))
+    call.on_done(bench.now, CallOutcome(0))
     answer = bench.report([])
     assert bench.job.placed == {0: "m-1"}, "an old token's report proves nothing"
     assert answer.token > bench.token
@@ -133,7 +133,7 @@
 def test_a_refused_start_is_free_at_once():
     bench = Bench()
     call, _ = bench.start()
-    call.then(bench.now, CallOutcome(409, encode(bench.message([], seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(409, encode(bench.message([], seq=bench.seq + 1))))
     assert bench.job.placed == {}
 
 
@@ -166,7 +166,7 @@
     bench = Bench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", "done")]
-    call.then(
+    call.on_done(
         bench.now,
         CallOutcome(
             200,
@@ -190,14 +190,14 @@
     bench = Bench()
     call, attempt = bench.start()
     running = [("req-000001/0", attempt, "running", None)]
-    call.then(bench.now, CallOutcome(200, encode(bench.message(running, seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(200, encode(bench.message(running, seq=bench.seq + 1))))
     bench.seq += 1
     gone, over = bench.jobs.saw(bench.now, "c/live/req-000001", None, 80)
     assert over
     bench.owner.job_ended(bench.now, gone)
     (kill,) = bench.take("worker")
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
-    kill.then(bench.now, CallOutcome(0))
+    kill.on_done(bench.now, CallOutcome(0))
     for _ in range(2):
         assert [c.op for c in bench.report(running).commands] == [CommandKind.STOP]
 
@@ -233,7 +233,7 @@
     bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
-    call.then(bench.now, CallOutcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
     bench.seq += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
@@ -318,12 +318,12 @@
         )
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
-    probe.then(bench.now, CallOutcome(409, answer(4, 1, 7)))
+    probe.on_done(bench.now, CallOutcome(409, answer(4, 1, 7)))
     assert not machine.settled and bench.owner.unsettled == {"m-9"}
     bench.owner.tick(bench.now)
     (probe,) = bench.take("worker")
     assert json.loads(probe.body)["shift"] == 4
-    probe.then(bench.now, CallOutcome(200, answer(4, machine.base, 8)))
+    probe.on_done(bench.now, CallOutcome(200, answer(4, machine.base, 8)))
     assert machine.settled and not bench.owner.unsettled and bench.job.placed == {0: "m-9"}
 
 
@@ -334,7 +334,7 @@
     for _ in range(3):
         bench.owner.tick(bench.now)
         (probe,) = bench.take("worker")
-        probe.then(bench.now, CallOutcome(0))
+        probe.on_done(bench.now, CallOutcome(0))
         bench.owner.tick(bench.now)
         assert not bench.take("worker")
         assert not bench.owner.demand.is_startable(bench.job, bench.now)
@@ -352,7 +352,7 @@
     bench = Bench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", why)]
-    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += 60.0
     bench.report(ended)
@@ -369,7 +369,7 @@
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
-    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.seq += 1
     bench.now += bench.owner.completions.gather_s
     bench.owner.completions.tick(bench.now)
@@ -378,7 +378,7 @@
     assert put["put"].startswith("c/ends/") and set(put["value"]) == {"req-000001", "req-000002"}
     job = bench.jobs.jobs["req-000001"]
     assert not any(p.stored for p in bench.owner.machines["m-1"].tasks.values())
-    write.then(bench.now, CallOutcome(200, b'{"issue":90}'))
+    write.on_done(bench.now, CallOutcome(200, b'{"issue":90}'))
     assert job.is_done(0) and job.waiting() == 0
     assert sum(p.stored for p in bench.owner.machines["m-1"].tasks.values()) == 2
 
@@ -387,11 +387,11 @@
     bench = Bench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
-    call.then(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
     bench.owner.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
     put = json.loads(write.body)["writes"][0]
-    write.then(bench.now, CallOutcome(0))
+    write.on_done(bench.now, CallOutcome(0))
     bench.jobs.saw_completions(put["put"], json.dumps(put["value"]).encode())
     assert bench.job.is_done(0) and not bench.job.finished and not bench.job.results
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -30,7 +30,7 @@
         calls, service.out.calls = service.out.calls, []
         assert transactions.in_flight == len(calls) <= TransactionQueue.IN_FLIGHT
         for call in calls:
-            call.then(service.now, CallOutcome(*service.serve(call)))
+            call.on_done(service.now, CallOutcome(*service.serve(call)))
         service.now += 0.05
         transactions.pump(service.now)
     assert sorted(ends) == [
@@ -61,7 +61,7 @@
         calls, service.out.calls = service.out.calls, []
         sent += len(calls)
         for call in calls:
-            call.then(service.now, CallOutcome(*service.serve(call)))
+            call.on_done(service.now, CallOutcome(*service.serve(call)))
         service.now += 0.05
         transactions.pump(service.now)
         if len(ends) == 150:
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -254,5 +254,5 @@
         value = {"version": "9.0.0", "format": FORMAT + 1, "later": 1}
         if member == "n1":
             item = {"path": f"v/{member}", "value": value, "stamp": 7}
-            call.then(0.1, CallOutcome(200, json.dumps(item).encode()))
+            call.on_done(0.1, CallOutcome(200, json.dumps(item).encode()))
     assert registry.is_upgraded("n1") and not registry.is_upgraded("n0")
