--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -43,9 +43,9 @@
 class Rejection(Exception):
     """A submission that is refused: the status and why."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status, self.reason = status, reason
 
 
 def check(spec: JobSpec, cluster: Cluster, types: dict[str, MachineType]) -> None:
@@ -143,7 +143,7 @@
             known = decode(body, JobReference)
             refusal = Rejection(400, str(error))
             if known is None or not JOB_ID_PATTERN.match(known.id):
-                self._answer(request, 400, error_body(refusal.why))
+                self._answer(request, 400, error_body(refusal.reason))
             else:
                 self._refuse(now, request, known.id, refusal)
             return
@@ -314,9 +314,9 @@
             if record is not None:
                 self._tell(request, job_id, record)
             elif rejection.status == 503:
-                self._unavailable(request, rejection.why)
+                self._unavailable(request, rejection.reason)
             else:
-                self._answer(request, rejection.status, error_body(rejection.why))
+                self._answer(request, rejection.status, error_body(rejection.reason))
 
         self.lookup(now, job_id, found, lambda n: self._unavailable(request, "can't be decided"))
 
@@ -332,8 +332,8 @@
             answer = JobAnswer(job_id, state, done, running)
         self._answer(request, 200, encode(answer))
 
-    def _unavailable(self, request: object, why: str) -> None:
-        self.out.replies.append(Reply(request, 503, error_body(why), RETRY_AFTER))
+    def _unavailable(self, request: object, reason: str) -> None:
+        self.out.replies.append(Reply(request, 503, error_body(reason), RETRY_AFTER))
 
     def _answer(self, request: object, status: int, body: bytes) -> None:
         self.out.replies.append(Reply(request, status, body))
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -126,9 +126,9 @@
         """An owner has tasks that its machines have no room for in time."""
         self.planner.asked(now, wants)
 
-    def unowned(self, now: float, report: WorkerHeartbeat) -> None:
+    def unowned(self, now: float, heartbeat: WorkerHeartbeat) -> None:
         """A machine reports that is in nobody's shard: find out whose it is."""
-        self.following.unowned(now, report)
+        self.following.unowned(now, heartbeat)
 
     # -- time --------------------------------------------------------------------------------
 
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -74,7 +74,7 @@
         )
         state.machines[name] = machine
         state.table.put(entry)
-        state.added[shard] = state.table.seq
+        state.added[shard] = state.table.sequence
         return machine
 
     def restore(self, now: float) -> None:
@@ -95,11 +95,11 @@
             if machine is not None:
                 self.update(machine, recorded=True)
 
-    def learn_contact(self, machine: ManagedMachine, address: str, session: int) -> None:
+    def learn_contact(self, machine: ManagedMachine, address: str, agent_epoch: int) -> None:
         """Where a machine answers; kept for whoever commands it next."""
         known = machine.entry.contact
-        if known is None or (known.address, known.session) != (address, session):
-            self.update(machine, contact=MachineContact(address, session, 0))
+        if known is None or (known.address, known.agent_epoch) != (address, agent_epoch):
+            self.update(machine, contact=MachineContact(address, agent_epoch, 0))
 
     def rebase(
         self,
@@ -124,7 +124,7 @@
             proven=proven,
             contact=contact,
         )
-        self.state.added[shard] = self.state.table.seq
+        self.state.added[shard] = self.state.table.sequence
 
     def ask_back(
         self, now: float, machine: ManagedMachine, shard: int | None, vacate: bool = False
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -57,7 +57,7 @@
         if status.settled and not previous.settled and machine.entry.may_hold != Occupancy.EMPTY:
             records.update(machine, may_hold=Occupancy.EMPTY)
         if status.contact is not None and not status.given:
-            records.learn_contact(machine, status.contact.address, status.contact.session)
+            records.learn_contact(machine, status.contact.address, status.contact.agent_epoch)
         if status.given:
             self._on_released(now, machine, status)
             return
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -249,7 +249,7 @@
     def step_down(self, now: float, reason: str, backoff_s: float = 0.0) -> None:
         """Give the authority up at once; `backoff_s` keeps this node from campaigning."""
         if self.is_leader:
-            self.out.log("info", "stepping down", why=reason, token=self.token)
+            self.out.log("info", "stepping down", reason=reason, token=self.token)
             self.is_leader = False
             self.lease_until = self.extension_until = 0.0
             self.votes_until.clear()
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -204,7 +204,7 @@
         """Send the members what is new in the leader's table."""
         for member, grantee in cluster_manager.grantees.items():
             feed = grantee.feed
-            while feed is not None and feed.sent < cluster_manager.table.seq:
+            while feed is not None and feed.sent < cluster_manager.table.sequence:
                 before, upto, entries = feed.next(BATCH)
                 self.out.send(
                     member,
@@ -222,9 +222,9 @@
         elif isinstance(frame, RunningCounts):
             self.peer_counts[sender] = frame.running
         elif isinstance(frame, RelayedHeartbeat):
-            report = decode(frame.body, WorkerHeartbeat)
-            if report is not None:
-                status, body = self._answer(now, report, True)
+            heartbeat = decode(frame.body, WorkerHeartbeat)
+            if heartbeat is not None:
+                status, body = self._answer(now, heartbeat, True)
                 self.out.send(sender, RelayedAnswer(frame.number, status, body))
         elif isinstance(frame, ZoneAffinities):
             if self.cluster_manager is not None and frame.epoch == self.cluster_manager.epoch:
@@ -251,25 +251,25 @@
         else:
             self.election.on_frame(now, sender, frame)
 
-    def report(self, now: float, request: object, body: bytes) -> None:
+    def worker_heartbeat(self, now: float, request: object, body: bytes) -> None:
         """POST /v1/report."""
-        report = decode(body, WorkerHeartbeat)
-        if report is None:
+        heartbeat = decode(body, WorkerHeartbeat)
+        if heartbeat is None:
             self.out.replies.append(Reply(request, 400, error_body("malformed report")))
             return
-        grant_client, name = self.grant_client, report.machine
+        grant_client, name = self.grant_client, heartbeat.machine
         owner = grant_client.owner_of(name)
         if owner == self.settings.name:
-            self.out.replies.append(Reply(request, *self._answer(now, report, False)))
+            self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
             return
         if owner is None:
-            owner = self._unowned(now, report)
+            owner = self._unowned(now, heartbeat)
             if owner == self.settings.name and self.cluster_manager is not None:
-                self.out.replies.append(Reply(request, *self._answer(now, report, False)))
+                self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
                 return
         linked = owner is not None and self._linked(now, owner)
         if owner is not None and linked and self.relay.should_relay(now, name):
-            self.relay.relay_report(now, request, body, owner)
+            self.relay.relay_heartbeat(now, request, body, owner)
             return
         if owner is not None and not linked:
             # The worker would hardly fare better: another member may reach the owner.
@@ -282,26 +282,26 @@
         """Whether a member's beats, four in a promise's length, come in."""
         return now - self.peer_heard.get(member, float("-inf")) < self.timings.vote_s
 
-    def _unowned(self, now: float, report: WorkerHeartbeat) -> str | None:
+    def _unowned(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
         """Where a machine should go that nobody is known to command."""
         if self.cluster_manager is not None:
             if not self.cluster_manager.ready or not self.election.has_authority(now):
                 return None
-            self.cluster_manager.unowned(now, report)
+            self.cluster_manager.unowned(now, heartbeat)
             self.grant_client.refresh(now)
-            return self.grant_client.owner_of(report.machine)
+            return self.grant_client.owner_of(heartbeat.machine)
         leader = self.election.leader_name()
         return leader if leader != self.settings.name else None
 
-    def _answer(self, now: float, report: WorkerHeartbeat, handed: bool) -> tuple[int, bytes]:
+    def _answer(self, now: float, heartbeat: WorkerHeartbeat, handed: bool) -> tuple[int, bytes]:
         """What this node itself answers a report with."""
-        entry = self.grant_client.directory.get(report.machine)
+        entry = self.grant_client.directory.get(heartbeat.machine)
         owner = self.grant_client.schedulers.get(entry.shard) if entry is not None else None
         if owner is None or not self.grant_client.has_authority(now):
             if self.cluster_manager is not None and entry is None and handed:
-                self._unowned(now, report)
+                self._unowned(now, heartbeat)
             return 421, redirect_body(None)
-        answer = owner.report(now, report, handed)
+        answer = owner.worker_heartbeat(now, heartbeat, handed)
         if answer is None:
             return 503, error_body("not commanded here")
         return 200, encode(answer)
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -58,7 +58,9 @@
             machine.unreachable_since = now
             self.context.out.log("debug", "machine may be deaf", machine=machine.name)
 
-    def for_report(self, now: float, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
+    def for_heartbeat(
+        self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
+    ) -> list[Command]:
         """What the answer to a report tells the worker to do."""
         if not self.context.has_authority(now):
             return []
@@ -69,7 +71,7 @@
             if placement.state == TaskState.EXITED:
                 if not placement.stored or not placement.reported:
                     continue
-                if placement.sent_directly and placement.start_token >= report.token:
+                if placement.sent_directly and placement.start_token >= heartbeat.token:
                     # A repeat of the start could still arrive: pass it with a higher token first.
                     raise_token = raise_token or machine.token <= placement.start_token
                     continue
@@ -81,16 +83,16 @@
         if not machine.command_in_flight:
             if raise_token:
                 machine.token += 1
-            commands += self._starts_for_report(now, machine, report)
+            commands += self._starts_for_heartbeat(now, machine, heartbeat)
         return commands
 
-    def _starts_for_report(
-        self, now: float, machine: Machine, report: WorkerHeartbeat
+    def _starts_for_heartbeat(
+        self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> list[Command]:
         commands = []
         for placement in machine.starts:
             placement.sent_sequence, placement.sent_directly, placement.sent_at = (
-                report.seq,
+                heartbeat.sequence,
                 False,
                 now,
             )
@@ -105,7 +107,7 @@
         if (
             machine.command_in_flight
             or not machine.address
-            or machine.session == 0
+            or machine.agent_epoch == 0
             or now < max(machine.command_backoff_until, machine.relayed_until)
             or not self.context.has_authority(now)
             or machine.deletion_requested
@@ -147,7 +149,7 @@
         def on_done(at: float, outcome: CallOutcome) -> None:
             self._answered(at, outcome, machine, starts, ordered)
 
-        body = encode(DirectCommands(machine.token, max(1, machine.session), commands))
+        body = encode(DirectCommands(machine.token, max(1, machine.agent_epoch), commands))
         timeout = self.timing.report_s / 2 + 0.25
         self.context.out.calls.append(
             Call("worker", "POST", COMMANDS_PATH, on_done, body, timeout, machine.address)
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -37,15 +37,19 @@
         if job.ended():
             return
         if placement.attempt == job.attempt and not job.ending:
-            refused = placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN)
+            refused = placement.exit_cause in (
+                ExitCause.NO_CAPACITY,
+                ExitCause.BUSY,
+                ExitCause.UNKNOWN,
+            )
             waiting = not job.begun and (
                 refused
                 or placement.stop_grace_s is not None
-                or (placement.why == ExitCause.ERROR and not placement.running_at)
+                or (placement.exit_cause == ExitCause.ERROR and not placement.running_at)
             )
             if not waiting:
                 # Whatever the rest does now, it can't complete under this attempt.
-                self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.why)
+                self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.exit_cause)
         job.settle_gang()
 
     def all_reachable(self, now: float, job: Job) -> bool:
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -56,9 +56,9 @@
                 self.tasks.session_over(now, machine)
             if machine.deletion_requested:
                 continue
-            why = self._hopeless(now, machine, ended, silence)
-            if why:
-                self.out.log("info", "machine given up", machine=machine.name, why=why)
+            reason = self._hopeless(now, machine, ended, silence)
+            if reason:
+                self.out.log("info", "machine given up", machine=machine.name, reason=reason)
                 machine.deletion_requested = True
 
     def _hopeless(self, now: float, machine: Machine, ended: bool, silence: Silence) -> str:
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -24,7 +24,7 @@
 
 
 def proves_gone(
-    machine: Machine, placement: Placement, report: WorkerHeartbeat, full: bool
+    machine: Machine, placement: Placement, heartbeat: WorkerHeartbeat, full: bool
 ) -> bool:
     """Whether a report without the task proves that it is not, and will not be, there."""
     if placement.reported:
@@ -33,10 +33,10 @@
         return False
     if placement.barrier_token:
         # The start went unanswered: only a report that has seen a higher token passes it.
-        return report.token >= placement.barrier_token
+        return heartbeat.token >= placement.barrier_token
     if placement.sent_sequence >= 0:
         # Sent with an answer: the next report shows whether the answer was taken.
-        return full and report.seq > placement.sent_sequence
+        return full and heartbeat.sequence > placement.sent_sequence
     return False
 
 
@@ -50,24 +50,24 @@
         commands: Commands,
         tasks: TaskLifecycle,
         gangs: GangMonitor,
-        task_reports: TaskStatusHandler,
+        task_statuses: TaskStatusHandler,
     ) -> None:
         self.context, self.state, self.commands = context, state, commands
-        self.tasks, self.gangs, self.task_reports = tasks, gangs, task_reports
+        self.tasks, self.gangs, self.task_statuses = tasks, gangs, task_statuses
         self.jobs, self.timing = context.jobs, state.timing
         self.machines, self.tally = state.machines, state.tally
 
-    def report(
-        self, now: float, report: WorkerHeartbeat, handed: bool = False
+    def worker_heartbeat(
+        self, now: float, heartbeat: WorkerHeartbeat, handed: bool = False
     ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
         """
-        machine = self.machines.get(report.machine)
-        if machine is None or report.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
+        machine = self.machines.get(heartbeat.machine)
+        if machine is None or heartbeat.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
             return None
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             # A late copy: it changes nothing, and its answer carries no orders. What its answer
             # could renew was sent before the newest message that we know of came in.
             newest = max(machine.last_heartbeat_at, machine.last_message_at)
@@ -76,24 +76,24 @@
         # A worker that has found its way here can be told directly again: a new machine's first
         # report often comes to another controller.
         machine.relayed_until = now + 2 * self.timing.report_s if handed else float("-inf")
-        self.take(now, machine, report, True)
+        self.take(now, machine, heartbeat, True)
         if self._doubtful(now, machine):
             return None
         if machine.settled:
             # Only two-way contact counts as hearing workers: a report alone may be a late copy.
             self.state.last_heartbeat_at = now
         machine.last_answer_at = max(machine.last_answer_at, now)
-        commands = self.commands.for_report(now, machine, report)
+        commands = self.commands.for_heartbeat(now, machine, heartbeat)
         return HeartbeatAnswer(machine.token, commands)
 
-    def take(self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool) -> None:
+    def take(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool) -> None:
         """Bring what we know of a machine up to a newer report.
 
         `full`: the worker has sent it by itself; else it is the answer to a direct command.
         """
-        self._take_session(now, machine, report, full)
-        self._take_proofs(now, machine, report)
-        self._take_tasks(now, machine, report, full)
+        self._take_agent_epoch(now, machine, heartbeat, full)
+        self._take_proofs(now, machine, heartbeat)
+        self._take_tasks(now, machine, heartbeat, full)
         if machine.usage_stale:
             self.tally.recount(machine)
         if machine.tasks:
@@ -104,21 +104,21 @@
             if machine.draining and not machine.starts:
                 self.state.give_back_if_empty(machine)
 
-    def _take_session(
-        self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool
+    def _take_agent_epoch(
+        self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool
     ) -> None:
         """Note the session, and when the machine was heard."""
-        if report.session != machine.session:
-            if machine.session:
+        if heartbeat.agent_epoch != machine.agent_epoch:
+            if machine.agent_epoch:
                 # Its earlier tasks are gone. Whether the new session is ours alone only a token
                 # can show: an earlier commander may have known it already.
                 self.tasks.session_over(now, machine)
-            machine.session = report.session
+            machine.agent_epoch = heartbeat.agent_epoch
             # Its lease began before this was said. Counted from the last answer in the session
             # before, the end of that lease would free the tasks of the new one.
             machine.last_answer_at = max(machine.last_answer_at, now)
-        machine.seq = report.seq
-        machine.address = report.address
+        machine.sequence = heartbeat.sequence
+        machine.address = heartbeat.address
         machine.last_message_at = now
         if full or not machine.up:
             # Guards against a machine that can be commanded but can't report: nothing renews its
@@ -128,24 +128,24 @@
             machine.up, machine.up_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
-    def _take_proofs(self, now: float, machine: Machine, report: WorkerHeartbeat) -> None:
+    def _take_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Note the cloud's notice, and what the token proves."""
-        if report.notice_s is not None and machine.notice_until is None:
-            until = machine.notice_until = now + report.notice_s
+        if heartbeat.notice_s is not None and machine.notice_until is None:
+            until = machine.notice_until = now + heartbeat.notice_s
             self._noticed(now, machine, until - now)
-        if machine.unreachable_since is not None and report.token >= machine.probe_token:
+        if machine.unreachable_since is not None and heartbeat.token >= machine.probe_token:
             machine.unreachable_since, self.state.dirty = None, True
-        if not machine.settled and report.token >= machine.base:
+        if not machine.settled and heartbeat.token >= machine.base:
             machine.settled = True
             self.state.unsettled.discard(machine.name)
             self.state.dirty = True
 
     def _take_tasks(
-        self, now: float, machine: Machine, report: WorkerHeartbeat, full: bool
+        self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool
     ) -> None:
         """Bring the machine's tasks up to those that are listed."""
         listed = set()
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             name = parse_task(task.task)
             if name is None:
                 continue
@@ -154,10 +154,10 @@
             placement = machine.tasks.get(key)
             if placement is None:
                 placement = self._adopt(now, machine, key)
-            self.task_reports.update(now, machine, placement, task)
+            self.task_statuses.update(now, machine, placement, task)
         swallowed = False
         for placement in list(machine.tasks.values()):
-            if placement.key not in listed and proves_gone(machine, placement, report, full):
+            if placement.key not in listed and proves_gone(machine, placement, heartbeat, full):
                 swallowed = swallowed or not placement.reported
                 self.tasks.remove(now, machine, placement)
         if swallowed:
@@ -285,9 +285,9 @@
         ordered: bool,
     ) -> None:
         """A direct request was answered, or not: what has become of its starts."""
-        report = None
+        heartbeat = None
         if outcome.status in (200, 409):
-            report = decode(outcome.body, WorkerHeartbeat)
+            heartbeat = decode(outcome.body, WorkerHeartbeat)
         mine = [p for p in starts if machine.tasks.get(p.key) is p and not p.reported]
         if outcome.status == NOT_SENT and ordered:
             # No connection: whatever is there can't be reached, so it gets nothing new for now.
@@ -297,29 +297,29 @@
             # Nothing was executed, for certain.
             for placement in mine:
                 self.tasks.remove(now, machine, placement)
-        elif (outcome.status != 200 or report is None) and ordered:
+        elif (outcome.status != 200 or heartbeat is None) and ordered:
             # Unanswered: it may be executed at any later time, until the worker has seen a
             # higher token or begun another session.
             machine.command_backoff_until = now + 2 * self.timing.report_s
             self.commands.suspect_unreachable(now, machine)
             for placement in mine:
                 placement.barrier_token = machine.token
-        if report is not None:
-            self._take_direct(now, machine, report)
+        if heartbeat is not None:
+            self._take_direct(now, machine, heartbeat)
         if outcome.status == 200:
             for placement in mine:
                 if not placement.reported and machine.tasks.get(placement.key) is placement:
-                    placement.sent_sequence = machine.seq
+                    placement.sent_sequence = machine.sequence
         self.state.dirty = True
         self.commands.send(now, machine)
 
-    def _take_direct(self, now: float, machine: Machine, report: WorkerHeartbeat) -> None:
+    def _take_direct(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Take what an answer reports, if it is newer than what is known."""
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             return
-        if report.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
+        if heartbeat.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
             return
-        if report.session != machine.session:
+        if heartbeat.agent_epoch != machine.agent_epoch:
             # It was asked under a session that is over; now the right one is known.
             machine.next_probe_at = now
-        self.take(now, machine, report, False)
+        self.take(now, machine, heartbeat, False)
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -61,7 +61,7 @@
     image: str
     estimate_s: float
     state: str = ""
-    why: str = ""
+    exit_cause: str = ""
     sent_at: float = 0.0
     running_at: float = 0.0
     reported: bool = False
@@ -100,8 +100,8 @@
     base: int = 0
     address: str = ""
     token: int = 0
-    session: int = 0
-    seq: int = 0
+    agent_epoch: int = 0
+    sequence: int = 0
     recorded: bool = False
     settled: bool = False
     # Tasks of another shard are here.
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -89,10 +89,10 @@
         self.machines[entry.name] = machine
         self.state.dirty = True
         if entry.contact is not None:
-            machine.address, machine.session = entry.contact.address, entry.contact.session
+            machine.address, machine.agent_epoch = entry.contact.address, entry.contact.agent_epoch
         if entry.proven and entry.contact is not None:
             # It can be commanded at once.
-            machine.seq = entry.contact.seq
+            machine.sequence = entry.contact.sequence
             machine.settled = machine.up = True
             machine.up_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif entry.recorded and entry.may_hold != Occupancy.EMPTY:
@@ -132,7 +132,7 @@
             )
             settled = machine.settled and not machine.holds_other_shard
             if self._is_news(machine, idle, settled):
-                machine.last_status_session = machine.session
+                machine.last_status_session = machine.agent_epoch
                 machine.last_status = self._status(machine, idle, settled)
                 told.append(machine.last_status)
         return told
@@ -148,7 +148,7 @@
             or last.settled != settled
             or last.release != machine.deletion_requested
             or last.used_cpus != machine.used_cpus
-            or machine.last_status_session != machine.session
+            or machine.last_status_session != machine.agent_epoch
         )
 
     @staticmethod
@@ -162,5 +162,5 @@
             idle,
             release=machine.deletion_requested,
             used_cpus=machine.used_cpus,
-            contact=MachineContact(machine.address, machine.session, 0) if known else None,
+            contact=MachineContact(machine.address, machine.agent_epoch, 0) if known else None,
         )
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -39,9 +39,11 @@
         tasks = TaskLifecycle(context, state, self.commands)
         self.results = JobResults(context, state, tasks)
         gangs = GangMonitor(state, tasks)
-        task_reports = TaskStatusHandler(context, state, tasks, gangs, self.results)
-        self.reports = HeartbeatHandler(context, state, self.commands, tasks, gangs, task_reports)
-        self.commands.on_answer = self.reports.direct_answer
+        task_statuses = TaskStatusHandler(context, state, tasks, gangs, self.results)
+        self.heartbeats = HeartbeatHandler(
+            context, state, self.commands, tasks, gangs, task_statuses
+        )
+        self.commands.on_answer = self.heartbeats.direct_answer
         self.ownership = Ownership(context, state, self.commands, tasks)
         self.silence_scan = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
@@ -79,21 +81,21 @@
     def begin(self, now: float) -> None:
         """The view has caught up: what is not in it is over."""
         self.state.ready = True
-        self.reports.match_jobs()
+        self.heartbeats.match_jobs()
         self.state.dirty = True
 
     def learn(self, now: float, entry: MachineRoute) -> None:
         """The leader's table has an entry for a machine."""
         self.ownership.learn(now, entry)
 
-    def report(
-        self, now: float, report: WorkerHeartbeat, handed: bool = False
+    def worker_heartbeat(
+        self, now: float, heartbeat: WorkerHeartbeat, handed: bool = False
     ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
         `handed`: it came over another controller, since its worker doesn't reach this one.
         """
-        return self.reports.report(now, report, handed)
+        return self.heartbeats.worker_heartbeat(now, heartbeat, handed)
 
     def job_ended(self, now: float, job: Job) -> None:
         """The job's record is gone: nothing of it may start, and all of it must go."""
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -84,7 +84,7 @@
         """Give a machine back to the leader if it is proven empty; returns whether it was."""
         if not (machine.empty() and machine.settled and machine.unreachable_since is None):
             return False
-        contact = MachineContact(machine.address, machine.session, machine.seq)
+        contact = MachineContact(machine.address, machine.agent_epoch, machine.sequence)
         self.part_with(
             machine,
             MachineStatus(
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -68,9 +68,9 @@
         job: Job | None,
     ) -> None:
         """A task that was active is reported as ended."""
-        placement.state, placement.why = TaskState.EXITED, task.why or ""
+        placement.state, placement.exit_cause = TaskState.EXITED, task.exit_cause or ""
         machine.usage_stale = True
-        if placement.why != ExitCause.DONE:
+        if placement.exit_cause != ExitCause.DONE:
             self._log_end(now, machine, placement, task)
         if placement.team == UNIDENTIFIED and job is None:
             placement.stored = self.state.knows_over(placement)
@@ -78,7 +78,7 @@
         self.state.dirty = True
         if job is None:
             placement.stored = True
-        elif placement.why == ExitCause.DONE:
+        elif placement.exit_cause == ExitCause.DONE:
             self._done(now, machine, placement, job)
         else:
             self._ended_undone(now, machine, placement, job)
@@ -90,7 +90,7 @@
             "debug",
             "task ended",
             task=task.task,
-            why=placement.why,
+            exit_cause=placement.exit_cause,
             asked=placement.stop_reason,
             machine=machine.name,
             ran=round(now - placement.running_at, 1) if placement.running_at else 0,
@@ -124,11 +124,11 @@
         if self._is_current(machine, placement, job):
             job.release(placement.index)
         report_s = self.state.timing.report_s
-        if placement.why == ExitCause.ERROR:
+        if placement.exit_cause == ExitCause.ERROR:
             self._failed(now, machine, job)
-        elif placement.why in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
+        elif placement.exit_cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
             machine.backoff_until = now + report_s
-        elif placement.why == ExitCause.UNKNOWN:
+        elif placement.exit_cause == ExitCause.UNKNOWN:
             # The worker fetches the description itself and may have been told nothing yet.
             job.backoff_until = now + report_s
         if job.spec.gang:
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -98,7 +98,7 @@
         if machine.draining:
             self.state.give_back_if_empty(machine)
 
-    def stop(self, now: float, placement: Placement, why: StopReason, save: bool = True) -> None:
+    def stop(self, now: float, placement: Placement, reason: StopReason, save: bool = True) -> None:
         """Stop a task in order; of a gang that has begun all tasks, so that they save together.
 
         Unless `save`, it is ended at once, and only what its last checkpoint has is kept.
@@ -107,13 +107,13 @@
         if job is None or not job.spec.gang or not job.begun or job.ending:
             # A gang that hasn't begun waits for a replacement under the same attempt.
             grace = self._save_s(placement) if save else 0.0
-            placement.stop_grace_s, placement.stop_reason = grace, why
+            placement.stop_grace_s, placement.stop_reason = grace, reason
             placement.stop_sent_at = 0.0
         else:
-            self.end_gang(now, job, why, self._save_s(placement))
+            self.end_gang(now, job, reason, self._save_s(placement))
 
     def end_gang(
-        self, now: float, job: Job, why: StopReason, grace: float, reported: str = ""
+        self, now: float, job: Job, reason: StopReason, grace: float, reported: str = ""
     ) -> None:
         """An attempt is over: all its tasks go, told as close together as can be.
 
@@ -124,7 +124,7 @@
             return
         job.ending = True
         self.context.out.log(
-            "info", "gang stopped", job=job.spec.id, why=reported or why, begun=job.begun
+            "info", "gang stopped", job=job.spec.id, reason=reported or reason, begun=job.begun
         )
         for name in list(self.where.get(job.spec.id, ())):
             machine = self.machines.get(name)
@@ -138,13 +138,13 @@
                 elif placement.stop_grace_s is None:
                     placement.stop_grace_s, placement.stop_reason, placement.stop_sent_at = (
                         grace,
-                        why,
+                        reason,
                         0.0,
                     )
             self.commands.send(now, machine)
         job.settle_gang()
 
-    def stop_all(self, now: float, job: Job, why: StopReason) -> None:
+    def stop_all(self, now: float, job: Job, reason: StopReason) -> None:
         """Take back a job's starts, and stop all that is or may be there."""
         for name in list(self.where.get(job.spec.id, ())):
             machine = self.machines.get(name)
@@ -158,7 +158,7 @@
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.active:
-                    placement.stop_grace_s, placement.stop_reason = 0.0, why
+                    placement.stop_grace_s, placement.stop_reason = 0.0, reason
                     placement.stop_sent_at = 0.0
                 elif job.spec.id not in self.jobs.jobs:
                     placement.stored = True
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -191,7 +191,7 @@
             owner.returning = False
             for status in owner.statuses(now):
                 self.table.put(status)
-        while self.feed.sent < self.table.seq:
+        while self.feed.sent < self.table.sequence:
             before, upto, statuses = self.feed.next(BATCH)
             self._send(
                 now,
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -178,7 +178,7 @@
         # Kept for it until it has had time to ask.
         grantee = state.grantees[owner]
         grantee.grants_expire_at = max(grantee.grants_expire_at, now + state.grant_s)
-        shard.owner, shard.serial, shard.at = owner, self.serial, state.table.seq
+        shard.owner, shard.serial, shard.at = owner, self.serial, state.table.sequence
         if shard.free_at <= state.won_at:
             shard.revision = state.token_version()
         else:
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -56,7 +56,7 @@
         worker.referred = True
         return False
 
-    def relay_report(self, now: float, request: object, body: bytes, member: str) -> None:
+    def relay_heartbeat(self, now: float, request: object, body: bytes, member: str) -> None:
         """Send a report on."""
         self.number = (self.number + 1) & 0xFFFFFFFF
         self.pending[self.number] = (now + self.wait_s, request)
--- a/src/copperpass/core/shards/routing.py
+++ b/src/copperpass/core/shards/routing.py
@@ -35,30 +35,30 @@
 
     def __init__(self) -> None:
         self.entries: dict[str, tuple[int, T]] = {}
-        self.seq = 0
+        self.sequence = 0
 
     def put(self, entry: T) -> bool:
         """Set a machine's entry; says whether that changed anything."""
         held = self.entries.get(entry.name)
         if held is not None and held[1] == entry:
             return False
-        self.seq += 1
+        self.sequence += 1
         # Dictionaries keep the order of insertion: the newest stays last.
         self.entries.pop(entry.name, None)
-        self.entries[entry.name] = (self.seq, entry)
+        self.entries[entry.name] = (self.sequence, entry)
         return True
 
-    def after(self, seq: int, most: int) -> tuple[list[T], int]:
+    def after(self, sequence: int, most: int) -> tuple[list[T], int]:
         """Up to `most` entries newer than a number, oldest first, and the last one's number."""
         newer: list[tuple[int, T]] = []
         # The newest stand last: what a receiver has already is not gone over.
         for held in reversed(self.entries.values()):
-            if held[0] <= seq:
+            if held[0] <= sequence:
                 break
             newer.append(held)
         newer.reverse()
-        upto = self.seq if len(newer) <= most else newer[most - 1][0]
-        return [entry for _, entry in newer[:most]], max(seq, upto)
+        upto = self.sequence if len(newer) <= most else newer[most - 1][0]
+        return [entry for _, entry in newer[:most]], max(sequence, upto)
 
 
 class ReplicationSender(Generic[T]):
@@ -69,10 +69,10 @@
         self.acked = self.sent = 0
         self.idle = 0
 
-    def acknowledged(self, seq: int) -> None:
+    def acknowledged(self, sequence: int) -> None:
         """The receiver has everything up to a number; what was lost is sent again."""
-        if seq > self.acked or seq >= self.sent:
-            self.acked, self.idle = max(self.acked, seq), 0
+        if sequence > self.acked or sequence >= self.sent:
+            self.acked, self.idle = max(self.acked, sequence), 0
             self.sent = max(self.sent, self.acked)
             return
         self.idle += 1
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -57,7 +57,7 @@
         """Say once for each link what its sender knows and this version doesn't."""
         if not self.told_unknown:
             self.told_unknown = True
-            fields = {"peer": self.sender, "kind": frame.kind, "why": frame.why}
+            fields = {"peer": self.sender, "kind": frame.kind, "why": frame.reason}
             logger.info("unknown frame skipped", extra={"fields": fields})
 
 
--- a/src/copperpass/net/server.py
+++ b/src/copperpass/net/server.py
@@ -49,7 +49,7 @@
         content: Any = self.content
         if path == HEARTBEAT_PATH:
             if self._allow(method, "POST"):
-                service.report(self, content.read(MAX_BODY_BYTES + 1))
+                service.worker_heartbeat(self, content.read(MAX_BODY_BYTES + 1))
         elif path == HEALTH_PATH:
             if self._allow(method, "GET"):
                 self.reply(*service.health())
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -110,10 +110,10 @@
         self.soon = None
         self._run()
 
-    def report(self, request: Any, body: bytes) -> None:
+    def worker_heartbeat(self, request: Any, body: bytes) -> None:
         """A worker's report."""
         try:
-            self.node.report(self.now(), request, body)
+            self.node.worker_heartbeat(self.now(), request, body)
         except Exception:
             logger.exception("report failed")
             request.reply(503, b"{}")
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -126,7 +126,7 @@
 _PROMISE_REQUEST = struct.Struct("!QQ")
 _PROMISE = struct.Struct("!QQB")
 _RUNNING_COUNT = struct.Struct("!BI")
-_RELAYED_REPORT = struct.Struct("!I")
+_RELAYED_HEARTBEAT = struct.Struct("!I")
 _RELAYED_ANSWER = struct.Struct("!IH")
 _GRANT_REQUEST = struct.Struct("!QQIQ")
 _GRANT = struct.Struct("!QQIIQBQB")
@@ -159,7 +159,7 @@
 def _encode_contact(contact: MachineContact | None) -> bytes:
     if contact is None:
         return b""
-    return _text(contact.address) + _CONTACT.pack(contact.session, contact.seq)
+    return _text(contact.address) + _CONTACT.pack(contact.agent_epoch, contact.sequence)
 
 
 def _decode_contact(reader: PayloadReader, present: bool) -> MachineContact | None:
@@ -306,12 +306,12 @@
     return RunningCounts(running)
 
 
-def _encode_relayed_report(frame: RelayedHeartbeat) -> bytes:
-    return _RELAYED_REPORT.pack(frame.number) + frame.body
+def _encode_relayed_heartbeat(frame: RelayedHeartbeat) -> bytes:
+    return _RELAYED_HEARTBEAT.pack(frame.number) + frame.body
 
 
-def _decode_relayed_report(reader: PayloadReader) -> RelayedHeartbeat:
-    (number,) = reader.unpack(_RELAYED_REPORT)
+def _decode_relayed_heartbeat(reader: PayloadReader) -> RelayedHeartbeat:
+    (number,) = reader.unpack(_RELAYED_HEARTBEAT)
     return RelayedHeartbeat(number, reader.rest())
 
 
@@ -432,8 +432,8 @@
     FrameCodec(
         FrameKind.RELAYED_HEARTBEAT,
         RelayedHeartbeat,
-        _encode_relayed_report,
-        _decode_relayed_report,
+        _encode_relayed_heartbeat,
+        _decode_relayed_heartbeat,
     ),
     FrameCodec(
         FrameKind.RELAYED_ANSWER, RelayedAnswer, _encode_relayed_answer, _decode_relayed_answer
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -26,8 +26,8 @@
     """Where a machine was heard last."""
 
     address: str
-    session: int
-    seq: int
+    agent_epoch: int
+    sequence: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
     """What a member of a later version has sent and this one can't read: to be skipped."""
 
     kind: int
-    why: str
+    reason: str
 
 
 Frame = (
--- a/src/copperpass/protocol/workers.py
+++ b/src/copperpass/protocol/workers.py
@@ -49,14 +49,15 @@
 
 
 class TaskStatus(
-    msgspec.Struct, rename={"task": "page", "attempt": "take", "state": "status", "why": "cause"}
+    msgspec.Struct,
+    rename={"task": "page", "attempt": "take", "state": "status", "exit_cause": "cause"},
 ):
     """A task on a machine."""
 
     task: str
     attempt: int
     state: str
-    why: str | None = None
+    exit_cause: str | None = None
     saved: bool | None = None
 
 
@@ -67,8 +68,8 @@
         "type": "rack",
         "zone": "hall",
         "spot": "borrowed",
-        "session": "shift",
-        "seq": "line",
+        "agent_epoch": "shift",
+        "sequence": "line",
         "token": "baton",
         "notice_s": "recall_s",
         "tasks": "pages",
@@ -81,8 +82,8 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    seq: int
+    agent_epoch: int
+    sequence: int
     token: int = 0
     notice_s: float | None = None
     tasks: list[TaskStatus] = msgspec.field(default_factory=list)
@@ -109,12 +110,12 @@
 
 
 class DirectCommands(
-    msgspec.Struct, rename={"token": "baton", "session": "shift", "commands": "orders"}
+    msgspec.Struct, rename={"token": "baton", "agent_epoch": "shift", "commands": "orders"}
 ):
     """Orders sent straight to a worker."""
 
     token: int
-    session: int
+    agent_epoch: int
     commands: list[Command]
 
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -21,6 +21,7 @@
 VERSION_0_2_0 = "fffd8b90a2701387c2f0a7c63039604073094e15"
 # What the tests look at in a node, and what versions up to 0.3.0 call it.
 FORMER_NAMES = {
+    "worker_heartbeat": "report",
     "schedulers": "owners",
     "user_api": "desk",
     "cluster_manager": "landlord",
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -60,7 +60,9 @@
     def copy(self, name, body):
         """A late copy of a report: nobody waits for the answer."""
         if name in self.nodes:
-            self.nodes[name].report(self.now, WorkerRequest(lambda status, body: None), body)
+            self.nodes[name].worker_heartbeat(
+                self.now, WorkerRequest(lambda status, body: None), body
+            )
             self.drain(name)
 
     def maybe_copied(self, name, body):
@@ -83,7 +85,7 @@
                     name, sender, lambda: reply(status, body), back=True
                 )
             )
-            node.report(self.now, asker, body)
+            node.worker_heartbeat(self.now, asker, body)
             self.drain(name)
 
         self.carry(sender, name, arrive)
--- a/tests/standins/gang.py
+++ b/tests/standins/gang.py
@@ -55,7 +55,7 @@
         self.progress = self.simulation.progress.get(self.job_id, 0.0)
         self.go()
 
-    def leave(self, worker, key, mark, why, only=None, **more):
+    def leave(self, worker, key, mark, exit_cause, only=None, **more):
         """Exit by itself, once its machine executes it."""
         if (
             worker.tasks.get(key) is not mark
@@ -65,12 +65,13 @@
             return
         if worker.hung_for():
             self.simulation.after(
-                worker.hung_for() + 0.01, lambda: self.leave(worker, key, mark, why, only, **more)
+                worker.hung_for() + 0.01,
+                lambda: self.leave(worker, key, mark, exit_cause, only, **more),
             )
             return
-        if why == "alone":
+        if exit_cause == "alone":
             self.simulation.alone.add((self.job_id, self.attempt))
-        worker.end(key, why, **more)
+        worker.end(key, exit_cause, **more)
 
     # -- running
 
@@ -219,7 +220,7 @@
             for (worker, key), mark in ready:
                 self.leave(worker, key, mark, "halted", saved=True)
 
-    def lost(self, why):
+    def lost(self, exit_cause):
         """The service has thrown progress away that it could have kept."""
         loss = self.progress - self.checkpoint()
         if (
@@ -229,4 +230,6 @@
             and self.spec["proof_s"] > 0
             and self.job_id not in self.simulation.unwanted
         ):
-            self.simulation.lost_saves.append((self.job_id, self.attempt, why, round(loss, 3)))
+            self.simulation.lost_saves.append(
+                (self.job_id, self.attempt, exit_cause, round(loss, 3))
+            )
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -14,7 +14,7 @@
     def __init__(self, simulation, name, zone, spot, kind=TYPE):
         self.simulation, self.name, self.zone, self.spot = simulation, name, zone, spot
         self.kind = kind
-        self.session, self.seq, self.token = 1, 0, 0
+        self.agent_epoch, self.sequence, self.token = 1, 0, 0
         self.tasks = {}
         self.renewed = simulation.now
         self.alive = True
@@ -24,7 +24,7 @@
         self.speed = 1.0 - 0.1 * random.Random(name).random()
         self.sent = []
         self.node = simulation.rng.randrange(len(simulation.names))
-        simulation.after(0.01, self.report)
+        simulation.after(0.01, self.send_heartbeat)
         self.watch_lease()
 
     def watch_lease(self):
@@ -37,7 +37,7 @@
     def mind_lease(self):
         if self.simulation.now - self.renewed > self.simulation.lease_s:
             self.drop_all()
-            self.session += 1
+            self.agent_epoch += 1
             self.renewed = self.simulation.now
 
     @property
@@ -63,8 +63,8 @@
     def restart(self, seconds):
         """The process ends with all tasks; a new one of a later session is back after that time."""
         self.drop_all()
-        self.session += 1
-        self.seq, self.token = 0, 0
+        self.agent_epoch += 1
+        self.sequence, self.token = 0, 0
         self.hang(seconds)
         self.renewed = self.simulation.now + seconds
 
@@ -80,12 +80,12 @@
         return left if left > 1e-6 else 0.0
 
     def body(self):
-        self.seq += 1
+        self.sequence += 1
         tasks = []
         for (task, attempt), t in self.tasks.items():
             entry = {"page": task, "take": attempt, "status": t["state"]}
             if t["state"] == "exited":
-                entry["cause"] = t["why"]
+                entry["cause"] = t["exit_cause"]
                 if t.get("saved"):
                     entry["saved"] = True
             tasks.append(entry)
@@ -96,21 +96,21 @@
                 "rack": self.kind["name"],
                 "hall": self.zone,
                 "borrowed": self.spot,
-                "shift": self.session,
-                "line": self.seq,
+                "shift": self.agent_epoch,
+                "line": self.sequence,
                 "baton": self.token,
                 "recall_s": self.notice,
                 "pages": tasks,
             }
         ).encode()
 
-    def report(self):
+    def send_heartbeat(self):
         if not self.alive:
             return
         if self.hung_for():
-            self.simulation.after(self.hung_for() + 0.01, self.report)
+            self.simulation.after(self.hung_for() + 0.01, self.send_heartbeat)
             return
-        sent, session = self.simulation.now, self.session
+        sent, agent_epoch = self.simulation.now, self.agent_epoch
         target = self.simulation.names[self.node]
         answered = []
 
@@ -126,21 +126,21 @@
                 status = 0
             if status == 200:
                 answer = json.loads(body)
-                if answer["baton"] >= self.token and session == self.session:
+                if answer["baton"] >= self.token and agent_epoch == self.agent_epoch:
                     self.token = answer["baton"]
                     self.renewed = max(self.renewed, sent)
                     self.execute(answer["orders"])
                 report_s = self.simulation.deployment.report_s
                 pause = report_s * self.simulation.rng.uniform(0.75, 1.25)
-                self.simulation.after(pause, self.report)
+                self.simulation.after(pause, self.send_heartbeat)
                 return
             hint = json.loads(body).get("editor") if status == 421 else None
             if hint in self.simulation.names and hint != target:
                 self.node = self.simulation.names.index(hint)
-                self.simulation.after(0.1, self.report)
+                self.simulation.after(0.1, self.send_heartbeat)
             else:
                 self.node = (self.node + 1) % len(self.simulation.names)
-                self.simulation.after(1.0, self.report)
+                self.simulation.after(1.0, self.send_heartbeat)
 
         body = self.body()
         self.sent.append((target, body))
@@ -155,7 +155,7 @@
             self.simulation.after(self.hung_for() + 0.01, lambda: self.direct(raw, reply))
             return
         order = json.loads(raw)
-        if order["baton"] < self.token or order["shift"] != self.session:
+        if order["baton"] < self.token or order["shift"] != self.agent_epoch:
             reply(409, self.body())
             return
         self.token = order["baton"]
@@ -181,18 +181,23 @@
             return
         task, _ = key
         spec = self.simulation.specs.get(task.split("/")[0])
-        why = self.simulation.refusals.pop(task, None)
+        exit_cause = self.simulation.refusals.pop(task, None)
         used = sum(t["cpus"] for t in self.tasks.values() if t["state"] != "exited")
-        if why:
+        if exit_cause:
             pass
         elif spec is None:
-            why = "unknown"
+            exit_cause = "unknown"
         elif any(other[0] == task for other in self.tasks):
-            why = "in_use"
+            exit_cause = "in_use"
         elif used + spec["cpus"] > self.kind["cpus"] + 1e-6:
-            why = "no_room"
-        if why:
-            self.tasks[key] = {"state": "exited", "why": why, "cpus": 0.0, "saved": False}
+            exit_cause = "no_room"
+        if exit_cause:
+            self.tasks[key] = {
+                "state": "exited",
+                "exit_cause": exit_cause,
+                "cpus": 0.0,
+                "saved": False,
+            }
             return
         self.tasks[key] = {"state": "pulling", "cpus": spec["cpus"]}
         mark = self.tasks[key]
@@ -212,11 +217,11 @@
         mark["state"] = "running"
         self.simulation.started(self, key[0], spec)
         wait = 0.2 if self.sick else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
-        why = "error" if self.sick or spec.get("broken") else "done"
+        exit_cause = "error" if self.sick or spec.get("broken") else "done"
 
         def over():
             if self.tasks.get(key) is mark and not self.held_up(mark, over):
-                self.end(key, why)
+                self.end(key, exit_cause)
 
         self.simulation.after(wait, over)
 
@@ -227,11 +232,11 @@
             self.simulation.after(late, action)
         return bool(late)
 
-    def end(self, key, why, saved=False):
+    def end(self, key, exit_cause, saved=False):
         mark = self.tasks[key]
         if self.alive and mark["state"] != "exited":
-            mark.update(state="exited", why=why, saved=saved)
-            if why == "done":
+            mark.update(state="exited", exit_cause=exit_cause, saved=saved)
+            if exit_cause == "done":
                 self.simulation.completed.add(key[0])
             if "gang" in mark:
                 mark["gang"].gone(self, key, mark)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -226,7 +226,9 @@
             simulation.cut(leader, worker.name)
     simulation.run(2.5 * simulation.lease_s)
     assert simulation.leader() == leader
-    assert all(w.session == 1 for w in simulation.cloud.workers()), "a lease ran out behind the cut"
+    assert all(w.agent_epoch == 1 for w in simulation.cloud.workers()), (
+        "a lease ran out behind the cut"
+    )
     simulation.heal()
     simulation.run_until(finished(simulation, 1), 120)
     assert simulation.starts == starts and not simulation.broken
@@ -329,7 +331,7 @@
     simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
     answers = []
     body = simulation.cloud.workers()[0].sent[-1][1]
-    simulation.nodes[old].report(
+    simulation.nodes[old].worker_heartbeat(
         simulation.now, WorkerRequest(lambda s, b: answers.append(s)), body
     )
     simulation.drain(old)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -279,16 +279,16 @@
     fine(simulation)
 
 
-@pytest.mark.parametrize("why", ["no_room", "in_use", "unknown", "error"])
-def test_a_member_that_is_refused_or_fails_is_replaced(why):
+@pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
+def test_a_member_that_is_refused_or_fails_is_replaced(exit_cause):
     simulation = begun(gang(1, cpus=12.0))
     simulation.fetch_s["req-000001/0"] = 5.0
-    if why == "error":
+    if exit_cause == "error":
         simulation.run_until(lambda: count(simulation, 1, "pulling", "gathering") == 4, 60)
         sick = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/0")
         sick.sick = True
     else:
-        simulation.refusals["req-000001/2"] = why
+        simulation.refusals["req-000001/2"] = exit_cause
     simulation.run_until(runs(simulation, 1), 90)
     assert not simulation.alone and len(attempts(simulation, 1)) <= 2
     simulation.run_until(done(simulation, 1), 60)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -22,9 +22,9 @@
         self.shown = []
         self.attempt = self.starts()[0]
 
-    def report(self, tasks, token=None, session=1, seq=None):
+    def worker_heartbeat(self, tasks, token=None, agent_epoch=1, sequence=None):
         self.shown = tasks
-        return super().report(tasks, token, session, seq)
+        return super().worker_heartbeat(tasks, token, agent_epoch, sequence)
 
     def starts(self):
         """The attempts of the starts that a round sends, each answered."""
@@ -37,22 +37,22 @@
                     (o["page"], o["take"], "pulling", None) for o in orders if o["verb"] == "run"
                 ]
                 found += [attempt for _, attempt, _, _ in runs]
-                self.seq += 1
+                self.sequence += 1
                 self.shown = self.shown + runs
-                body = encode(self.message(self.shown, seq=self.seq))
+                body = encode(self.message(self.shown, sequence=self.sequence))
                 call.on_done(self.now, CallOutcome(200, body))
         return found
 
-    def tell(self, *states, attempt=None, seq=None):
+    def tell(self, *states, attempt=None, sequence=None):
         """Report each task's state, or with `!` before it the reason of its exit."""
         tasks = []
         for index, state in enumerate(states):
             if state is None:
                 continue
-            why = state[1:] if state.startswith("!") else None
-            shown = "exited" if why is not None else state
-            tasks.append((f"req-000001/{index}", attempt or self.attempt, shown, why))
-        return self.report(tasks, seq=seq)
+            exit_cause = state[1:] if state.startswith("!") else None
+            shown = "exited" if exit_cause is not None else state
+            tasks.append((f"req-000001/{index}", attempt or self.attempt, shown, exit_cause))
+        return self.worker_heartbeat(tasks, sequence=sequence)
 
     def verbs(self, answer):
         return [(c.op, c.task[-1]) for c in answer.commands]
@@ -73,20 +73,20 @@
     assert bench.starts() == []
 
 
-@pytest.mark.parametrize("why", ["mates_gone", "alone", "halted", "error", "moonlight", ""])
-def test_whatever_the_reason_a_gang_that_has_run_begins_again_when_all_are_gone(why):
+@pytest.mark.parametrize("exit_cause", ["mates_gone", "alone", "halted", "error", "moonlight", ""])
+def test_whatever_the_reason_a_gang_that_has_run_begins_again_when_all_are_gone(exit_cause):
     bench = GangBench()
     bench.tell("running", "running", "running")
-    bench.tell("running", f"!{why}", "running")
+    bench.tell("running", f"!{exit_cause}", "running")
     assert bench.job.ending and bench.starts() == []
-    bench.tell("running", f"!{why}", "running")
-    answer = bench.tell("running", f"!{why}", "!mates_gone")
+    bench.tell("running", f"!{exit_cause}", "running")
+    answer = bench.tell("running", f"!{exit_cause}", "!mates_gone")
     assert (CommandKind.STOP, "0") in bench.verbs(answer)
     assert bench.starts() == [], "task 0 is still there"
-    bench.tell("!mates_gone", f"!{why}", "!mates_gone")
+    bench.tell("!mates_gone", f"!{exit_cause}", "!mates_gone")
     bench.now += 30.0
     # Cleared, for under the new attempt the machine would refuse what it still knows.
-    bench.report([])
+    bench.worker_heartbeat([])
     again = bench.starts()
     assert len(again) == 3 and len(set(again)) == 1 and again[0] > bench.attempt
 
@@ -95,24 +95,24 @@
 def test_late_words_change_nothing(words):
     bench = GangBench()
     bench.tell("gathering", "gathering", "gathering")
-    old = bench.seq
+    old = bench.sequence
     bench.tell("running", "running", "running")
-    answer = bench.tell(*words, seq=old)
+    answer = bench.tell(*words, sequence=old)
     assert answer.commands == [] and bench.job.begun and not bench.job.ending
     assert len(bench.job.placed) == 3 and bench.starts() == []
 
 
-@pytest.mark.parametrize("why", ["mates_gone", "alone"])
-def test_words_of_an_older_attempt_do_not_end_the_newer_one(why):
+@pytest.mark.parametrize("exit_cause", ["mates_gone", "alone"])
+def test_words_of_an_older_attempt_do_not_end_the_newer_one(exit_cause):
     bench = GangBench()
     bench.tell("running", "running", "running")
-    bench.tell(f"!{why}", f"!{why}", f"!{why}")
-    bench.report([])
+    bench.tell(f"!{exit_cause}", f"!{exit_cause}", f"!{exit_cause}")
+    bench.worker_heartbeat([])
     first, bench.attempt = bench.attempt, bench.starts()[0]
-    exits = [(f"req-000001/{i}", first, "exited", why) for i in range(3)]
+    exits = [(f"req-000001/{i}", first, "exited", exit_cause) for i in range(3)]
     there = [(f"req-000001/{i}", bench.attempt, "gathering", None) for i in range(3)]
     for tasks in (exits + there, there, exits + there):
-        bench.report(tasks)
+        bench.worker_heartbeat(tasks)
         assert bench.job.attempt == bench.attempt and not bench.job.ending
         assert len(bench.job.placed) == 3 and bench.starts() == []
 
@@ -135,9 +135,9 @@
     bench.tell("running", "running", "running")
     bench.tell("running", "!mates_gone", "running")
     late = bench.take_over("m-2")
-    report = bench.message([("req-000001/1", bench.attempt, "gathering", None)], late.base, 1, 1)
-    report.machine, report.address = "m-2", "10.0.0.8:1"
-    answer = bench.owner.report(bench.now, report)
+    heartbeat = bench.message([("req-000001/1", bench.attempt, "gathering", None)], late.base, 1, 1)
+    heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
+    answer = bench.owner.worker_heartbeat(bench.now, heartbeat)
     assert bench.verbs(answer) == [(CommandKind.STOP, "1")]
 
 
@@ -156,18 +156,18 @@
     bench.tell("gathering", "gathering", "gathering")
     late = bench.take_over("m-2")
 
-    def copy(seq, *tasks):
+    def copy(sequence, *tasks):
         bench.now += 1.0
-        report = bench.message(tasks, late.base, 1, seq)
-        report.machine, report.address = "m-2", "10.0.0.8:1"
-        return bench.owner.report(bench.now, report)
+        heartbeat = bench.message(tasks, late.base, 1, sequence)
+        heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
+        return bench.owner.worker_heartbeat(bench.now, heartbeat)
 
     older = ("req-000001/0", bench.attempt - 1, "gathering", None)
     answer = copy(1, older)
     assert bench.verbs(answer) == [(CommandKind.STOP, "0")] and bench.job.ending
     bench.tell("!halted", "!halted", "!halted")
     copy(2, older)
-    bench.report([])
+    bench.worker_heartbeat([])
     assert not bench.job.placed and bench.starts() == []
     copy(3)
     assert len(bench.starts()) == 3
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -20,7 +20,7 @@
 from tests.test_shard_scheduler import Bench
 
 
-def said(name, tasks, token, session, seq):
+def said(name, tasks, token, agent_epoch, sequence):
     return encode(
         WorkerHeartbeat(
             name,
@@ -28,8 +28,8 @@
             "box",
             "a",
             True,
-            session,
-            seq,
+            agent_epoch,
+            sequence,
             token,
             None,
             [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
@@ -44,9 +44,9 @@
     taken = bench.now
     bench.now += 11.9
     bench.owner.tick(bench.now)
-    for status, token, seq in ((409, 1, 7), (200, machine.base, 8)):
+    for status, token, sequence in ((409, 1, 7), (200, machine.base, 8)):
         (probe,) = bench.take("worker")
-        probe.on_done(bench.now, CallOutcome(status, said("m-9", [], token, 4, seq)))
+        probe.on_done(bench.now, CallOutcome(status, said("m-9", [], token, 4, sequence)))
         bench.owner.commands.probe(bench.now)
     bench.owner.machines["m-1"].backoff_until = bench.now + 99.0
     call, attempt = bench.start()
@@ -66,12 +66,12 @@
     for second in range(1, 4):
         bench.now += 1.0
         bench.add(second)
-        bench.owner.reports.take(
-            bench.now, machine, bench.message([], seq=bench.seq + second), False
+        bench.owner.heartbeats.take(
+            bench.now, machine, bench.message([], sequence=bench.sequence + second), False
         )
     assert not machine.usable(bench.now, bench.owner.timing.silence_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
-    bench.owner.report(bench.now, bench.message([], seq=1))
+    bench.owner.worker_heartbeat(bench.now, bench.message([], sequence=1))
     assert machine.last_answer_at == bench.now
 
 
@@ -80,13 +80,13 @@
     # Holds `_alone`. A task was stopped, started again where it was, and the leader changed.
     bench = Bench()
     bench.add(version=40)
-    bench.report(
+    bench.worker_heartbeat(
         [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::turn]
     )
     assert bench.job.placed == {0: "m-1"}
-    bench.report([("req-000001/0", 6, "running", None)])
+    bench.worker_heartbeat([("req-000001/0", 6, "running", None)])
     assert bench.job.placed == {0: "m-1"}
-    bench.report([])
+    bench.worker_heartbeat([])
     assert bench.job.placed == {}
 
 
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -49,7 +49,7 @@
     for n, name in enumerate(names):
         simulation.crash(name, 1.5 * simulation.lease_s + n * back)
     simulation.run(1.5 * simulation.lease_s + 10.0)
-    assert all(not w.on_it() or w.session > 1 for w in simulation.cloud.workers())
+    assert all(not w.on_it() or w.agent_epoch > 1 for w in simulation.cloud.workers())
     simulation.finish()
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -36,7 +36,7 @@
                 told.append((name, task.attempt, TaskState.RUNNING, None))
             elif task.active:
                 told.append((name, task.attempt, TaskState.EXITED, "halted"))
-        self.report(told)
+        self.worker_heartbeat(told)
 
     def stopped(self):
         """The tasks that have been told to stop."""
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -492,9 +492,11 @@
     bench = Bench()
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
-    bench.report([])
+    bench.worker_heartbeat([])
     assert bench.job.placed == {0: "m-1"}, "it may yet be carried out"
-    bench.report([], token=0, session=2, seq=1)
+    bench.worker_heartbeat([], token=0, agent_epoch=2, sequence=1)
     assert bench.job.placed == {}
-    bench.report([("req-000001/0", 99, "running", None)], session=1, seq=bench.seq + 1)
+    bench.worker_heartbeat(
+        [("req-000001/0", 99, "running", None)], agent_epoch=1, sequence=bench.sequence + 1
+    )
     assert bench.job.placed == {}, "an older session says nothing of the new one"
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -49,9 +49,9 @@
         self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
         self.owner.learn(self.now, self.entry)
         self.owner.begin(self.now)
-        self.seq = 0
-        self.report([], token=0)
-        self.report([])
+        self.sequence = 0
+        self.worker_heartbeat([], token=0)
+        self.worker_heartbeat([])
 
     def take_over(self, name, **more):
         """Learn of a machine that an earlier commander may have used."""
@@ -71,22 +71,24 @@
         )
         return self.owner.machines[name]
 
-    def report(self, tasks, token=None, session=1, seq=None):
+    def worker_heartbeat(self, tasks, token=None, agent_epoch=1, sequence=None):
         self.now += 1.0
-        if seq is None:
-            self.seq += 1
-            seq = self.seq
-        return self.owner.report(self.now, self.message(tasks, token, session, seq))
+        if sequence is None:
+            self.sequence += 1
+            sequence = self.sequence
+        return self.owner.worker_heartbeat(
+            self.now, self.message(tasks, token, agent_epoch, sequence)
+        )
 
-    def message(self, tasks, token=None, session=1, seq=0):
+    def message(self, tasks, token=None, agent_epoch=1, sequence=0):
         return WorkerHeartbeat(
             "m-1",
             "10.0.0.9:1",
             "box",
             "a",
             True,
-            session,
-            seq,
+            agent_epoch,
+            sequence,
             self.token if token is None else token,
             None,
             [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
@@ -122,18 +124,20 @@
     bench = Bench()
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
-    answer = bench.report([])
+    answer = bench.worker_heartbeat([])
     assert bench.job.placed == {0: "m-1"}, "an old token's report proves nothing"
     assert answer.token > bench.token
     bench.token = answer.token
-    bench.report([])
+    bench.worker_heartbeat([])
     assert bench.job.placed == {} and bench.job.peek() == 0
 
 
 def test_a_refused_start_is_free_at_once():
     bench = Bench()
     call, _ = bench.start()
-    call.on_done(bench.now, CallOutcome(409, encode(bench.message([], seq=bench.seq + 1))))
+    call.on_done(
+        bench.now, CallOutcome(409, encode(bench.message([], sequence=bench.sequence + 1)))
+    )
     assert bench.job.placed == {}
 
 
@@ -144,21 +148,21 @@
     machine.command_backoff_until = bench.now + 100
     bench.owner.dispatch_round(bench.now)
     assert bench.take("worker") == []
-    answer = bench.report([])
+    answer = bench.worker_heartbeat([])
     assert [c.op for c in answer.commands] == [CommandKind.START]
-    direct = bench.message([], seq=bench.seq + 1)
-    bench.owner.reports.take(bench.now, machine, direct, False)
+    direct = bench.message([], sequence=bench.sequence + 1)
+    bench.owner.heartbeats.take(bench.now, machine, direct, False)
     assert bench.job.placed == {0: "m-1"}, "an answer of /do may be older than the start"
-    bench.seq += 1
-    bench.report([])
+    bench.sequence += 1
+    bench.worker_heartbeat([])
     assert bench.job.placed == {}
 
 
 def test_an_old_report_changes_nothing():
     bench = Bench()
     _, attempt = bench.start()
-    bench.report([("req-000001/0", attempt, "running", None)])
-    late = bench.report([], seq=1)
+    bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
+    late = bench.worker_heartbeat([], sequence=1)
     assert late.commands == [] and bench.job.placed == {0: "m-1"}
 
 
@@ -170,28 +174,34 @@
         bench.now,
         CallOutcome(
             200,
-            encode(bench.message([("req-000001/0", attempt, "running", None)], seq=bench.seq + 1)),
+            encode(
+                bench.message(
+                    [("req-000001/0", attempt, "running", None)], sequence=bench.sequence + 1
+                )
+            ),
         ),
     )
-    bench.seq += 1
-    answer = bench.report(ended)
+    bench.sequence += 1
+    answer = bench.worker_heartbeat(ended)
     assert answer.commands == []
     bench.answer_state(0)
-    assert bench.report(ended).commands == [], "no answer: it may not be stored"
+    assert bench.worker_heartbeat(ended).commands == [], "no answer: it may not be stored"
     bench.owner.results.store(bench.now, bench.job)
     bench.answer_state(200)
-    answer = bench.report(ended)
+    answer = bench.worker_heartbeat(ended)
     assert answer.commands == [] and answer.token > bench.token
     bench.token = answer.token
-    assert [c.op for c in bench.report(ended).commands] == [CommandKind.FORGET]
+    assert [c.op for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
 
 
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
     bench = Bench()
     call, attempt = bench.start()
     running = [("req-000001/0", attempt, "running", None)]
-    call.on_done(bench.now, CallOutcome(200, encode(bench.message(running, seq=bench.seq + 1))))
-    bench.seq += 1
+    call.on_done(
+        bench.now, CallOutcome(200, encode(bench.message(running, sequence=bench.sequence + 1)))
+    )
+    bench.sequence += 1
     gone, over = bench.jobs.saw(bench.now, "c/live/req-000001", None, 80)
     assert over
     bench.owner.job_ended(bench.now, gone)
@@ -199,13 +209,13 @@
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.on_done(bench.now, CallOutcome(0))
     for _ in range(2):
-        assert [c.op for c in bench.report(running).commands] == [CommandKind.STOP]
+        assert [c.op for c in bench.worker_heartbeat(running).commands] == [CommandKind.STOP]
 
 
 def test_the_machine_is_deleted_before_its_tasks_are_free():
     bench = Bench()
     _, attempt = bench.start()
-    bench.report([("req-000001/0", attempt, "running", None)])
+    bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     bench.owner.machines["m-1"].deletion_requested = True
     bench.owner.scan(bench.now)
     assert bench.job.placed == {0: "m-1"}
@@ -217,7 +227,7 @@
 def test_work_of_the_lease_ends_with_the_lease_not_before():
     bench = Bench()
     _, attempt = bench.start()
-    bench.report([("req-000001/0", attempt, "running", None)])
+    bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     at = bench.now
     bench.owner.scan(at + 11.9)
     assert bench.job.placed == {0: "m-1"}
@@ -233,8 +243,10 @@
     bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
-    call.on_done(bench.now, CallOutcome(200, encode(bench.message(takes, seq=bench.seq + 1))))
-    bench.seq += 1
+    call.on_done(
+        bench.now, CallOutcome(200, encode(bench.message(takes, sequence=bench.sequence + 1)))
+    )
+    bench.sequence += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
     assert bench.owner.wants(bench.now) == [], "the room that ends before its wait does is enough"
@@ -311,10 +323,12 @@
     sent = json.loads(probe.body)
     assert (probe.address, sent["shift"], sent["orders"]) == ("10.0.0.8:1", 3, [])
 
-    def answer(session, token, seq):
+    def answer(agent_epoch, token, sequence):
         tasks = [TaskStatus("req-000001/0", 5, "running", None)]
         return encode(
-            WorkerHeartbeat("m-9", "10.0.0.8:1", "box", "a", True, session, seq, token, None, tasks)
+            WorkerHeartbeat(
+                "m-9", "10.0.0.8:1", "box", "a", True, agent_epoch, sequence, token, None, tasks
+            )
         )
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
@@ -344,18 +358,20 @@
 
 def test_a_higher_authority_is_not_talked_over():
     bench = Bench()
-    assert bench.report([], token=base_token(1, 2)) is None
+    assert bench.worker_heartbeat([], token=base_token(1, 2)) is None
 
 
-@pytest.mark.parametrize("why", ["no_room", "in_use", "unknown", "error"])
-def test_a_refused_or_failed_attempt_is_tried_again_under_another_number(why):
+@pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
+def test_a_refused_or_failed_attempt_is_tried_again_under_another_number(exit_cause):
     bench = Bench()
     call, attempt = bench.start()
-    ended = [("req-000001/0", attempt, "exited", why)]
-    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
-    bench.seq += 1
+    ended = [("req-000001/0", attempt, "exited", exit_cause)]
+    call.on_done(
+        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+    )
+    bench.sequence += 1
     bench.now += 60.0
-    bench.report(ended)
+    bench.worker_heartbeat(ended)
     bench.owner.dispatch_round(bench.now)
     (again,) = bench.take("worker")
     assert json.loads(again.body)["orders"][0]["take"] > attempt
@@ -369,8 +385,10 @@
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
-    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
-    bench.seq += 1
+    call.on_done(
+        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+    )
+    bench.sequence += 1
     bench.now += bench.owner.completions.gather_s
     bench.owner.completions.tick(bench.now)
     (write,) = bench.take("state")
@@ -387,7 +405,9 @@
     bench = Bench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
-    call.on_done(bench.now, CallOutcome(200, encode(bench.message(ended, seq=bench.seq + 1))))
+    call.on_done(
+        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+    )
     bench.owner.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
     put = json.loads(write.body)["writes"][0]
@@ -412,12 +432,12 @@
     bench.owner.state.ready = False
     task = [("req-000009/0", 7, "running", None)]
     bench.consistent_at = bench.now
-    assert bench.report(task) is not None, "a moment's lag is no reason to lose a task"
+    assert bench.worker_heartbeat(task) is not None, "a moment's lag is no reason to lose a task"
     bench.now += 10.0
-    assert bench.report(task) is None, "its job may have been cancelled long ago"
+    assert bench.worker_heartbeat(task) is None, "its job may have been cancelled long ago"
     # The view catches up to after the report that showed the task: the job is over for certain.
     bench.consistent_at = bench.now
-    answer = bench.report(task)
+    answer = bench.worker_heartbeat(task)
     assert [(c.op, c.task) for c in answer.commands] == [("kill", "req-000009/0")]
 
 
@@ -429,7 +449,7 @@
     bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another"
     for _ in range(80):
-        bench.report([])
+        bench.worker_heartbeat([])
     bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
@@ -443,7 +463,7 @@
     bench = Bench()
     bench.add(tasks=2)
     # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
-    bench.report([("req-000001/0", 5, "running", None)])
+    bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
     assert bench.job.placed == {0: "m-1"}
     bench.jobs.saw_completions("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
     assert bench.job.is_done(0) and 0 in bench.job.placed
@@ -458,7 +478,7 @@
     assert bench.job.waiting() == 0 and bench.job.ended()
     bench.job.stored([1])
     assert bench.job.waiting() == 0 and bench.job.placed == {0: "m-1", 1: "m-1"}
-    bench.report([("req-000001/0", 5, "exited", ExitCause.DONE)])
+    bench.worker_heartbeat([("req-000001/0", 5, "exited", ExitCause.DONE)])
     assert bench.job.waiting() == 0 and 0 not in bench.job.placed
 
 
@@ -475,11 +495,11 @@
     bench.owner.dispatch_round(bench.now)
     bench.job.placed.clear()
     for _ in range(70):
-        bench.report([])
+        bench.worker_heartbeat([])
         bench.owner.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another, and it had a place not long ago"
     for _ in range(10):
-        bench.report([])
+        bench.worker_heartbeat([])
     bench.owner.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -42,7 +42,7 @@
         mark = self.workers[index if on is None else on].tasks[f"req-000001/{index}", take]
         if mark["state"] != "exited":
             return mark["state"]
-        return mark["why"], mark["saved"]
+        return mark["exit_cause"], mark["saved"]
 
     def states(self, *indexes, take=1):
         return [self.state(i, take) for i in indexes]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -152,7 +152,7 @@
     assert looks == ["req-000001"] * machines, "only the first job looks at all of them"
 
 
-def lines_of_a_report(machines):
+def lines_of_a_heartbeat(machines):
     """How many lines run for a report that says nothing new, in a shard of so many machines."""
     bench = Bench()
     for number in range(2, machines + 1):
@@ -164,7 +164,7 @@
     bench.add(1, tasks=2)
     bench.owner.dispatch_round(bench.now)
     for _ in range(3):
-        bench.report([])
+        bench.worker_heartbeat([])
     lines = 0
 
     def count(frame, event, argument):
@@ -174,13 +174,13 @@
 
     before = sys.gettrace()
     sys.settrace(count)
-    bench.report([])
+    bench.worker_heartbeat([])
     sys.settrace(before)
     return lines
 
 
 def test_a_report_costs_the_same_in_a_fleet_ten_times_as_large():
-    assert lines_of_a_report(4000) == lines_of_a_report(400)
+    assert lines_of_a_heartbeat(4000) == lines_of_a_heartbeat(400)
 
 
 @pytest.mark.longest
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -50,7 +50,7 @@
 class FakeService:
     """Answers in a way that shows what it was asked."""
 
-    def report(self, request, body):
+    def worker_heartbeat(self, request, body):
         request.reply(421, json.dumps({"editor": body.decode()}).encode())
 
     def health(self):
