--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -6,7 +6,7 @@
 import sys
 
 from copperpass import __version__
-from copperpass.core.election.leader_election import election_timings
+from copperpass.core.election.timings import election_timings
 from copperpass.settings import SettingsError, load
 from copperpass.tuning import Tuning, load_tuning
 
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -9,11 +9,9 @@
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
 from copperpass.core.autoscaling.machine_groups import longest_boot
-from copperpass.core.election.leader_election import (
-    GRANT_TTL_RATIO,
-    LeaderElection,
-    election_timings,
-)
+from copperpass.core.election.context import ElectionContext
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.election.timings import GRANT_TTL_RATIO, election_timings
 from copperpass.core.jobs.job_table import LEAST_KNOWN_CANCELLED, JobTable
 from copperpass.core.kvstore.keys import (
     COMPLETIONS_PREFIX,
@@ -107,16 +105,18 @@
         self.shards = shards_of(cluster, self.tuning)
         partitioned = len(set(self.shards.values())) > 1
         self.election = LeaderElection(
-            settings.name,
-            [m.name for m in settings.members],
-            self.timings,
-            self.out,
-            self.transactions,
-            self.rng,
-            self._authority_changed,
+            ElectionContext(
+                member=settings.name,
+                peers=[m.name for m in settings.members],
+                timings=self.timings,
+                out=self.out,
+                transactions=self.transactions,
+                rng=self.rng,
+                on_change=self._on_leadership_change,
+                consistent_at=lambda: self.watch_cache.consistent_at,
+                max_grant_s=GRANT_TTL_RATIO * self.timings.leader_ttl_s if partitioned else 0.0,
+            ),
             now,
-            lambda: self.watch_cache.consistent_at,
-            GRANT_TTL_RATIO * self.timings.leader_ttl_s if partitioned else 0.0,
         )
         self.version_registry = VersionRegistry(
             settings.name,
@@ -395,12 +395,12 @@
         elif self.fleet.saw(key, raw, version) and self.cluster_manager is not None:
             self.cluster_manager.saw_fleet(self.fleet, key, version)
 
-    def _authority_changed(self, now: float, leading: bool, continued: bool) -> None:
+    def _on_leadership_change(self, now: float, is_leader: bool, continued: bool) -> None:
         before = self.cluster_manager
-        if leading and continued and before is not None and len(before.shards) == 1:
+        if is_leader and continued and before is not None and len(before.shards) == 1:
             # Nobody else can have commanded in between: the term goes on under a higher counter.
             return
-        if not leading:
+        if not is_leader:
             self.cluster_manager = None
             self.grant_client.leave()
             return
@@ -486,7 +486,7 @@
             return min(NEVER_ANSWERED - 1, int((now - at) * 1000)) if at > 0 else NEVER_ANSWERED
 
         # How fresh the view is: every answered request would say less of what this node can see.
-        beat = MemberHeartbeat(self.election.token_counter, age(self.watch_cache.consistent_at))
+        beat = MemberHeartbeat(self.election.counter.token, age(self.watch_cache.consistent_at))
         for other in self.election.peers:
             self.out.send(other, beat)
         if self.schedulers and now >= self.next_counts:
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from copperpass.core.autoscaling.machine_groups import longest_boot
-from copperpass.core.election.leader_election import (
+from copperpass.core.election.timings import (
     GRANT_TTL_RATIO,
     election_timings,
     worker_lease_expiry_s,
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from copperpass.core.autoscaling.cluster_manager import UNKNOWN_REVISION, ClusterManager
-from copperpass.core.election.leader_election import DRIFT, GRANT_TTL_RATIO
+from copperpass.core.election.timings import CLOCK_DRIFT, GRANT_TTL_RATIO
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
@@ -212,7 +212,7 @@
             return
         self.latest = grant.number
         # Counted from the asking, by a clock that may run slow against the leader's.
-        self.until = max(self.until, asked + grant.length_ms / 1000 * (1 - 2 * DRIFT))
+        self.until = max(self.until, asked + grant.length_ms / 1000 * (1 - 2 * CLOCK_DRIFT))
         self.token_version, self.on_demand_excess = grant.token_version, grant.on_demand_excess
         self.feed.acknowledged(grant.applied)
         self._share(now, grant.shares)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -10,7 +10,7 @@
     ManagerState,
     Shard,
 )
-from copperpass.core.election.leader_election import DRIFT
+from copperpass.core.election.timings import CLOCK_DRIFT
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
@@ -90,13 +90,14 @@
     def _extend(self, now: float, grantee: Grantee) -> float:
         """Extend a member's grants; returns their length in seconds from now."""
         # A grant never outlasts the authority behind it.
-        remaining = self.election.remaining_authority_s(now) * (1 - 2 * DRIFT)
+        remaining = self.election.remaining_authority_s(now) * (1 - 2 * CLOCK_DRIFT)
         length = max(0.0, min(self.state.grant_s, remaining))
         # Recorded whether or not it owns a shard: a later grant may add one to the same time.
-        grantee.grants_expire_at = max(grantee.grants_expire_at, now + length * (1 + 4 * DRIFT))
+        grantee.grants_expire_at = max(
+            grantee.grants_expire_at, now + length * (1 + 4 * CLOCK_DRIFT)
+        )
         if len(self.state.shards) > 1:
-            granted = max(self.election.grants_expire_at, grantee.grants_expire_at)
-            self.election.grants_expire_at = granted
+            self.election.on_grant(grantee.grants_expire_at)
         return length
 
     def shares(self) -> tuple[ShardAssignment, ...]:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from copperpass.core.election.leader_election import LeaderElection, election_timings
+from copperpass.core.election.context import ElectionContext
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.election.timings import election_timings
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
@@ -110,21 +112,21 @@
 
 @pytest.mark.parametrize("settles", ["lease ended", "token moved"])
 def test_a_member_whose_campaign_may_yet_be_carried_out_promises_nothing(settles):
-    # Holds `unresolved_leases` in `LeaderElection._may_vote`: the late win would make this member,
-    # restarted, take its votes for its own, while the leader that it gave them to relies on them.
+    # Holds `Campaign.unresolved_leases` in `LeaderElection._may_vote`: the late win would make this
+    # member, restarted, take its votes for its own, while the leader that it gave them to relies on
+    # them.
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
-    times = election_timings(parse(raw_settings()).cluster)
-    core = LeaderElection(
-        "n0",
-        ["n1", "n2"],
-        times,
-        out,
-        transactions,
-        random.Random(1),
-        lambda now, leading, continued: None,
-        0.0,
+    context = ElectionContext(
+        member="n0",
+        peers=["n1", "n2"],
+        timings=election_timings(parse(raw_settings()).cluster),
+        out=out,
+        transactions=transactions,
+        rng=random.Random(1),
+        on_change=lambda now, is_leader, continued: None,
     )
+    core = LeaderElection(context, 0.0)
     core.records_synced = True
     core.tick(50.0)
     (make,) = out.calls
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -7,15 +7,14 @@
 import pytest
 
 from copperpass import settings as settings_module
-from copperpass.core.election.leader_election import (
-    ElectionTimings,
-    LeaderElection,
-    election_timings,
-)
+from copperpass.core.election.context import ElectionContext
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.election.lease_extension import ExtensionVoter
+from copperpass.core.election.timings import ElectionTimings, election_timings
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
-from copperpass.protocol.kvstore import DeleteKey, PutKey
+from copperpass.protocol.kvstore import DeleteKey, PutKey, transaction_body
 from copperpass.settings import SettingsError
 from tests.bodies import raw_settings
 from tests.standins.state import State
@@ -52,11 +51,18 @@
     def boot(self, name):
         out = Outbox()
         transactions = TransactionQueue(out, 1000.0, 16, self.timings.leader_ttl_s / 3)
-        others = [n for n in self.names if n != name]
+        peers = [n for n in self.names if n != name]
         timings = self.own_timings.get(name, self.timings)
-        self.nodes[name] = LeaderElection(
-            name, others, timings, out, transactions, self.rng, lambda *a: None, self.clock(name)
+        context = ElectionContext(
+            member=name,
+            peers=peers,
+            timings=timings,
+            out=out,
+            transactions=transactions,
+            rng=self.rng,
+            on_change=lambda now, is_leader, continued: None,
         )
+        self.nodes[name] = LeaderElection(context, self.clock(name))
         self.seen[name] = 0
 
     def step(self, seconds=0.05):
@@ -71,7 +77,7 @@
                 self.watch(name)
                 node = self.nodes[name]
                 node.tick(self.clock(name))
-                node.transactions.pump(self.clock(name))
+                node.context.transactions.pump(self.clock(name))
                 self.drain(name)
         entitled = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
         self.most = max(self.most, len(entitled))
@@ -91,13 +97,13 @@
 
     def drain(self, name):
         node = self.nodes[name]
-        frames, node.out.frames = node.out.frames, []
+        frames, node.context.out.frames = node.context.out.frames, []
         for member, frame in frames:
             if frozenset((name, member)) not in self.cuts:
                 late = self.rng.random() < 0.05
                 delay = self.rng.uniform(0.5, 6.0) if late else self.rng.uniform(0.0, 0.1)
                 self.after(delay, lambda m=member, f=frame: self.deliver(name, m, f))
-        calls, node.out.calls = node.out.calls, []
+        calls, node.context.out.calls = node.context.out.calls, []
         for call in calls:
             self.call(name, node, call)
 
@@ -188,7 +194,7 @@
 
 
 def test_the_model_bites_when_campaigns_ignore_promises(monkeypatch):
-    monkeypatch.setattr(LeaderElection, "_may_campaign", lambda self, now: True)
+    monkeypatch.setattr(ExtensionVoter, "may_campaign", lambda self, now: True)
     twice = 0
     for seed in range(12):
         model = Model(seed)
@@ -238,22 +244,22 @@
     model = Model(5)
     node = model.nodes["a"]
     node.records_synced = True
-    now = node.next_campaign + 1.0
+    now = node.campaign.next_at + 1.0
     node.tick(now)
-    (asked,) = node.out.calls
-    node.out.calls.clear()
+    (asked,) = node.context.out.calls
+    node.context.out.calls.clear()
     model.state.handle(
         asked.method, asked.path, asked.body, lambda s, b: asked.on_done(now, CallOutcome(s, b))
     )
-    (sent,) = node.out.calls
-    node.out.calls.clear()
+    (sent,) = node.context.out.calls
+    node.context.out.calls.clear()
     return model, node, now, sent
 
 
 def votes(node, now, token=9):
-    node.out.frames.clear()
+    node.context.out.frames.clear()
     node.on_frame(now, "b", LeaseExtensionRequest(token, 1))
-    ((_, answer),) = node.out.frames
+    ((_, answer),) = node.context.out.frames
     return answer.granted
 
 
@@ -264,8 +270,8 @@
     for token in (1, 2):
         won = [PutKey("c/lead", {"member": "b", "token": token, "lease": 77})]
         won.append(PutKey("c/token", {"token": token, "member": "b"}))
-        model.state.transaction({"guards": [], "writes": won}, lambda status, body: None)
-    gone = {"guards": [], "writes": [DeleteKey("c/lead")]}
+        model.state.transaction(json.loads(transaction_body({}, won)), lambda status, body: None)
+    gone = json.loads(transaction_body({}, [DeleteKey("c/lead")]))
     model.state.transaction(gone, lambda status, body: None)
     statuses = []
     model.state.handle(sent.method, sent.path, sent.body, lambda s, b: statuses.append(s))
@@ -278,8 +284,8 @@
     # keeps no promise. It is over once the lease is certainly gone or another token is stored.
     _, node, now, sent = campaign_on_its_way()
     sent.on_done(now, CallOutcome(0))
-    (drop,) = node.out.calls
-    assert (drop.method, node.campaigning) == ("DELETE", False)
+    (drop,) = node.context.out.calls
+    assert (drop.method, node.campaign.in_progress) == ("DELETE", False)
     assert not votes(node, now)
     if over == "token seen":
         node.on_watch_event(now, "c/token", b'{"token":1,"member":"b"}', 50)
