--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -65,7 +65,7 @@
             machine_group = MachineGroup(item.type, item.zone, item.spot)
             machine = records.add(now, item.id, machine_group, NO_SHARD, Occupancy.EMPTY)
             machine.created_at = now - item.age_s
-            state.fleet_store.rented(now, item.id, machine_group)
+            state.inventory.record_machine(now, item.id, machine_group)
         machine.listed = True
         if item.address and machine.entry.contact is None:
             records.learn_contact(machine, item.address, 0)
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -12,7 +12,7 @@
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
 from copperpass.core.kvstore.keys import INVENTORY_KEY
 from copperpass.core.shards.grants import ShardGrants
-from copperpass.core.storage.machine_inventory import StoredInventory, page_number
+from copperpass.core.storage.machine_inventory import CachedInventory, page_number
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
     Grant,
@@ -45,10 +45,10 @@
         self.following = MachineTracker(context, state, self.records, self.instance_requests)
         self.grants = ShardGrants(context, state, self.records)
         self.planner = Planner(context, state, self.records, self.instance_requests)
-        self.fleet_store = state.fleet_store
-        self.saw_fleet(context.fleet)
-        self.fleet_store.on_stored = self.records.mark_recorded
-        self.paged = self.fleet_store.paged
+        self.inventory = state.inventory
+        self.on_inventory_event(context.cached_inventory)
+        self.inventory.on_marks_stored = self.records.mark_recorded
+        self.paged = self.inventory.paged
 
     # -- what others need to know ------------------------------------------------------------
 
@@ -86,9 +86,11 @@
         self.state.ready = True
         self.records.restore(now)
         self.instance_requests.resume(now)
-        self.fleet_store.begin(now)
+        self.inventory.begin(now)
 
-    def saw_fleet(self, fleet: StoredInventory, key: str = INVENTORY_KEY, version: int = 0) -> None:
+    def on_inventory_event(
+        self, cached: CachedInventory, key: str = INVENTORY_KEY, version: int = 0
+    ) -> None:
         """The watch brings a change of the fleet's records.
 
         Until this term begins it may be a late write of an earlier leader's; afterwards only this
@@ -96,11 +98,11 @@
         """
         number = page_number(key)
         if not self.state.ready:
-            self.fleet_store.load(fleet.record, fleet.version, fleet.pages)
+            self.inventory.load(cached.record, cached.version, cached.pages)
         elif number is None:
-            self.fleet_store.saw(fleet.version)
+            self.inventory.on_record_event(cached.version)
         else:
-            self.fleet_store.saw_page(number, version, number in fleet.pages)
+            self.inventory.on_page_event(number, version, number in cached.pages)
 
     def wait_out(self, before: ClusterManager) -> None:
         """Give no shard while a grant of one's own earlier term may run."""
@@ -140,13 +142,13 @@
             # Only a new term has tokens for more handovers.
             self.election.step_down(now, "handovers used up")
             return
-        if self.fleet_store.stuck():
+        if self.inventory.blocked():
             self.election.step_down(now, "a write of the fleet's record is in doubt")
             return
         self.grants.expire(now)
         self.grants.relieve(now)
         self.grants.share_out(now)
-        self.fleet_store.tick(now)
+        self.inventory.tick(now)
         self._note_pages()
         self.listing.tick(now)
         if self.planner.due(now):
@@ -155,7 +157,7 @@
 
     def _note_pages(self) -> None:
         """Log the fleet's move from one record to pages, once."""
-        if self.fleet_store.paged and not self.paged:
+        if self.inventory.paged and not self.paged:
             # From here on there is no going back to a version that knows `c/fleet` alone.
             self.paged = True
-            self.out.log("info", "fleet moved", pages=len(self.fleet_store.pages))
+            self.out.log("info", "fleet moved", pages=len(self.inventory.pages))
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -44,7 +44,7 @@
     def __init__(
         self, context: ManagerContext, state: ManagerState, records: MachineRecords
     ) -> None:
-        self.state, self.records, self.fleet_store = state, records, state.fleet_store
+        self.state, self.records, self.inventory = state, records, state.inventory
         self.out, self.election = context.out, context.election
         rps = context.cluster.cloud.rps
         # For releases and listings; requests for machines are bounded by the plan.
@@ -53,9 +53,9 @@
 
     def resume(self, now: float) -> None:
         """Repeat the requests of earlier terms: they may have been carried out."""
-        for request_id, (stored_group, count) in list(self.fleet_store.booked.items()):
+        for request_id, (machine_group, count) in list(self.inventory.pending_requests.items()):
             shard = self.state.neediest_shard()
-            request = InstanceRequest(MachineGroup(*stored_group), count, shard)
+            request = InstanceRequest(machine_group, count, shard)
             self.state.pending_requests[request_id] = request
             self._send(request_id, request, MAX_ATTEMPTS)
 
@@ -72,9 +72,9 @@
                 self._send(request_id, request, MAX_ATTEMPTS)
             else:
                 self.state.pending_requests.pop(request_id, None)
-                self.fleet_store.ended(done_at, request_id, [])
+                self.inventory.record_answer(done_at, request_id, [])
 
-        self.fleet_store.book(now, request_id, machine_group, count, on_stored)
+        self.inventory.record_request(now, request_id, machine_group, count, on_stored)
 
     def _send(self, request_id: str, request: InstanceRequest, attempts: int) -> None:
         """Send a stored request to the cloud, with so many attempts at the most."""
@@ -91,7 +91,7 @@
             self.state.backoff.on_exhausted(group, done_at, self.state.boot_s / 2)
             # Without an answer it may have been carried out: it stays stored for a later term.
             if outcome.status != NO_ANSWER:
-                self.fleet_store.ended(done_at, request_id, [])
+                self.inventory.record_answer(done_at, request_id, [])
 
         group = request.machine_group
         body = instance_request_body(
@@ -115,7 +115,7 @@
         self.out.log(
             "info", "rented", place=str(tuple(machine_group)), count=len(names), shard=shard
         )
-        self.fleet_store.ended(now, request_id, names)
+        self.inventory.record_answer(now, request_id, names)
         for name in names:
             if name not in state.machines and name not in state.gone:
                 self.records.add(now, name, machine_group, shard, Occupancy.EMPTY)
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, context: ManagerContext, state: ManagerState) -> None:
-        self.state, self.fleet_store = state, state.fleet_store
+        self.state, self.inventory = state, state.inventory
         # What the term before knew of the machines.
         self.hints = context.hints
         self.handover = 0
@@ -56,7 +56,7 @@
     ) -> ManagedMachine:
         """Take up a machine; one that the fleet's record lacks has never been up."""
         state = self.state
-        recorded = name in self.fleet_store.stored
+        recorded = name in self.inventory.stored_up
         base = self.next_base()
         entry = MachineRoute(
             name,
@@ -79,8 +79,7 @@
 
     def restore(self, now: float) -> None:
         """Take up the machines that the fleet's record names, as the term before knew them."""
-        for name, stored in self.fleet_store.places.items():
-            machine_group = MachineGroup(*stored)
+        for name, machine_group in self.inventory.machines.items():
             if machine_group.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
                 known = hint is not None and not hint.gone
@@ -143,4 +142,4 @@
         del self.state.machines[name]
         self.state.gone[name] = now
         self.update(machine, gone=True, may_hold=Occupancy.EMPTY)
-        self.fleet_store.gone(now, name)
+        self.inventory.remove(now, name)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -78,7 +78,7 @@
             status = replace(status, up=True)
         if status.up and not machine.status.up:
             machine.up_at = machine.idle_since = now
-            self.state.fleet_store.came_up(now, machine.entry.name, machine.machine_group)
+            self.state.inventory.mark_up(now, machine.entry.name, machine.machine_group)
         if status.idle and not machine.status.idle:
             machine.idle_since = now
         return status
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -105,7 +105,7 @@
     ) -> None:
         self.state, self.records, self.rebalancer = state, records, rebalancer
         self.cluster, self.tuning = context.cluster, context.tuning
-        self.reserved_types, self.fleet_store = tracker.reserved_types, state.fleet_store
+        self.reserved_types, self.inventory = tracker.reserved_types, state.inventory
 
     def serve(
         self, now: float, shard: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
@@ -230,7 +230,7 @@
         """Plan new machines for the tasks that are still unplaced."""
         state, spec = self.state, search.spec
         any_or_spot = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
-        while search.unplaced > 0 and not plan.full and not self.fleet_store.full():
+        while search.unplaced > 0 and not plan.full and not self.inventory.full():
             query = GroupQuery(
                 spec=spec,
                 tasks=search.unplaced,
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -14,7 +14,7 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
-from copperpass.core.storage.machine_inventory import MachineInventoryStore, StoredInventory
+from copperpass.core.storage.machine_inventory import CachedInventory, MachineInventory
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import MachineRoute, MachineStatus
 from copperpass.settings import Cluster
@@ -124,7 +124,7 @@
     election: LeaderElection
     jobs: JobTable
     types: dict[str, MachineType]
-    fleet: StoredInventory
+    cached_inventory: CachedInventory
     # The shard of each team.
     shards: dict[str, int]
     hints: dict[str, MachineRoute]
@@ -170,7 +170,7 @@
         # Whether there is more room than has to be kept: work that can wait gets cheap room only.
         self.on_demand_excess = True
         state = context.cluster.state
-        self.fleet_store = MachineInventoryStore(
+        self.inventory = MachineInventory(
             context.transactions,
             self.token_version,
             state.value_kb * 1024,
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -31,7 +31,7 @@
         rebalancer: Rebalancer,
     ) -> None:
         self.state, self.tracker, self.rebalancer = state, tracker, rebalancer
-        self.fleet_store, self.tuning = state.fleet_store, context.tuning
+        self.inventory, self.tuning = state.inventory, context.tuning
 
     def provision(
         self,
@@ -77,7 +77,7 @@
 
     def _stopped(self, plan: ScaleOutPlan) -> bool:
         """Whether no more machines can be planned, or recorded."""
-        return plan.full or self.fleet_store.full()
+        return plan.full or self.inventory.full()
 
     def _provision_on_demand(
         self,
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -33,7 +33,7 @@
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.grant_client import BATCH, GrantClient
 from copperpass.core.shards.relay import HeartbeatRelay
-from copperpass.core.storage.machine_inventory import StoredInventory
+from copperpass.core.storage.machine_inventory import CachedInventory
 from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
 from copperpass.protocol.frames.messages import (
     MAX_SHARDS,
@@ -99,7 +99,7 @@
         self.user_api.announce_cancelled = self._announce_cancelled
         cancelled = max(LEAST_KNOWN_CANCELLED, cluster.changes_per_cancellation_span)
         self.jobs = JobTable(day=day, most_cancelled=cancelled)
-        self.fleet = StoredInventory()
+        self.cached_inventory = CachedInventory()
         # Of the records of ends.
         self.versions: dict[str, int] = {}
         self.shards = shards_of(cluster, self.tuning)
@@ -392,8 +392,11 @@
         elif key.startswith(COMPLETIONS_PREFIX):
             self.jobs.saw_completions(key, raw)
             self.versions[key] = version if raw is not None else 0
-        elif self.fleet.saw(key, raw, version) and self.cluster_manager is not None:
-            self.cluster_manager.saw_fleet(self.fleet, key, version)
+        elif (
+            self.cached_inventory.on_watch_event(key, raw, version)
+            and self.cluster_manager is not None
+        ):
+            self.cluster_manager.on_inventory_event(self.cached_inventory, key, version)
 
     def _on_leadership_change(self, now: float, is_leader: bool, continued: bool) -> None:
         before = self.cluster_manager
@@ -418,7 +421,7 @@
             election=self.election,
             jobs=self.jobs,
             types=self.types,
-            fleet=self.fleet,
+            cached_inventory=self.cached_inventory,
             shards=self.shards,
             hints=hints,
             owners=owned,
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -24,6 +24,7 @@
 
 import msgspec
 
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, INVENTORY_KEY, INVENTORY_PAGES_PREFIX
 from copperpass.core.kvstore.transactions import (
     Operation,
@@ -37,7 +38,6 @@
 from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
 from copperpass.protocol.users import MAX_BODY_BYTES
 
-MachineGroup = tuple[str, str, bool]
 Wait = Callable[[float, bool], None]
 # The part of the smallest allowed value that a page fills: the service may count a value's bytes
 # in another notation than ours.
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class StoredInventory:
+class CachedInventory:
     """What the view holds of the fleet's records; kept up by the watch."""
 
     record: InventoryRecord | None = None
@@ -67,7 +67,7 @@
     version: int = 0
     pages: dict[int, tuple[InventoryRecord | None, int]] = field(default_factory=dict)
 
-    def saw(self, key: str, raw: bytes | None, version: int) -> bool:
+    def on_watch_event(self, key: str, raw: bytes | None, version: int) -> bool:
         """Take in a change; returns whether it concerns the fleet."""
         number = page_number(key)
         if key != INVENTORY_KEY and number is None:
@@ -90,7 +90,7 @@
         self.items: dict[str, MachineGroup] = {}
         # What has moved to other pages, and stays here until it is stored there.
         self.leaving: dict[str, MachineGroup] = {}
-        self.places: dict[MachineGroup, int] = {}
+        self.group_counts: dict[MachineGroup, int] = {}
         self.size = len('{"places":[]}')
         # When it must be written at the latest; None: nothing has changed.
         self.due: float | None = None
@@ -103,21 +103,21 @@
 
     def cost(self, place: MachineGroup, item: int) -> int:
         """How much larger an item of that many bytes makes the page."""
-        return item + (0 if place in self.places else _place_bytes(place))
+        return item + (0 if place in self.group_counts else _place_bytes(place))
 
     def add(self, name: str, place: MachineGroup, item: int) -> None:
         """Take an item in."""
         self.size += self.cost(place, item)
         self.items[name] = place
-        self.places[place] = self.places.get(place, 0) + 1
+        self.group_counts[place] = self.group_counts.get(place, 0) + 1
 
     def drop(self, name: str, item: int) -> None:
         """Let an item go."""
         place = self.items.pop(name)
         self.size -= item
-        self.places[place] -= 1
-        if not self.places[place]:
-            del self.places[place]
+        self.group_counts[place] -= 1
+        if not self.group_counts[place]:
+            del self.group_counts[place]
             self.size -= _place_bytes(place)
 
     def touch(self, due: float) -> None:
@@ -129,7 +129,7 @@
     return PLACE_BYTES + len(place[0].encode()) + len(place[1].encode())
 
 
-class MachineInventoryStore:
+class MachineInventory:
     """The writer of the fleet's records; one a leader."""
 
     def __init__(
@@ -160,18 +160,18 @@
         self.pages: dict[int, InventoryPage] = {}
         self.page_of: dict[str, InventoryPage] = {}
         # Pages of an interrupted move, with their versions.
-        self.leftover: dict[int, int] = {}
+        self.leftover_pages: dict[int, int] = {}
         self.removing = False
         # Under this version of the token a creation of `c/fleet` has had no answer.
         self.unsure_at = -1
-        self.booked: dict[str, tuple[MachineGroup, int]] = {}
+        self.pending_requests: dict[str, tuple[MachineGroup, int]] = {}
         # Bookings that were answered, with the names that are not stored yet.
         self.answered: dict[str, set[str]] = {}
-        self.places: dict[str, MachineGroup] = {}
+        self.machines: dict[str, MachineGroup] = {}
         self.up: set[str] = set()
         # Machines whose mark as up is in the state service.
-        self.stored: set[str] = set()
-        self.on_stored: Callable[[float, set[str]], None] = lambda now, names: None
+        self.stored_up: set[str] = set()
+        self.on_marks_stored: Callable[[float, set[str]], None] = lambda now, names: None
         self.waits: list[Wait] = []
         # Marks that a move has written, which count once it is over.
         self.moved_marks: set[str] = set()
@@ -190,16 +190,16 @@
     ) -> None:
         """Take over what an earlier authority has stored."""
         self.version = version
-        self.booked.clear()
-        self.places.clear()
+        self.pending_requests.clear()
+        self.machines.clear()
         self.up.clear()
-        self.stored.clear()
+        self.stored_up.clear()
         self.pages.clear()
         self.page_of.clear()
-        self.leftover.clear()
+        self.leftover_pages.clear()
         self.paged = version == 0 and bool(pages)
         if not self.paged:
-            self.leftover.update({n: held[1] for n, held in (pages or {}).items()})
+            self.leftover_pages.update({n: held[1] for n, held in (pages or {}).items()})
             if record is not None:
                 self._take(record)
             return
@@ -219,15 +219,17 @@
     def _take(self, record: InventoryRecord) -> dict[str, MachineGroup]:
         """Take a record's machines and bookings over; returns their places."""
         found: dict[str, MachineGroup] = {}
-        for at in record.places:
-            place = (at.type, at.zone, at.spot)
-            machines = dict.fromkeys([*at.fresh, *at.up], place)
-            self.places.update(machines)
+        for at in record.groups:
+            place = MachineGroup(at.type, at.zone, at.spot)
+            machines = dict.fromkeys([*at.starting, *at.up], place)
+            self.machines.update(machines)
             self.up.update(at.up)
-            self.stored.update(at.up)
-            self.booked.update({name: (place, count) for name, count in at.booked.items()})
+            self.stored_up.update(at.up)
+            self.pending_requests.update(
+                {name: (place, count) for name, count in at.pending_requests.items()}
+            )
             found.update(machines)
-            found.update(dict.fromkeys(at.booked, place))
+            found.update(dict.fromkeys(at.pending_requests, place))
         return found
 
     def _relieve(self, page: InventoryPage) -> None:
@@ -249,7 +251,7 @@
         self.begun = True
         self._consider(now)
 
-    def saw(self, version: int) -> None:
+    def on_record_event(self, version: int) -> None:
         """The watch has seen the one record at a version; 0: it is gone."""
         if version:
             self.version = max(self.version, version)
@@ -257,18 +259,18 @@
             # Only this leader's own removal can be it: any other writer's token is refused.
             self.version = 0
 
-    def saw_page(self, number: int, version: int, present: bool) -> None:
+    def on_page_event(self, number: int, version: int, present: bool) -> None:
         """The watch has seen a page change at a version, or go."""
         page = self.pages.get(number)
         if page is not None:
             if version > page.version:
                 page.version = version if present else 0
         elif not present:
-            self.leftover.pop(number, None)
-        elif number in self.leftover:
-            self.leftover[number] = max(self.leftover[number], version)
+            self.leftover_pages.pop(number, None)
+        elif number in self.leftover_pages:
+            self.leftover_pages[number] = max(self.leftover_pages[number], version)
 
-    def stuck(self) -> bool:
+    def blocked(self) -> bool:
         """Whether only a new term can move the record.
 
         A creation of `c/fleet` without an answer may be applied once the record is gone again, and
@@ -283,34 +285,34 @@
         """Whether the one record has no room for more machines; there are always more pages."""
         return not self.paged and not self.moving and self.size > 0.85 * self.room
 
-    def book(
+    def record_request(
         self, now: float, request: str, place: MachineGroup, count: int, on_done: Wait
     ) -> None:
         """Store a booking; `on_done` is told whether it may be sent."""
-        self.booked[request] = (place, count)
+        self.pending_requests[request] = (place, count)
         page = self._file(request, place)
         (self.waits if page is None else page.waits).append(on_done)
         self._touch(now, page)
 
-    def ended(self, now: float, request: str, names: list[str]) -> None:
+    def record_answer(self, now: float, request: str, names: list[str]) -> None:
         """A booking was answered: it brought these machines."""
-        if request not in self.booked:
+        if request not in self.pending_requests:
             self._touch(now, None)
             return
-        place, _ = self.booked[request]
+        place, _ = self.pending_requests[request]
         page = self.page_of.get(request)
         if page is None:
-            del self.booked[request]
-            self.places.update({n: place for n in names if n not in self.places})
+            del self.pending_requests[request]
+            self.machines.update({n: place for n in names if n not in self.machines})
             self._touch(now, None)
             return
         # The names take the room that the booking has kept; those that fit go to its page.
-        new = [n for n in names if n not in self.places]
+        new = [n for n in names if n not in self.machines]
         page.drop(request, self._item(request))
         del self.page_of[request]
         elsewhere: set[str] = set()
         for name in new:
-            self.places[name] = place
+            self.machines[name] = place
             target = page
             if page.size + page.cost(place, self._item(name)) > self.page_room:
                 target = self._choose(place, self._item(name), page)
@@ -322,27 +324,27 @@
             page.leaving[request] = place
             self.answered[request] = elsewhere
         else:
-            del self.booked[request]
+            del self.pending_requests[request]
         self._touch(now, page, lazy=True)
 
-    def rented(self, now: float, name: str, place: MachineGroup) -> None:
+    def record_machine(self, now: float, name: str, place: MachineGroup) -> None:
         """A machine is known that no booking has named."""
-        if name not in self.places:
-            self.places[name] = place
+        if name not in self.machines:
+            self.machines[name] = place
             self._touch(now, self._file(name, place), lazy=True)
 
-    def came_up(self, now: float, name: str, place: MachineGroup) -> None:
-        """A machine reports; `on_stored` names it once its mark is stored."""
+    def mark_up(self, now: float, name: str, place: MachineGroup) -> None:
+        """A machine reports; `on_marks_stored` names it once its mark is stored."""
         if name not in self.up:
-            self.places.setdefault(name, place)
+            self.machines.setdefault(name, place)
             self.up.add(name)
             self._touch(now, self.page_of.get(name) or self._file(name, place))
 
-    def gone(self, now: float, name: str) -> None:
+    def remove(self, now: float, name: str) -> None:
         """A machine is gone for certain."""
-        if self.places.pop(name, None) is not None:
+        if self.machines.pop(name, None) is not None:
             self.up.discard(name)
-            self.stored.discard(name)
+            self.stored_up.discard(name)
             self.moved_marks.discard(name)
             page = self.page_of.pop(name, None)
             if page is not None:
@@ -363,7 +365,7 @@
 
     def _item(self, name: str) -> int:
         """How many bytes a machine or a booking may take of a page."""
-        held = self.booked.get(name)
+        held = self.pending_requests.get(name)
         own = len(name.encode()) + ITEM_BYTES
         if held is None:
             return own
@@ -391,9 +393,9 @@
             if p is not but and not p.leaving and p.size + p.cost(place, item) <= self.page_room
         ]
         if fitting:
-            return max(fitting, key=lambda p: (p.due is not None, place in p.places, p.size))
+            return max(fitting, key=lambda p: (p.due is not None, place in p.group_counts, p.size))
         number = next(n for n in range(len(self.pages) + 1) if n not in self.pages)
-        page = self.pages[number] = InventoryPage(number, self.leftover.pop(number, 0))
+        page = self.pages[number] = InventoryPage(number, self.leftover_pages.pop(number, 0))
         return page
 
     # -- the move ------------------------------------------------------------------------------
@@ -414,12 +416,14 @@
             self.paged = True
         else:
             self.moving = True
-        for name, place in sorted(self.places.items(), key=lambda item: (item[1], item[0])):
+        for name, place in sorted(self.machines.items(), key=lambda item: (item[1], item[0])):
             self._file(name, place)
-        for request, (place, _) in self.booked.items():
+        for request, (place, _) in self.pending_requests.items():
             self._file(request, place)
         # At least one page stands for the new form, even of a fleet without machines.
-        first = next(iter(self.pages.values()), None) or self._choose(("", "", False), 0)
+        first = next(iter(self.pages.values()), None) or self._choose(
+            MachineGroup("", "", False), 0
+        )
         first.waits, self.waits = [*first.waits, *self.waits], []
         self.dirty = False
         for page in self.pages.values():
@@ -456,15 +460,15 @@
 
     def _remove_leftover(self, now: float) -> None:
         """Pages of an interrupted move that are not in use: no truth, but keys for ever."""
-        numbers = sorted(self.leftover)[: self.txn_ops]
+        numbers = sorted(self.leftover_pages)[: self.txn_ops]
         guards = {FENCING_TOKEN_KEY: self.token_version()}
-        guards.update({f"{INVENTORY_PAGES_PREFIX}{n}": self.leftover[n] for n in numbers})
+        guards.update({f"{INVENTORY_PAGES_PREFIX}{n}": self.leftover_pages[n] for n in numbers})
 
         def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
             self.writing = False
             if outcome is TransactionOutcome.APPLIED:
                 for number in numbers:
-                    self.leftover.pop(number, None)
+                    self.leftover_pages.pop(number, None)
             else:
                 self.next_write = n + 4 * self.gap_s
 
@@ -499,7 +503,7 @@
             if paid:
                 self._write_pages(now, paid)
         elif self.moving and all(p.due is None and not p.leaving for p in self.pages.values()):
-            if self.leftover:
+            if self.leftover_pages:
                 self._remove_leftover(now)
             else:
                 self._remove_record(now)
@@ -513,24 +517,24 @@
         held = {place: MachineGroupRecord(*place) for place in set(items.values())}
         for name in sorted(items):
             record = held[items[name]]
-            if name in self.booked:
-                record.booked[name] = self.booked[name][1]
+            if name in self.pending_requests:
+                record.pending_requests[name] = self.pending_requests[name][1]
             else:
-                (record.up if name in self.up else record.fresh).append(name)
+                (record.up if name in self.up else record.starting).append(name)
         return InventoryRecord([held[place] for place in sorted(held)])
 
     def _mark(self, now: float, marked: set[str]) -> None:
         """Marks as up that are certainly stored."""
-        new = (marked & self.up) - self.stored
-        self.stored |= new
+        new = (marked & self.up) - self.stored_up
+        self.stored_up |= new
         if new:
-            self.on_stored(now, new)
+            self.on_marks_stored(now, new)
 
     def _write(self, now: float) -> None:
         self.writing, self.dirty = True, False
         waits, self.waits = self.waits, []
         marked = set(self.up)
-        items = {**self.places, **{name: held[0] for name, held in self.booked.items()}}
+        items = {**self.machines, **{name: held[0] for name, held in self.pending_requests.items()}}
         value = msgspec.to_builtins(self._record(items))
         token, version = self.token_version(), self.version
 
@@ -651,9 +655,9 @@
         for request, missing in list(self.answered.items()):
             # Names of machines that have gone meanwhile need no page.
             missing -= names
-            if not {name for name in missing if name in self.places}:
+            if not {name for name in missing if name in self.machines}:
                 del self.answered[request]
-                self.booked.pop(request, None)
+                self.pending_requests.pop(request, None)
                 for page in self.pages.values():
                     if page.leaving.pop(request, None) is not None:
                         page.touch(now)
--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -38,21 +38,29 @@
     member: str = ""
 
 
-class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
-    """Machines of one type, zone and kind: bookings sent, machines rented, machines seen up."""
+class MachineGroupRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"pending_requests": "booked", "starting": "fresh"},
+):
+    """The machines of one group, and the instance requests for it whose answers are not stored.
+
+    `pending_requests`: how many machines each asks for; `starting`: machines that were never seen
+    up; `up`: machines that were, on which tasks may run.
+    """
 
     type: str
     zone: str
     spot: bool
-    booked: dict[str, int] = msgspec.field(default_factory=dict)
-    fresh: list[str] = msgspec.field(default_factory=list)
+    pending_requests: dict[str, int] = msgspec.field(default_factory=dict)
+    starting: list[str] = msgspec.field(default_factory=list)
     up: list[str] = msgspec.field(default_factory=list)
 
 
-class InventoryRecord(msgspec.Struct):
-    """Every machine that was rented, and the bookings whose answers are not stored."""
+class InventoryRecord(msgspec.Struct, rename={"groups": "places"}):
+    """Every machine that was rented, and the pending instance requests; or a page of them."""
 
-    places: list[MachineGroupRecord]
+    groups: list[MachineGroupRecord]
 
 
 class VersionRecord(msgspec.Struct):
--- a/tests/state_service.py
+++ b/tests/state_service.py
@@ -5,7 +5,7 @@
 
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
-from copperpass.core.storage.machine_inventory import MachineInventoryStore, StoredInventory
+from copperpass.core.storage.machine_inventory import CachedInventory, MachineInventory
 from tests.standins.state import State
 
 # Limits that the settings announce under `state.next`.
@@ -49,16 +49,16 @@
         return answers[0]
 
     def stored(self):
-        held = StoredInventory()
+        held = CachedInventory()
         for key, (value, version, _) in self.state.data.items():
-            held.saw(key, json.dumps(value).encode(), version)
+            held.on_watch_event(key, json.dumps(value).encode(), version)
         return held
 
-    def fleet_store(self, all_upgraded=True, limits_drop=True, rate=15.0, least=2048.0):
+    def inventory(self, all_upgraded=True, limits_drop=True, rate=15.0, least=2048.0):
         token = self.win()
         held = self.stored()
         transactions = TransactionQueue(self.out, rate, 5, 1.0)
-        made = MachineInventoryStore(
+        made = MachineInventory(
             transactions,
             lambda: token,
             32768.0,
@@ -73,7 +73,7 @@
         made.begin(self.now)
         return made
 
-    def step(self, fleet_store):
+    def step(self, inventory):
         """Serve what was asked, bring the watch's news, let a moment pass."""
         calls, self.out.calls = self.out.calls, []
         for call in calls:
@@ -83,24 +83,24 @@
                 self.late.append(call)
             call.on_done(self.now, CallOutcome(*answer) if fate == "served" else CallOutcome(0))
         before, held = getattr(self, "seen", {}), self.stored()
-        fleet_store.saw(held.version)
+        inventory.on_record_event(held.version)
         for number in {*held.pages, *before}:
             version = held.pages[number][1] if number in held.pages else self.state.revision
-            fleet_store.saw_page(number, version, number in held.pages)
+            inventory.on_page_event(number, version, number in held.pages)
         self.seen = dict(held.pages)
         self.now += 0.05
-        fleet_store.transactions.pump(self.now)
-        fleet_store.tick(self.now)
+        inventory.transactions.pump(self.now)
+        inventory.tick(self.now)
 
-    def run(self, fleet_store, seconds):
+    def run(self, inventory, seconds):
         for _ in range(int(seconds / 0.05)):
-            self.step(fleet_store)
+            self.step(inventory)
 
     def truth(self):
         """What a successor would know: bookings, machines, and which of them are up."""
         held = self.stored()
-        reader = MachineInventoryStore(
+        reader = MachineInventory(
             TransactionQueue(Outbox(), 15.0, 5, 1.0), lambda: 0, 32768.0, 1.0, 1.0, 2048.0, 5
         )
         reader.load(held.record, held.version, held.pages)
-        return (dict(reader.booked), dict(reader.places), set(reader.up))
+        return (dict(reader.pending_requests), dict(reader.machines), set(reader.up))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -5,7 +5,7 @@
 from copperpass.core.kvstore.transactions import Operation, Priority, TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.ports import CallOutcome, Outbox
-from copperpass.core.storage.machine_inventory import MachineInventoryStore
+from copperpass.core.storage.machine_inventory import MachineInventory
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import PutKey
 from copperpass.protocol.records import InventoryRecord
@@ -39,18 +39,18 @@
     assert "user" in order and now < 0.5 and len(order) < 20
 
 
-def fleet_store(version=0, record=None):
+def inventory(version=0, record=None):
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
-    made = MachineInventoryStore(transactions, lambda: 7, 32768.0, 0.1, 10.0)
+    made = MachineInventory(transactions, lambda: 7, 32768.0, 0.1, 10.0)
     made.load(record, version)
     return made, out
 
 
 def test_a_booking_is_stored_before_it_is_sent_and_names_its_machines_after():
-    made, out = fleet_store()
+    made, out = inventory()
     sent, place = [], ("box", "a", True)
-    made.book(0.0, "b-1-1", place, 2, lambda now, ok: sent.append(ok))
+    made.record_request(0.0, "b-1-1", place, 2, lambda now, ok: sent.append(ok))
     (write,) = out.calls
     body = json.loads(write.body)
     assert not sent and body["writes"][0]["value"]["places"][0]["booked"] == {"b-1-1": 2}
@@ -59,23 +59,23 @@
     assert sent == [True]
     # A successor that finds the booking repeats it; one that finds the names needn't.
     value = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
-    successor, _ = fleet_store(5, value)
-    assert successor.booked == {"b-1-1": (place, 2)}
-    successor.ended(0.2, "b-1-1", ["m-1", "m-2"])
-    assert not successor.booked and set(successor.places) == {"m-1", "m-2"}
+    successor, _ = inventory(5, value)
+    assert successor.pending_requests == {"b-1-1": (place, 2)}
+    successor.record_answer(0.2, "b-1-1", ["m-1", "m-2"])
+    assert not successor.pending_requests and set(successor.machines) == {"m-1", "m-2"}
 
 
 def test_a_machine_counts_as_stored_only_when_the_write_that_marks_it_has_been_applied():
-    made, out = fleet_store()
+    made, out = inventory()
     marked = []
-    made.on_stored = lambda now, names: marked.extend(names)
-    made.came_up(0.0, "m-1", ("box", "a", True))
-    made.came_up(0.0, "m-2", ("box", "a", True))
+    made.on_marks_stored = lambda now, names: marked.extend(names)
+    made.mark_up(0.0, "m-1", ("box", "a", True))
+    made.mark_up(0.0, "m-2", ("box", "a", True))
     (first,) = out.calls
     out.calls.clear()
     first.on_done(0.1, CallOutcome(0))
     assert not marked
-    made.saw(9)
+    made.on_record_event(9)
     made.tick(2.0)
     (second,) = out.calls
     guards = json.loads(second.body)["guards"]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -31,7 +31,7 @@
 from tests.deployments import LARGE, TYPE, machine_types
 from tests.simulation import Simulation
 from tests.state_service import Service
-from tests.test_fleet_store import fill
+from tests.test_machine_inventory import fill
 from tests.test_order import made
 from tests.test_shard_scheduler import Bench
 
@@ -121,15 +121,15 @@
 @pytest.mark.parametrize("value_kb", [2.0, 4.0])
 def test_the_records_of_4000_machines_keep_to_the_smallest_limits(value_kb):
     service = Service(write_rps=60.0, value_kb=value_kb, txn_ops=12)
-    fleet_store = service.fleet_store()
-    fill(service, fleet_store, MACHINES)
-    service.run(fleet_store, 60.0)
-    assert service.truth() == ({}, fleet_store.places, fleet_store.up)
-    assert len(fleet_store.up) == MACHINES and not fleet_store.full()
+    inventory = service.inventory()
+    fill(service, inventory, MACHINES)
+    service.run(inventory, 60.0)
+    assert service.truth() == ({}, inventory.machines, inventory.up)
+    assert len(inventory.up) == MACHINES and not inventory.full()
     state = service.state
     assert (state.too_large, state.too_fast) == (0, 0) and state.largest <= 1024 * value_kb
     # A new leader has them all from the view.
-    pages = len(fleet_store.pages)
+    pages = len(inventory.pages)
     assert pages * 1024 * value_kb < 4 * 40 * MACHINES
 
 
