--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -10,9 +10,6 @@
 from copperpass.core.scheduling import allocation
 from copperpass.settings import Cluster
 
-# The least weight of a team in the allocation.
-MIN_WEIGHT = 1e-3
-
 
 @dataclass(slots=True)
 class RemainingWork:
@@ -52,9 +49,9 @@
             continue
         tasks, cpus = work.tasks, work.cpus
         max_tasks = min(tasks, team.cpus_limit * tasks / cpus) if cpus > 0 else tasks
-        weight = team.gpus if gpus_matter and team.gpus > 0 else team.cpus
+        weight = allocation.weight_of_quota(team.cpus, team.gpus, gpus_matter)
         per_task = (cpus / tasks, work.second_resource / tasks)
-        claims.append(allocation.Claim(team.name, per_task, max(weight, MIN_WEIGHT), max_tasks))
+        claims.append(allocation.Claim(team.name, per_task, weight, max_tasks))
     capacity = (
         sum(machine.type.cpus for machine in serving),
         sum(m.type.gpus if gpus_matter else m.type.memory_gb for m in serving),
--- a/src/copperpass/core/autoscaling/bin_packing.py
+++ b/src/copperpass/core/autoscaling/bin_packing.py
@@ -7,8 +7,11 @@
 
 import msgspec
 
-from copperpass.core.autoscaling.free_capacity import EPSILON, FreeCapacity
-from copperpass.core.scheduling.bin_packing.feasibility import satisfies_constraints
+from copperpass.core.autoscaling.free_capacity import FreeCapacity
+from copperpass.core.scheduling.bin_packing.feasibility import (
+    CAPACITY_TOLERANCE,
+    satisfies_constraints,
+)
 from copperpass.protocol.users import JobSpec
 
 
@@ -95,4 +98,8 @@
 
 def without_exhausted(capacities: list[FreeCapacity], smallest_cpus: float) -> list[FreeCapacity]:
     """The machines that the smallest pending task may still fit at some time."""
-    return [capacity for capacity in capacities if capacity.max_cpus + EPSILON >= smallest_cpus]
+    return [
+        capacity
+        for capacity in capacities
+        if capacity.max_cpus + CAPACITY_TOLERANCE >= smallest_cpus
+    ]
--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -6,16 +6,17 @@
 from dataclasses import dataclass
 
 from copperpass.core.autoscaling.machine_groups import MachineGroup
-from copperpass.core.scheduling.bin_packing.feasibility import satisfies_constraints
+from copperpass.core.scheduling.bin_packing.feasibility import (
+    CAPACITY_TOLERANCE,
+    satisfies_constraints,
+    slots_in,
+)
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
 
-# Sums of floats that should be equal differ by less.
-EPSILON = 1e-6
-
 # What a running task will release: seconds until then, CPUs, GPUs, memory in GB. A plain tuple,
 # since one is made for every running task whenever a scheduler measures its unmet demand.
 ExpectedRelease = tuple[float, float, float, float]
@@ -40,7 +41,7 @@
 
     def feasible_tasks(self, spec: JobSpec, limit: int, horizon: float) -> int:
         """How many tasks, up to `limit`, fit here if they may start within `horizon` seconds."""
-        if limit <= 0 or spec.cpus > self.max_cpus + EPSILON:
+        if limit <= 0 or spec.cpus > self.max_cpus + CAPACITY_TOLERANCE:
             return 0
         if not satisfies_constraints(spec, self.machine_type, self.zone, self.spot):
             return 0
@@ -50,11 +51,7 @@
                 cpus += released_cpus
                 gpus += released_gpus
                 memory_gb += released_memory_gb
-        tasks = limit
-        for need, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
-            if need > 0:
-                tasks = min(tasks, int((free + EPSILON) / need))
-        return max(0, tasks)
+        return slots_in(spec, (cpus, gpus, memory_gb), limit)
 
     def reserve(self, spec: JobSpec, limit: int, horizon: float) -> int:
         """Pack up to `limit` tasks that may start within the horizon; returns how many fit."""
--- a/src/copperpass/core/autoscaling/group_selection.py
+++ b/src/copperpass/core/autoscaling/group_selection.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from copperpass.core.autoscaling.backoff import CapacityBackoff
-from copperpass.core.autoscaling.free_capacity import EPSILON
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.scheduling.bin_packing.feasibility import (
+    CAPACITY_TOLERANCE,
     feasible_on_type,
     satisfies_constraints,
 )
@@ -17,6 +17,9 @@
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 
+# Keeps the price for a unit finite.
+MIN_UNITS = 1e-6
+
 
 class PurchaseOption(enum.Enum):
     """Which machines may be chosen: spot, on-demand or both."""
@@ -57,7 +60,7 @@
     for machine_type in types.values():
         if not _feasible_type(machine_type, query):
             continue
-        units = max(_units_per_machine(machine_type, query), EPSILON)
+        units = max(_units_per_machine(machine_type, query), MIN_UNITS)
         for group in _groups_of_type(machine_type, query):
             if not backoff.allows(group, now):
                 continue
@@ -89,7 +92,7 @@
         )
         if need > 0
     ]
-    return min(query.tasks, int(min(ratios) + EPSILON)) if ratios else query.tasks
+    return min(query.tasks, int(min(ratios) + CAPACITY_TOLERANCE)) if ratios else query.tasks
 
 
 def _groups_of_type(machine_type: MachineType, query: GroupQuery) -> Iterator[MachineGroup]:
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -43,15 +43,7 @@
     ) -> None:
         """Plan machines up to the targets, each for the shard that is then covered least."""
         types = self.state.types
-        total = sum(machine.type.cpus for machine in serving) - deferrable_cpus
-        total += sum(
-            types[request.machine_group.type].cpus * request.machines
-            for request in self.state.pending_requests.values()
-        )
-        total += sum(
-            types[destination.machine_group.type].cpus * count
-            for destination, count in plan.counts.items()
-        )
+        total = self._warm_cpus(serving, deferrable_cpus, plan)
         reserved_types = self.tracker.reserved_type_names()
         coverage = self.rebalancer.coverage(serving)
         for target, purchase_option in (
@@ -75,6 +67,22 @@
         for shard in self.state.shards:
             self._provision_on_demand(now, shard, serving, reserved_types, plan)
 
+    def _warm_cpus(
+        self, serving: list[ManagedMachine], deferrable_cpus: float, plan: ScaleOutPlan
+    ) -> float:
+        """The CPUs that count as warm, with those that are requested or planned."""
+        types = self.state.types
+        total = sum(machine.type.cpus for machine in serving) - deferrable_cpus
+        total += sum(
+            types[request.machine_group.type].cpus * request.machines
+            for request in self.state.pending_requests.values()
+        )
+        total += sum(
+            types[destination.machine_group.type].cpus * count
+            for destination, count in plan.counts.items()
+        )
+        return total
+
     def _stopped(self, plan: ScaleOutPlan) -> bool:
         """Whether no more machines can be planned, or recorded."""
         return plan.full or self.inventory.full()
--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 
 TINY = 1e-9
+# The least weight of a team.
+MIN_WEIGHT = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,6 +35,11 @@
     factors: tuple[float, float] = (0.0, 0.0)
 
 
+def weight_of_quota(cpus: float, gpus: float, gpus_matter: bool) -> float:
+    """A team's weight by its guaranteed quota: of GPUs where the deployment has them, else CPUs."""
+    return max(gpus if gpus_matter and gpus > 0 else cpus, MIN_WEIGHT)
+
+
 def load(claim: Claim, capacity: tuple[float, float], resource: int) -> float:
     """The part of a resource's capacity that one task takes."""
     if claim.request[resource] <= TINY:
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -70,7 +70,7 @@
     def _score(self, machine: Machine) -> tuple[float, ...] | None:
         """The lower the better; None if no task of the job may start there."""
         spec, kind, policy = self.job.spec, machine.type, self.policy
-        if not machine.has_room(spec) or not satisfies_constraints(
+        if not machine.has_capacity(spec) or not satisfies_constraints(
             spec, kind, machine.zone, machine.spot
         ):
             return None
@@ -111,7 +111,7 @@
         Only room in which none of them finds a place, and for no longer than they themselves run.
         """
         large = self.policy.smallest_large_tasks.get(machine.type.name)
-        if large is None or machine.has_room(large):
+        if large is None or machine.has_capacity(large):
             return False
         ends = [
             remaining_s(placement, self.now)
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -23,8 +23,6 @@
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
 from copperpass.protocol.frames.messages import PendingTasks
 
-# The least weight of a team in the allocation.
-LEAST_WEIGHT = 1e-3
 # A machine's type, its zone, and whether it is a spot machine.
 MachineKind = tuple[str, str, bool]
 
@@ -47,7 +45,7 @@
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
         if not waiting:
             return []
-        rooms = free_capacities(self.machines.values(), now, timing.silence_s)
+        capacities = free_capacities(self.machines.values(), now, timing.silence_s)
         unreported_kinds = self.unreported_kinds()
         least_cpus = min(job.spec.cpus for job in waiting)
         unmet = []
@@ -68,13 +66,13 @@
             spec = with_zone_affinity(job.spec, where)
             if spec.one_zone and spec.zone is not None:
                 self.zone_affinities[spec.id] = spec.zone
-            fill = pack_gang if spec.gang else pack_tasks
+            pack = pack_gang if spec.gang else pack_tasks
             closed = self.reservations.reserved_types.reserved_from(spec)
-            left = fill(rooms, spec, count, horizon, closed)
+            left = pack(capacities, spec, count, horizon, closed)
             if left > 0:
                 unmet.append(PendingTasks(spec.id, left, horizon))
                 # Without it each job that waits would look at each full machine.
-                rooms = without_exhausted(rooms, least_cpus)
+                capacities = without_exhausted(capacities, least_cpus)
         return unmet
 
     def _count_under_limit(self, job: Job, taken: dict[str, float]) -> int | None:
@@ -83,13 +81,13 @@
         None: the limit has no room for the whole of a gang, so it needs no machines.
         """
         spec, count = job.spec, job.waiting()
-        room = self.state.by_team[spec.team].cpus_limit - taken[spec.team]
+        free_quota = self.state.by_team[spec.team].cpus_limit - taken[spec.team]
         if len(job.failed_on) >= FAILED_MACHINES and not spec.gang:
             # Probably it has a mistake; but it must find room to try again while it is wanted.
             count = 1
         taken[spec.team] += count * spec.cpus
         if spec.cpus > 0:
-            under = max(0.0, room / spec.cpus + CAPACITY_TOLERANCE)
+            under = max(0.0, free_quota / spec.cpus + CAPACITY_TOLERANCE)
             if spec.gang and under < count:
                 return None
             count = int(min(count, under))
@@ -163,8 +161,7 @@
             cap = float(demand[team.name])
             if cpus > 0:
                 cap = min(cap, team.cpus_limit / cpus)
-            weight = team.gpus if self.gpus_matter and team.gpus > 0 else team.cpus
+            weight = allocation.weight_of_quota(team.cpus, team.gpus, self.gpus_matter)
             second = gpus if self.gpus_matter else memory
-            weight = max(weight, LEAST_WEIGHT)
             claims.append(allocation.Claim(team.name, (cpus, second), weight, cap))
         return claims
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -187,7 +187,7 @@
             self.type.memory_gb - self.used_memory,
         )
 
-    def has_room(self, spec: JobSpec) -> bool:
+    def has_capacity(self, spec: JobSpec) -> bool:
         """Whether a task fits now."""
         kind = self.type
         return (
