--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -13,13 +13,16 @@
 )
 
 
-def clients(hits, weight=1.0):
-    """The paper's clients: of each request, m goes to the disk and h to the SSD."""
-    return [Claim(name, (1 - h, h), weight) for name, h in hits.items()]
+def clients(hit_ratios, weight=1.0):
+    """The paper's clients: of a request the SSD serves `hit_ratio`, the disk the rest."""
+    return [
+        Claim(name, (1 - hit_ratio, hit_ratio), weight) for name, hit_ratio in hit_ratios.items()
+    ]
 
 
-def used(claims, given, resource):
-    return sum(c.request[resource] * given[c.team] for c in claims)
+def used(claims, allocated_tasks, resource):
+    """How much of a resource an allocation takes."""
+    return sum(claim.request[resource] * allocated_tasks[claim.team] for claim in claims)
 
 
 def test_example_1_both_devices_full():
@@ -34,22 +37,22 @@
     # where the others get 25 each; the paper's rule 3 rules that out, so BAA stops at alpha.
     claims = clients({"1": 0.5, "2": 0.9, "3": 0.5})
     result = allocate_once(claims, (100, 500))
-    assert [result.tasks[n] for n in "132"] == pytest.approx([66.7, 66.7, 333.3], abs=0.1)
+    assert [result.tasks[name] for name in "132"] == pytest.approx([66.7, 66.7, 333.3], abs=0.1)
     assert used(claims, result.tasks, 0) == pytest.approx(100)
 
 
 def test_examples_3_to_5():
     claims = clients({"p": 0.75, "q": 0.5, "r": 0.9, "s": 0.95})
     capacity = (200, 1000)
-    fair = {c.team: fair_share(c, capacity, 4) for c in claims}
-    assert [fair[n] for n in "pqrs"] == pytest.approx([200, 100, 277.8, 263.2], abs=0.05)
+    fair = {claim.team: fair_share(claim, capacity, 4) for claim in claims}
+    assert [fair[name] for name in "pqrs"] == pytest.approx([200, 100, 277.8, 263.2], abs=0.05)
     low, high = ratio_bounds(claims[:2], claims[2:], fair)
     assert (low, high) == pytest.approx((0.55, 1.67), abs=0.01)
     result = allocate_once(claims, capacity)
     assert result.first_set == {"p", "q"} and result.second_set == {"r", "s"}
     # The paper prints factors rounded to two places (1.41 and 1.44).
     assert result.factors == pytest.approx((1.41, 1.44), abs=0.01)
-    assert [result.tasks[n] for n in "pqrs"] == pytest.approx(
+    assert [result.tasks[name] for name in "pqrs"] == pytest.approx(
         [282.5, 141.3, 398.6, 377.6], rel=0.01
     )
     assert used(claims, result.tasks, 0) == pytest.approx(200)
@@ -67,19 +70,25 @@
 def test_random_mixes_are_fair_and_fit():
     rng = random.Random(7)
     for _ in range(400):
-        n = rng.randint(1, 6)
-        claims = [Claim(str(i), (rng.uniform(0.1, 8), rng.uniform(0.1, 32)), 1.0) for i in range(n)]
+        teams = rng.randint(1, 6)
+        claims = [
+            Claim(str(number), (rng.uniform(0.1, 8), rng.uniform(0.1, 32)), 1.0)
+            for number in range(teams)
+        ]
         capacity = (rng.uniform(50, 500), rng.uniform(50, 2000))
         result = allocate_once(claims, capacity)
-        for r in (0, 1):
-            assert used(claims, result.tasks, r) <= capacity[r] * 1.0001
-        for a in claims:
-            # Sharing incentive: never below a hard n-th of both resources.
-            assert result.tasks[a.team] >= fair_share(a, capacity, n) * 0.9999
-            for b in claims:
-                # Envy-free: b's bundle would not run more of a's tasks than a's own.
-                with_b = min(result.tasks[b.team] * b.request[r] / a.request[r] for r in (0, 1))
-                assert with_b <= result.tasks[a.team] * 1.0001
+        for resource in (0, 1):
+            assert used(claims, result.tasks, resource) <= capacity[resource] * 1.0001
+        for own in claims:
+            # Sharing incentive: never below an equal part of both resources.
+            assert result.tasks[own.team] >= fair_share(own, capacity, teams) * 0.9999
+            for other in claims:
+                # Envy-free: the other's bundle would not run more of the team's tasks than its own.
+                with_others = min(
+                    result.tasks[other.team] * other.request[resource] / own.request[resource]
+                    for resource in (0, 1)
+                )
+                assert with_others <= result.tasks[own.team] * 1.0001
 
 
 def test_weights_scale_shares_within_a_set():
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -31,45 +31,45 @@
         simulation.submit(job(1, team="solo", tasks=40, cpus=8.0, run_s=40.0)),
         simulation.submit(job(2, team="solo", tasks=12, cpus=32.0, run_s=40.0)),
     ]
-    refused = simulation.submit(job(3, team="solo", cpus=65.0))
-    wide = simulation.submit(job(4, team="solo", cpus=32.0, hall="b"))
+    infeasible = simulation.submit(job(3, team="solo", cpus=65.0))
+    infeasible_there = simulation.submit(job(4, team="solo", cpus=32.0, hall="b"))
     simulation.run(2)
     assert [user.status for user in accepted] == [201, 201]
     # No type that is offered holds it; the larger type isn't offered in that zone.
-    assert (refused.status, wide.status) == (422, 422)
+    assert (infeasible.status, infeasible_there.status) == (422, 422)
     simulation.run_until(lambda: len(simulation.cloud.workers()) == 21, 120)
     simulation.finish()
 
 
-def trouble(simulation, rng):
+def inject_fault(simulation, rng):
     """Now and then something fails."""
-    act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
-    if act < 0.05 and names:
+    draw, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
+    if draw < 0.05 and names:
         simulation.crash(rng.choice(names), rng.choice([0.1, 0.4, 4.0]))
-    elif act < 0.06 and names:
+    elif draw < 0.06 and names:
         for name in names:
             simulation.crash(name, rng.choice([0.1, 4.0]))
-    elif act < 0.08 and names:
+    elif draw < 0.08 and names:
         simulation.isolate(rng.choice(names))
-    elif act < 0.09:
+    elif draw < 0.09:
         simulation.outage(rng.uniform(2, 20))
-    elif act < 0.11:
+    elif draw < 0.11:
         simulation.slow_state = rng.choice([0.0, 0.5])
-    elif act < 0.13:
+    elif draw < 0.13:
         simulation.late_writes = rng.choice([0.0, 0.2])
-    elif act < 0.15:
+    elif draw < 0.15:
         simulation.late_reports = rng.choice([0.0, 0.3])
-    elif act < 0.17 and workers:
+    elif draw < 0.17 and workers:
         rng.choice(workers).hang(rng.uniform(1.0, 14.0))
-    elif act < 0.19 and workers:
+    elif draw < 0.19 and workers:
         simulation.deaf = {rng.choice(workers).name}
-    elif act < 0.23 and workers:
+    elif draw < 0.23 and workers:
         for worker in workers:
             if worker.spot and rng.random() < 0.5:
                 worker.notice = 5.0
-                gone = functools.partial(simulation.cloud.take, worker.name)
-                simulation.after(5.0, gone)
-    elif act < 0.26:
+                reclaim = functools.partial(simulation.cloud.take, worker.name)
+                simulation.after(5.0, reclaim)
+    elif draw < 0.26:
         simulation.calm()
 
 
@@ -86,7 +86,7 @@
         simulation.check_owners()
         simulation.check_cancelled()
         simulation.check_sums()
-        trouble(simulation, rng)
+        inject_fault(simulation, rng)
         if not simulation.nodes:
             continue
         if rng.random() < 0.3:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -112,7 +112,7 @@
     assert "req-000000" in node.jobs.off and "req-000000" in node.user_api.removed
 
 
-def test_a_plan_rents_more_where_the_cloud_takes_more_calls():
+def test_a_plan_requests_more_machines_where_the_cloud_takes_more_calls():
     # Fifty in each plan took a minute for 4,000 machines, whatever the cloud allowed.
     assert max_machines_per_plan(cloud_rps=6.0, plan_interval_s=1 / 3) == MAX_MACHINES_PER_CALL
     assert max_machines_per_plan(cloud_rps=36.0, plan_interval_s=1.0) == 3 * MAX_MACHINES_PER_CALL
