--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -13,6 +13,7 @@
 from copperpass.core.kvstore.keys import INVENTORY_KEY
 from copperpass.core.shards.grants import ShardGrants
 from copperpass.core.storage.machine_inventory import CachedInventory, page_number
+from copperpass.log_events import LogEvent, LogLevel, StepDownReason
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
     Grant,
@@ -140,10 +141,10 @@
             return
         if self.records.used_up():
             # Only a new term has tokens for more handovers.
-            self.election.step_down(now, "handovers used up")
+            self.election.step_down(now, StepDownReason.HANDOVERS_EXHAUSTED)
             return
         if self.inventory.blocked():
-            self.election.step_down(now, "a write of the fleet's record is in doubt")
+            self.election.step_down(now, StepDownReason.INVENTORY_WRITE_UNRESOLVED)
             return
         self.grants.expire(now)
         self.grants.relieve(now)
@@ -160,4 +161,6 @@
         if self.inventory.paged and not self.paged:
             # From here on there is no going back to a version that knows `c/fleet` alone.
             self.paged = True
-            self.out.log("info", "fleet moved", pages=len(self.inventory.pages))
+            self.out.log(
+                LogLevel.INFO, LogEvent.INVENTORY_MIGRATED, pages=len(self.inventory.pages)
+            )
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -12,6 +12,7 @@
 )
 from copperpass.core.kvstore.transactions import TokenBucket
 from copperpass.core.ports import NO_ANSWER, Call, CallOutcome
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.cloud import (
     INSTANCES_PATH,
     RELEASE_PATH,
@@ -113,7 +114,11 @@
         else:
             state.backoff.on_fulfilled(machine_group)
         self.out.log(
-            "info", "rented", place=str(tuple(machine_group)), count=len(names), shard=shard
+            LogLevel.INFO,
+            LogEvent.MACHINES_PROVISIONED,
+            machine_group=str(tuple(machine_group)),
+            count=len(names),
+            shard=shard,
         )
         self.inventory.record_answer(now, request_id, names)
         for name in names:
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -22,6 +22,7 @@
 )
 from copperpass.core.autoscaling.warm_capacity import WarmCapacity
 from copperpass.core.scheduling import allocation
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.frames.messages import CapacityRequests, Occupancy
 
 # The fleet is logged once in so many heartbeat intervals.
@@ -146,8 +147,8 @@
         kinds: dict[str, list[float]] = {}
         for machine in self.state.machines.values():
             entry, status = machine.entry, machine.status
-            kind = "spot" if entry.spot else "ordinary"
-            state = "up" if status.up else "starting"
+            kind = "spot" if entry.spot else "on-demand"
+            state = "up" if status.up else "booting"
             sums = kinds.setdefault(
                 f"{entry.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
             )
@@ -155,11 +156,11 @@
             sums[1] += machine.type.cpus
             sums[2] += status.idle
         self.out.log(
-            "info",
-            "fleet",
-            warm=round(targets.total_cpus),
-            tight=round(demand.total_urgent),
+            LogLevel.INFO,
+            LogEvent.CLUSTER_SUMMARY,
+            warm_cpus=round(targets.total_cpus),
+            urgent_cpus=round(demand.total_urgent),
             machines={key: [round(x) for x in sums] for key, sums in sorted(kinds.items())},
             owners={shard.number: shard.owner for shard in self.state.shards.values()},
-            factors=[round(factor, 3) for factor in allocated.factors],
+            allocation_factors=[round(factor, 3) for factor in allocated.factors],
         )
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -26,6 +26,7 @@
 from copperpass.core.election.timings import CLOCK_DRIFT
 from copperpass.core.election.token_counter import FencingTokenCounter
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, LEADER_KEY
+from copperpass.log_events import LogEvent, LogLevel, StepDownReason
 from copperpass.protocol.frames.messages import Frame, LeaseExtensionRequest, LeaseExtensionVote
 from copperpass.protocol.records import LeaderRecord
 
@@ -96,7 +97,7 @@
         """Renew, request votes, step down or campaign, whichever is due."""
         if self.is_leader:
             if not self.has_authority(now):
-                self.step_down(now, "authority ran out")
+                self.step_down(now, StepDownReason.AUTHORITY_EXPIRED)
                 return
             self.lease.renew_if_due(now)
             self.extension.tick(now, self.token)
@@ -107,10 +108,12 @@
             else:
                 self.campaign.postpone(now)
 
-    def step_down(self, now: float, reason: str, backoff_s: float = 0.0) -> None:
+    def step_down(self, now: float, reason: StepDownReason, backoff_s: float = 0.0) -> None:
         """End the authority at once; this member does not campaign for `backoff_s`."""
         if self.is_leader:
-            self.context.out.log("info", "stepping down", why=reason, token=self.token)
+            self.context.out.log(
+                LogLevel.INFO, LogEvent.LEADERSHIP_LOST, why=reason, token=self.token
+            )
             self.is_leader = False
             self.extension.end()
             self.context.on_change(now, False, False)
@@ -139,7 +142,7 @@
                 self.lease.on_expired(now)
             return
         if self.is_leader and leader.token > self.token:
-            self.step_down(now, "another leads")
+            self.step_down(now, StepDownReason.ANOTHER_LEADER)
         own_leases = (self.lease.lease_id, self.campaign.lease_id)
         if leader.member == self.member and leader.lease not in own_leases:
             # An earlier run of this member still holds the key: that process is gone.
@@ -169,7 +172,9 @@
         self.voter.on_token(token)
         self.lease.on_won(win.record, win.revision, win.started_at)
         self.extension.begin(now, win.started_at)
-        self.context.out.log("info", "leading", token=token, continued=continued)
+        self.context.out.log(
+            LogLevel.INFO, LogEvent.LEADER_ELECTED, token=token, continued=continued
+        )
         self.context.on_change(now, True, continued)
 
     def _on_lease_revoked(self, lease_id: int) -> None:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -34,6 +34,7 @@
 from copperpass.core.shards.grant_client import BATCH, GrantClient
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.storage.machine_inventory import CachedInventory
+from copperpass.log_events import StepDownReason
 from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
 from copperpass.protocol.frames.messages import (
     MAX_SHARDS,
@@ -476,11 +477,15 @@
             and (self.election.peers and self.alone_token != self.election.token - 1)
         ):
             self.alone_token = self.election.token
-            self.election.step_down(now, "nobody heard", self.cluster.workers.lease_s)
+            self.election.step_down(
+                now, StepDownReason.NO_WORKER_HEARTBEATS, self.cluster.workers.lease_s
+            )
         if self._behind():
             # The state service refuses this node alone, or its watch is stuck while its key is
             # still renewed: another sees more and can lead.
-            self.election.step_down(now, "view behind that of others", self.timings.leader_ttl_s)
+            self.election.step_down(
+                now, StepDownReason.WATCH_CACHE_BEHIND, self.timings.leader_ttl_s
+            )
 
     def _beat(self, now: float) -> None:
         self.next_beat = now + self.timings.vote_s / 4
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.protocol.frames.messages import Frame
 
 # A call without an answer may have been carried out, or be carried out yet. One that was not sent,
@@ -53,12 +54,12 @@
     calls: list[Call] = field(default_factory=list)
     replies: list[Reply] = field(default_factory=list)
     frames: list[tuple[str, Frame]] = field(default_factory=list)
-    logs: list[tuple[str, str, dict[str, object]]] = field(default_factory=list)
+    logs: list[LogRecord] = field(default_factory=list)
 
     def send(self, member: str, frame: Frame) -> None:
         """Send a frame to another controller."""
         self.frames.append((member, frame))
 
-    def log(self, level: str, event: str, **fields: object) -> None:
-        """Note an event for the log."""
-        self.logs.append((level, event, fields))
+    def log(self, level: LogLevel, event: LogEvent, **fields: object) -> None:
+        """Log an event with its fields."""
+        self.logs.append(LogRecord(level, event, fields))
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -9,6 +9,7 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.state import ShardState
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import (
     COMMANDS_PATH,
@@ -56,7 +57,9 @@
         machine.probe_token = machine.token
         if machine.unreachable_since is None:
             machine.unreachable_since = now
-            self.context.out.log("debug", "machine may be deaf", machine=machine.name)
+            self.context.out.log(
+                LogLevel.DEBUG, LogEvent.COMMANDS_UNACKNOWLEDGED, machine=machine.name
+            )
 
     def for_heartbeat(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -8,6 +8,7 @@
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.log_events import DeletionReason, LogEvent, LogLevel
 
 # A zone that is silent as a whole is waited for as many leases before its machines are deleted.
 CUT_LEASES = 4.0
@@ -51,17 +52,24 @@
         for machine in list(state.machines.values()):
             ended = float("-inf") < machine.last_answer_at < now - timing.lease_s
             if ended and (machine.tasks or machine.name in state.unsettled):
-                self.out.log("info", "lease over", machine=machine.name)
+                self.out.log(LogLevel.INFO, LogEvent.WORKER_LEASE_EXPIRED, machine=machine.name)
                 state.unsettled.discard(machine.name)
                 self.tasks.session_over(now, machine)
             if machine.deletion_requested:
                 continue
             reason = self._hopeless(now, machine, ended, silence)
             if reason:
-                self.out.log("info", "machine given up", machine=machine.name, reason=reason)
+                self.out.log(
+                    LogLevel.INFO,
+                    LogEvent.MACHINE_DELETION_REQUESTED,
+                    machine=machine.name,
+                    reason=reason,
+                )
                 machine.deletion_requested = True
 
-    def _hopeless(self, now: float, machine: Machine, ended: bool, silence: Silence) -> str:
+    def _hopeless(
+        self, now: float, machine: Machine, ended: bool, silence: Silence
+    ) -> DeletionReason | None:
         """Why a machine should be deleted, if it should."""
         timing = self.state.timing
         few, cut = silence.few(machine.zone), silence.cut(machine.zone)
@@ -73,14 +81,14 @@
             # Known by its record alone, and silent for longer than a worker takes to find its way
             # while others are heard, or for a whole lease: it is gone or cut off. Its record would
             # hold up all older jobs, and the next change of leader too.
-            return "never heard"
+            return DeletionReason.NEVER_REGISTERED
         if machine.up and quiet > timing.lost_s and (few or quiet > patience):
             # A silent machine among speaking ones: have the cloud end it, which frees its tasks
             # sooner than its lease would. A whole zone is rather cut off than dead: its machines
             # are worth more when it is back than new ones, which would report to nobody either.
-            return "silent"
+            return DeletionReason.HEARTBEAT_TIMEOUT
         if machine.up and not machine.settled and now - machine.up_at > timing.lease_s:
             # It speaks, but for a whole lease no answer has reached it: its session is over by
             # then, and a machine that can be commanded is worth more.
-            return "deaf"
-        return "sick" if machine.quarantined and machine.empty() else ""
+            return DeletionReason.ANSWERS_UNDELIVERED
+        return DeletionReason.QUARANTINED if machine.quarantined and machine.empty() else None
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -28,20 +28,20 @@
 class StopReason(StrEnum):
     """Why a task is told to stop; the values go into the log."""
 
-    JOB_OVER = "job over"
-    CANCELLED = "called off"
+    JOB_OVER = "job completed"
+    CANCELLED = "job cancelled"
     PREEMPTED = "preempted"
     RECLAIMED = "reclaimed"
-    NOTICE = "notice"
-    DUPLICATE = "duplicate"
-    FOREIGN = "foreign"
-    SICK_MACHINE = "sick machine"
+    NOTICE = "interruption notice"
+    DUPLICATE = "duplicate attempt"
+    FOREIGN = "task of another shard"
+    SICK_MACHINE = "machine quarantined"
     # Of gangs: the attempt has ended, a task of it is gone, two attempts or no room for the rest.
-    ATTEMPT_OVER = "attempt over"
+    ATTEMPT_OVER = "attempt ended"
     TASK_LOST = "task lost"
     TASK_EXITED = "task exited"
     TWO_ATTEMPTS = "two attempts"
-    NO_ROOM = "no room for the rest"
+    NO_ROOM = "no capacity for the rest"
 
 
 @dataclass(slots=True)
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -9,6 +9,7 @@
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle, runs_alone
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
 # A job that has failed on as many machines has probably a mistake of its own.
@@ -87,13 +88,13 @@
         self, now: float, machine: Machine, placement: Placement, task: TaskStatus
     ) -> None:
         self.out.log(
-            "debug",
-            "task ended",
+            LogLevel.DEBUG,
+            LogEvent.TASK_EXITED,
             task=task.task,
             exit_cause=placement.exit_cause,
-            asked=placement.stop_reason,
+            stop_reason=placement.stop_reason,
             machine=machine.name,
-            ran=round(now - placement.running_at, 1) if placement.running_at else 0,
+            runtime_s=round(now - placement.running_at, 1) if placement.running_at else 0,
         )
 
     @staticmethod
@@ -163,7 +164,9 @@
     def _quarantine(self, now: float, machine: Machine, suspects: int) -> None:
         """Give a sick machine nothing new, and take back what doesn't run there yet."""
         machine.quarantined = True
-        self.out.log("info", "machine fenced", machine=machine.name, jobs=suspects)
+        self.out.log(
+            LogLevel.INFO, LogEvent.MACHINE_QUARANTINED, machine=machine.name, jobs=suspects
+        )
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
                 placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.SICK_MACHINE
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -7,6 +7,7 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Attempts are told apart by term, then by ownership within the term, then counted.
@@ -124,7 +125,11 @@
             return
         job.ending = True
         self.context.out.log(
-            "info", "gang stopped", job=job.spec.id, reason=reported or reason, begun=job.begun
+            LogLevel.INFO,
+            LogEvent.GANG_ATTEMPT_STOPPED,
+            job=job.spec.id,
+            reason=reported or reason,
+            had_started=job.begun,
         )
         for name in list(self.where.get(job.spec.id, ())):
             machine = self.machines.get(name)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -14,6 +14,7 @@
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
+from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.frames.messages import (
     Grant,
     GrantRequest,
@@ -110,7 +111,9 @@
 
     def disown(self, now: float, shard: Shard, free_at: float) -> None:
         """A shard has lost its owner: every machine of it needs a higher token."""
-        self.out.log("info", "shard without owner", shard=shard.number, owner=shard.owner)
+        self.out.log(
+            LogLevel.INFO, LogEvent.SHARD_UNASSIGNED, shard=shard.number, owner=shard.owner
+        )
         shard.owner, shard.revision, shard.free_at = "", UNKNOWN_REVISION, free_at
         shard.wants, shard.reading, shard.zone_affinities = [], False, {}
         for machine in list(self.state.machines.values()):
@@ -184,7 +187,13 @@
             shard.revision = state.token_version()
         else:
             self._read_revision(now, shard)
-        self.out.log("info", "shard given", shard=shard.number, owner=owner, serial=shard.serial)
+        self.out.log(
+            LogLevel.INFO,
+            LogEvent.SHARD_ASSIGNED,
+            shard=shard.number,
+            owner=owner,
+            serial=shard.serial,
+        )
 
     def expire(self, now: float) -> None:
         """Disown the shards whose grants have ended; read the revisions that are missing."""
--- a/src/copperpass/log.py
+++ b/src/copperpass/log.py
@@ -9,7 +9,14 @@
 
 import msgspec
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+from copperpass.log_events import LogEvent, LogLevel, LogRecord
+
+LEVELS: dict[str, int] = {
+    LogLevel.ERROR: logging.ERROR,
+    LogLevel.INFO: logging.INFO,
+    LogLevel.DEBUG: logging.DEBUG,
+}
+logger = logging.getLogger("copperpass")
 
 
 class LineFormatter(logging.Formatter):
@@ -34,14 +41,18 @@
         return msgspec.json.encode(line).decode()
 
 
+def write(record: LogRecord) -> None:
+    """Log one event."""
+    logger.log(LEVELS[record.level], record.event, extra={"fields": record.fields})
+
+
 def setup(member: str) -> None:
     """Send the log to standard error in the amount that LOG_LEVEL asks for."""
     wanted = os.environ.get("LOG_LEVEL", "info") or "info"
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(LineFormatter(member))
-    logger = logging.getLogger("copperpass")
     logger.handlers[:] = [handler]
     logger.propagate = False
     logger.setLevel(LEVELS.get(wanted, logging.INFO))
     if wanted not in LEVELS:
-        logger.info("unknown LOG_LEVEL, taken as info", extra={"fields": {"value": wanted}})
+        write(LogRecord(LogLevel.INFO, LogEvent.UNKNOWN_LOG_LEVEL, {"value": wanted}))
--- /dev/null
+++ b/src/copperpass/log_events.py
@@ -0,0 +1,85 @@
+"""Every event that a controller logs, with its level, and the reasons that the events carry.
+
+The texts are an interface: operators' alerts match them (docs/operations.md lists them). An event's
+fields are its own; their names are whole words in standard terms.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+
+class LogLevel(StrEnum):
+    """The levels of log records, as `LOG_LEVEL` names them."""
+
+    ERROR = "error"
+    INFO = "info"
+    DEBUG = "debug"
+
+
+class LogEvent(StrEnum):
+    """The texts of log events."""
+
+    # The process and its inputs; the failures carry a traceback.
+    STARTED = "started"
+    UNKNOWN_LOG_LEVEL = "unknown LOG_LEVEL, using info"
+    TICK_FAILED = "tick failed"
+    FRAME_FAILED = "frame handling failed"
+    WORKER_HEARTBEAT_FAILED = "worker heartbeat handling failed"
+    CALL_COMPLETION_FAILED = "call completion failed"
+
+    # Links between members.
+    MALFORMED_FRAME = "malformed frame"
+    UNKNOWN_FRAME_SKIPPED = "unknown frame skipped"
+
+    # Leadership and the ownership of shards.
+    LEADER_ELECTED = "leader elected"
+    LEADERSHIP_LOST = "leadership lost"
+    SHARD_ASSIGNED = "shard assigned"
+    SHARD_UNASSIGNED = "shard unassigned"
+
+    # Machines and their provisioning.
+    CLUSTER_SUMMARY = "cluster summary"
+    MACHINES_PROVISIONED = "machines provisioned"
+    INVENTORY_MIGRATED = "inventory migrated"
+    WORKER_LEASE_EXPIRED = "worker lease expired"
+    COMMANDS_UNACKNOWLEDGED = "commands unacknowledged"
+    MACHINE_QUARANTINED = "machine quarantined"
+    MACHINE_DELETION_REQUESTED = "machine deletion requested"
+
+    # Tasks and gangs.
+    TASK_EXITED = "task exited"
+    GANG_ATTEMPT_STOPPED = "gang attempt stopped"
+
+
+class DeletionReason(StrEnum):
+    """Why a shard's scheduler has a machine deleted; a field of `MACHINE_DELETION_REQUESTED`."""
+
+    # Known by its record alone, and it never sent a heartbeat.
+    NEVER_REGISTERED = "never registered"
+    HEARTBEAT_TIMEOUT = "heartbeat timeout"
+    # Its heartbeats arrive, but the answers to them don't reach it.
+    ANSWERS_UNDELIVERED = "answers undelivered"
+    # Quarantined, and empty now.
+    QUARANTINED = "quarantined"
+
+
+class StepDownReason(StrEnum):
+    """Why a leader steps down; a field of `LEADERSHIP_LOST`."""
+
+    AUTHORITY_EXPIRED = "authority expired"
+    ANOTHER_LEADER = "another leader elected"
+    NO_WORKER_HEARTBEATS = "no worker heartbeats"
+    WATCH_CACHE_BEHIND = "watch cache behind other members"
+    HANDOVERS_EXHAUSTED = "handover counter exhausted"
+    INVENTORY_WRITE_UNRESOLVED = "outcome of an inventory write unknown"
+
+
+@dataclass(frozen=True, slots=True)
+class LogRecord:
+    """One event to be logged."""
+
+    level: LogLevel
+    event: LogEvent
+    fields: dict[str, object]
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable
 from typing import Any
 
@@ -10,12 +9,13 @@
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from copperpass.log import write
+from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.protocol.frames.codec import FrameError, encode_frame
 from copperpass.protocol.frames.messages import Frame, Hello, UnknownFrame
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import split_address
 
-logger = logging.getLogger("copperpass")
 Received = Callable[[str, Frame], None]
 # A stuck link is given up after as many times the wait between two tries to connect.
 STUCK_RETRIES = 12
@@ -49,7 +49,8 @@
                 else:
                     self.received(self.sender, frame)
         except FrameError as error:
-            logger.error("bad frame", extra={"fields": {"peer": self.sender, "why": str(error)}})
+            fields: dict[str, object] = {"peer": self.sender, "reason": str(error)}
+            write(LogRecord(LogLevel.ERROR, LogEvent.MALFORMED_FRAME, fields))
             if self.transport is not None:
                 self.transport.abortConnection()
 
@@ -57,8 +58,12 @@
         """Say once for each link what its sender knows and this version doesn't."""
         if not self.told_unknown:
             self.told_unknown = True
-            fields = {"peer": self.sender, "kind": frame.kind, "why": frame.reason}
-            logger.info("unknown frame skipped", extra={"fields": fields})
+            fields: dict[str, object] = {
+                "peer": self.sender,
+                "kind": frame.kind,
+                "reason": frame.reason,
+            }
+            write(LogRecord(LogLevel.INFO, LogEvent.UNKNOWN_FRAME_SKIPPED, fields))
 
 
 class IncomingFactory(ServerFactory):
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -11,7 +11,8 @@
 from copperpass import __version__
 from copperpass.core.node.node import Node
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome
-from copperpass.log import LEVELS
+from copperpass.log import write
+from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.net.client import Client
 from copperpass.net.peers import Peers
 from copperpass.net.server import ApiFactory
@@ -68,9 +69,8 @@
         backlog = max(200, cluster.resources.max_connections)
         self.reactor.listenTCP(port, factory, backlog=backlog, interface=host)
         self.peers.start()
-        logger.info(
-            "started", extra={"fields": {"version": __version__, "listen": self.settings.listen}}
-        )
+        fields: dict[str, object] = {"version": __version__, "listen": self.settings.listen}
+        write(LogRecord(LogLevel.INFO, LogEvent.STARTED, fields))
         gc.collect()
         gc.freeze()
         # Most objects are freed by their counts; the collector only looks for the few cycles.
@@ -87,14 +87,14 @@
         try:
             self.node.tick(self.now())
         except Exception:
-            logger.exception("tick failed")
+            logger.exception(LogEvent.TICK_FAILED)
         self._drain()
 
     def _received(self, sender: str, frame: Frame) -> None:
         try:
             self.node.on_frame(self.now(), sender, frame)
         except Exception:
-            logger.exception("frame failed")
+            logger.exception(LogEvent.FRAME_FAILED)
         self._drain()
 
     def _round_soon(self) -> None:
@@ -115,7 +115,7 @@
         try:
             self.node.worker_heartbeat(self.now(), request, body)
         except Exception:
-            logger.exception("report failed")
+            logger.exception(LogEvent.WORKER_HEARTBEAT_FAILED)
             request.reply(503, b"{}")
         self._drain()
 
@@ -146,8 +146,8 @@
         out = self.node.out
         while out.calls or out.replies or out.logs or out.frames:
             logs, out.logs = out.logs, []
-            for level, event, fields in logs:
-                logger.log(LEVELS[level], event, extra={"fields": fields})
+            for record in logs:
+                write(record)
             frames, out.frames = out.frames, []
             for member, frame in frames:
                 self.peers.send(member, frame)
@@ -167,7 +167,7 @@
                     status = NO_ANSWER
                 call.on_done(self.now(), CallOutcome(status, body))
             except Exception:
-                logger.exception("an answer could not be handled")
+                logger.exception(LogEvent.CALL_COMPLETION_FAILED)
             self._drain()
 
         address = call.address or self.addresses[call.service]
