--- a/src/copperpass/core/scheduling/bin_packing/__init__.py
+++ b/src/copperpass/core/scheduling/bin_packing/__init__.py
@@ -1,1 +1,1 @@
-"""Bin packing: on which machine tasks are feasible, and the choice among feasible placements."""
+"""Bin packing: on which machines tasks are feasible, and which of these placements is chosen."""
--- a/src/copperpass/core/scheduling/bin_packing/feasibility.py
+++ b/src/copperpass/core/scheduling/bin_packing/feasibility.py
@@ -1,4 +1,7 @@
-"""Whether tasks fit: resources, machine types, placement constraints and zones."""
+"""Whether tasks fit: resources, machine types, placement constraints and zones.
+
+Pure functions; amounts are CPUs, GPUs and GB of memory, in this order where they come together.
+"""
 
 from __future__ import annotations
 
@@ -12,16 +15,19 @@
     # Machines ask this module whether tasks fit.
     from copperpass.core.scheduling.machines import Machine
 
+# Sums of decimals may miss a whole number by this much.
 CAPACITY_TOLERANCE = 1e-6
+# Stands for the zone of a machine that is not known.
+UNKNOWN_ZONE = "?"
 
 
-def fits_within(amount: float, room: float) -> bool:
-    """Whether an amount fits into a room; the one place with a tolerance for decimals."""
-    return amount <= room + CAPACITY_TOLERANCE
+def fits_within(amount: float, capacity: float) -> bool:
+    """Whether an amount fits into a capacity, with a tolerance for sums of decimals."""
+    return amount <= capacity + CAPACITY_TOLERANCE
 
 
 def satisfies_constraints(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
-    """Whether a job allows a type, a zone and a kind of machine."""
+    """Whether a job's placement constraints allow a machine type, a zone and spot machines."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone != zone:
@@ -38,37 +44,50 @@
     )
 
 
+def feasible_when_empty(spec: JobSpec, machine: Machine) -> bool:
+    """Whether a machine may take a task once all that runs there has ended."""
+    return satisfies_constraints(
+        spec, machine.type, machine.zone, machine.spot
+    ) and feasible_on_type(spec, machine.type)
+
+
+def slots_in(spec: JobSpec, capacity: tuple[float, float, float], limit: int) -> int:
+    """How many tasks fit into a capacity, up to `limit`."""
+    count = limit
+    for need, available in zip((spec.cpus, spec.gpus, spec.memory_gb), capacity, strict=True):
+        if need > 0:
+            count = min(count, int((available + CAPACITY_TOLERANCE) / need))
+    return max(0, count)
+
+
+def tasks_by_zone(job: Job, machines: dict[str, Machine]) -> dict[str, int]:
+    """How many of a job's placed tasks are in each zone."""
+    counts: dict[str, int] = {}
+    for name in job.placed.values():
+        zone = machines[name].zone if name in machines else UNKNOWN_ZONE
+        counts[zone] = counts.get(zone, 0) + 1
+    return counts
+
+
+def zone_limit(spec: JobSpec) -> int:
+    """How many tasks of a job one zone may take: half of them if they are to be spread."""
+    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
+
+
 def zone_feasible(job: Job, zone: str, machines: dict[str, Machine]) -> bool:
     """Whether one more task of the job may be in a zone, given where its others are."""
     spec = job.spec
     if not spec.one_zone and not spec.spread:
         return True
-    counts: dict[str, int] = {}
-    for name in job.placed.values():
-        where = machines[name].zone if name in machines else "?"
-        counts[where] = counts.get(where, 0) + 1
-    if spec.one_zone and any(z != zone for z in counts):
+    counts = tasks_by_zone(job, machines)
+    if spec.one_zone and any(other != zone for other in counts):
         return False
-    return not spec.spread or counts.get(zone, 0) + 1 <= (spec.tasks + 1) // 2
-
-
-def slots_in(spec: JobSpec, room: tuple[float, float, float], most: int) -> int:
-    """How many tasks fit into a room, up to `most`."""
-    count = most
-    for need, have in zip((spec.cpus, spec.gpus, spec.memory_gb), room, strict=True):
-        if need > 0:
-            count = min(count, int((have + CAPACITY_TOLERANCE) / need))
-    return max(0, count)
+    return not spec.spread or counts.get(zone, 0) + 1 <= zone_limit(spec)
 
 
 def zone_choices(job: Job, zones: set[str], machines: dict[str, Machine]) -> list[set[str]]:
     """The sets of zones one of which must take all that is missing of a gang."""
     if not job.spec.one_zone:
         return [zones]
-    taken = {machines[n].zone if n in machines else "?" for n in job.placed.values()}
+    taken = tasks_by_zone(job, machines).keys()
     return [{zone} for zone in sorted(zones) if taken <= {zone}]
-
-
-def zone_limit(spec: JobSpec) -> int:
-    """How many tasks of a gang one zone may take."""
-    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/src/copperpass/core/scheduling/guarantees.py
+++ b/src/copperpass/core/scheduling/guarantees.py
@@ -9,15 +9,19 @@
 
 
 def assess_guarantees(jobs: Iterable[Job], guarantees: dict[str, float]) -> None:
-    """Note of each new job whether it fits its team's guarantee with the earlier ones."""
+    """Mark each new job whose CPUs fit its team's guarantee together with the earlier jobs'.
+
+    `guarantees` holds CPUs by team. A job is assessed once: later arrivals and completions don't
+    change whether it is guaranteed.
+    """
     jobs = list(jobs)
     if all(job.guarantee_assessed for job in jobs):
         return
-    taken: dict[str, float] = {}
-    for job in sorted(jobs, key=lambda j: (j.arrived, j.created)):
+    requested: dict[str, float] = {}
+    for job in sorted(jobs, key=lambda job: (job.arrived, job.created)):
         spec = job.spec
-        total = taken.get(spec.team, 0.0) + spec.cpus * spec.tasks
+        total = requested.get(spec.team, 0.0) + spec.cpus * spec.tasks
         if not job.guarantee_assessed:
             job.guarantee_assessed = True
             job.guaranteed = fits_within(total, guarantees.get(spec.team, 0.0))
-        taken[spec.team] = total
+        requested[spec.team] = total
--- a/src/copperpass/core/scheduling/task_estimates.py
+++ b/src/copperpass/core/scheduling/task_estimates.py
@@ -1,38 +1,44 @@
-"""Estimates for tasks that run: time left, and what preempting them costs."""
+"""Estimates for running tasks in seconds: the time that remains, and what preemption costs."""
 
 from __future__ import annotations
 
 from copperpass.core.scheduling.machines import Placement
 from copperpass.protocol.users import JobSpec
 
+# A task beyond its estimate is taken to need this part of what it has run already.
+OVERRUN_SHARE = 0.25
+
 
 def remaining_s(placement: Placement, now: float) -> float:
-    """How long a task will still run, by its owner's estimate."""
+    """How long a task will still run, by its owner's estimate; never zero while it runs."""
     if not placement.running_at:
         return placement.estimate_s
-    ran = now - placement.running_at
-    # A task beyond its estimate is taken to need a part of what it has run already.
-    return max(placement.estimate_s - ran, 0.25 * ran)
+    elapsed_s = now - placement.running_at
+    return max(placement.estimate_s - elapsed_s, OVERRUN_SHARE * elapsed_s)
 
 
 def work_since_checkpoint(placement: Placement, spec: JobSpec | None, now: float) -> float:
-    """The work since a task's last checkpoint, about: all of it where it never saves."""
+    """The work since a task's last checkpoint, about: all of it where it takes none."""
     if not placement.running_at:
         return 0.0
-    ran = now - placement.running_at
-    return ran % spec.checkpoint_s if spec is not None and spec.checkpoint_s > 0 else ran
+    elapsed_s = now - placement.running_at
+    if spec is None or spec.checkpoint_s <= 0:
+        return elapsed_s
+    return elapsed_s % spec.checkpoint_s
 
 
 def preemption_cost(placement: Placement, spec: JobSpec | None, now: float) -> float:
-    """The seconds of work that stopping a task costs: lost, or spent on saving if that is less."""
-    lost = work_since_checkpoint(placement, spec, now)
-    return min(lost, spec.save_s) if spec is not None and spec.checkpoint_s > 0 else lost
+    """What stopping a task costs: work lost, or the time for a checkpoint if that is less."""
+    lost_s = work_since_checkpoint(placement, spec, now)
+    if spec is None or spec.checkpoint_s <= 0:
+        return lost_s
+    return min(lost_s, spec.save_s)
 
 
 def worth_checkpointing(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
-    """Whether a task that is stopped to make room should save first.
+    """Whether a task that is preempted should take a checkpoint first.
 
-    Not where saving takes longer than the work since its last checkpoint did, nor where the room
-    would come too late for the task that it is for.
+    Not where the checkpoint takes longer than the work since the last one did, nor where the
+    capacity would come too late for the preempting task, which must start within `slack_s`.
     """
     return spec.save_s < min(work_since_checkpoint(placement, spec, now), slack_s)
