--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -9,12 +9,8 @@
 import msgspec
 
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
 from copperpass.core.scheduling.bin_packing.feasibility import feasible_on_type, fits_within
 from copperpass.protocol.cloud import MachineType
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -10,7 +10,7 @@
     ManagerContext,
     ManagerState,
 )
-from copperpass.core.kvstore.transactions import TokenBucket
+from copperpass.core.kvstore.token_bucket import TokenBucket
 from copperpass.core.ports import NO_ANSWER, Call, CallOutcome
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.cloud import (
--- a/src/copperpass/core/election/campaign.py
+++ b/src/copperpass/core/election/campaign.py
@@ -11,7 +11,7 @@
 from copperpass.core.election.leader_lease import LeaderLease
 from copperpass.core.election.token_counter import FencingTokenCounter
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, LEADER_KEY
-from copperpass.core.kvstore.transactions import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import LEASES_PATH, LeaseCreated, PutKey
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -10,12 +10,8 @@
 
 from copperpass import __version__
 from copperpass.core.kvstore.keys import MEMBER_VERSIONS_PREFIX
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Call, CallOutcome, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyValue, PutKey, key_path
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -20,12 +20,8 @@
     LIVE_JOBS_PREFIX,
     MACHINE_TYPES_KEY,
 )
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.membership.version_registry import VersionRegistry
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
-from copperpass.core.kvstore.transactions import Operation, TransactionOutcome
+from copperpass.core.kvstore.operations import Operation, TransactionOutcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import StopReason
 from copperpass.core.scheduling.state import ShardState
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -21,12 +21,8 @@
 
 from copperpass.core.jobs.job_table import Job, JobTable, pack_done, segment_key, split_segment
 from copperpass.core.kvstore.keys import COMPLETIONS_PREFIX, FENCING_TOKEN_KEY
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.protocol.kvstore import PutKey
 
 # What marks the key of a page that holds a segment.
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -26,13 +26,9 @@
 
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, INVENTORY_KEY, INVENTORY_PAGES_PREFIX
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TokenBucket,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.token_bucket import TokenBucket
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import DeleteKey, PutKey, Write
 from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -2,7 +2,8 @@
 
 import json
 
-from copperpass.core.kvstore.transactions import Operation, Priority, TransactionQueue
+from copperpass.core.kvstore.operations import Operation, Priority
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.storage.machine_inventory import MachineInventory
@@ -13,7 +14,7 @@
 
 def test_users_writes_do_not_queue_behind_gathered_ones():
     out, order = Outbox(), []
-    transactions = TransactionQueue(out, write_rps=10.0, txn_ops=4, timeout=1.0)
+    transactions = TransactionQueue(out, write_rps=10.0, max_writes=4, timeout=1.0)
     for n in range(30):
         transactions.submit(
             0.0,
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,11 +1,7 @@
 """The transaction queue when the state service's limits drop unannounced."""
 
-from copperpass.core.kvstore.transactions import (
-    Operation,
-    Priority,
-    TransactionOutcome,
-    TransactionQueue,
-)
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome
 from copperpass.protocol.kvstore import PutKey
 from tests.state_service import Service
@@ -38,7 +34,9 @@
         for n in range(120)
     ]
     assert (
-        transactions.txn_ops <= 5 and service.state.too_large <= 12 and service.state.too_fast == 0
+        transactions.max_writes <= 5
+        and service.state.too_large <= 12
+        and service.state.too_fast == 0
     )
 
 
