--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -9,7 +9,10 @@
     """Simulated time; what is due at the same moment happens in the order it was scheduled."""
 
     def after(self, delay, action):
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), action))
+        self.after_time(self.now + delay, action)
+
+    def after_time(self, due, action):
+        heapq.heappush(self.queue, (due, next(self.order), action))
 
     def run(self, seconds):
         end = self.now + seconds
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -103,7 +103,7 @@
         out = node.out
         out.logs.clear()
         for reply in out.replies:
-            self.on_output(self.now, name, "reply", reply.status, reply.body, reply.retry_after)
+            self.output(name, "reply", reply.status, reply.body, reply.retry_after)
             user = reply.request
             if isinstance(user, WorkerRequest):
                 user.answer(reply.status, reply.body)
@@ -117,12 +117,12 @@
         for member, frame in frames:
             # Versions meet as bytes; among equals the way there and back changes nothing.
             sent = codec.encode_frame(frame) if self.mixed else frame
-            self.on_output(self.now, name, "frame", member, codec.encode_frame(frame))
+            if self.on_output:
+                self.output(name, "frame", member, codec.encode_frame(frame))
             self.carry_frame(name, member, lambda m=member, f=sent: self.frame(name, m, f))
         calls, out.calls = out.calls, []
         for call in calls:
-            self.on_output(
-                self.now,
+            self.output(
                 name,
                 call.service,
                 call.address,
@@ -133,6 +133,10 @@
             )
             self.send(name, life, call)
 
+    def output(self, name, kind, *parts):
+        if self.on_output:
+            self.on_output(self.now, name, kind, *parts)
+
     def frame(self, sender, member, frame):
         node = self.nodes.get(member)
         if node:
@@ -202,9 +206,9 @@
         self.after(call.timeout, lambda: finish(0, b""))
 
     def command(self, call, reply):
-        for worker in self.cloud.workers():
-            if worker.name == call.address:
-                worker.direct(call.body, reply)
+        machine = self.cloud.machines.get(call.address)
+        if machine and machine["worker"]:
+            machine["worker"].direct(call.body, reply)
 
     def leader(self):
         leading = [n for n, node in self.nodes.items() if node.election.has_authority(self.now)]
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -35,15 +35,15 @@
         self.starts += 1
         job_id = task.split("/")[0]
         self.first_start.setdefault(job_id, self.now)
-        for other in self.cloud.workers():
-            if other is not worker and other.alive and task in other.on_it():
+        present = self.task_index.of(job_id)
+        for other, (other_task, _) in present:
+            if other is not worker and other.alive and other_task == task:
                 self.broken.append(f"ran_twice: {task}")
         team = spec["desk"]
         used = sum(
-            self.specs[t.split("/")[0]]["cpus"]
-            for w in self.cloud.workers()
-            for t in w.on_it()
-            if self.specs[t.split("/")[0]]["desk"] == team
+            self.specs[other_id]["cpus"] * len(tasks)
+            for other_id, tasks in self.task_index.by_job.items()
+            if self.specs[other_id]["desk"] == team
         )
         limit = self.deployment.limit(team)
         if used > limit + 1e-6:
@@ -54,9 +54,7 @@
             self.broken.append(f"wrong_place: {task}")
         if spec.get("hall") not in (None, worker.zone):
             self.broken.append(f"wrong_place: {task}")
-        zones = [
-            w.zone for w in self.cloud.workers() for t in w.on_it() if t.split("/")[0] == job_id
-        ]
+        zones = [other.zone for other, _ in present]
         if spec["same_place"] and len(set(zones)) > 1:
             self.broken.append(f"wrong_place: {task} {zones}")
         if spec["spread"] and zones.count(worker.zone) > (spec["pages"] + 1) // 2:
@@ -72,6 +70,7 @@
 
     def check_sums(self):
         """What owners keep up as they go must equal a count from the beginning."""
+        assert self.task_index.matches(self.cloud.workers())
         for node in self.nodes.values():
             for owner in node.schedulers:
                 for team in owner.by_team:
@@ -111,8 +110,9 @@
         self.broken += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
 
     def check_cancelled(self):
-        for worker in self.cloud.workers():
-            for task in worker.on_it():
-                told = self.cancelled.get(task.split("/")[0])
-                if told is not None and self.now - told > self.cancel_s:
-                    self.broken.append(f"ran_cancelled: {task} still there")
+        for job_id, told in self.cancelled.items():
+            if self.now - told > self.cancel_s:
+                self.broken += [
+                    f"ran_cancelled: {task} still there"
+                    for _, (task, _) in self.task_index.of(job_id)
+                ]
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -8,26 +8,30 @@
 
     def check_starved(self, bound=90.0):
         """To be called about once a second without troubles: who waits beside room that fits?"""
-        on = {}
+        on = set()
+        # Of the machines that take work, by what a job may ask of them: the CPUs in use on the one
+        # with the least. If a task fits on any of these, it fits on that one.
+        least_used = {}
         used = dict.fromkeys(self.deployment.team_names, 0.0)
         for worker in self.cloud.workers():
+            used_here = 0.0
             for (task, _), t in worker.tasks.items():
                 if t["state"] != "exited":
-                    on.setdefault(task.split("/")[0], []).append(worker.zone)
+                    on.add(task.split("/")[0])
                     used[self.specs[task.split("/")[0]]["desk"]] += t["cpus"]
+                    used_here += t["cpus"]
+            if worker.alive and worker.notice is None:
+                place = (worker.zone, worker.spot, worker.kind["cpus"])
+                least_used[place] = min(used_here, least_used.get(place, used_here))
         for job_id in sorted(self.told):
             spec = self.specs[job_id]
             ended = all(f"{job_id}/{i}" in self.completed for i in range(spec["pages"]))
             limit = self.deployment.limit(spec["desk"])
             fits = used[spec["desk"]] + spec["cpus"] <= limit and any(
-                w.alive
-                and sum(t["cpus"] for t in w.tasks.values() if t["state"] != "exited")
-                + spec["cpus"]
-                <= w.kind["cpus"]
-                and (spec["borrowed"] or not w.spot)
-                and spec["hall"] in (None, w.zone)
-                and w.notice is None
-                for w in self.cloud.workers()
+                used_here + spec["cpus"] <= cpus
+                and (spec["borrowed"] or not spot)
+                and spec["hall"] in (None, zone)
+                for (zone, spot, cpus), used_here in least_used.items()
             )
             if ended or job_id in self.cancelled or job_id in on or not fits:
                 self.waits.pop(job_id, None)
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -16,6 +16,7 @@
 from tests.simulation.invariants import Invariants
 from tests.simulation.network import Network
 from tests.simulation.service_checks import ServiceChecks
+from tests.simulation.task_index import TaskIndex
 from tests.simulation.users import Users
 from tests.standins.cloud import Cloud
 from tests.standins.state import State
@@ -59,6 +60,7 @@
         self.unwanted, self.fetch_s, self.refusals = set(), {}, {}
         self.names = [f"n{i}" for i in range(nodes)]
         self.state, self.cloud = State(self, deployment), Cloud(self)
+        self.task_index = TaskIndex()
         self.specs, self.completed, self.cancelled = {}, set(), {}
         self.told, self.broken = {}, []
         self.told_by = {name: {} for name in self.names}
@@ -83,6 +85,6 @@
         self.waits = {}
         self.starts = 0
         # Called with what leaves a controller: when, its name, the kind of output and its parts.
-        self.on_output = on_output or (lambda now, name, kind, *parts: None)
+        self.on_output = on_output
         for name in self.names:
             self.boot(name)
--- a/tests/standins/gang.py
+++ b/tests/standins/gang.py
@@ -24,6 +24,7 @@
     def join(self, worker, key, mark):
         mark.update(state="gathering", at=self.simulation.now)
         self.members[worker, key] = mark
+        self.simulation.task_index.add(worker, key)
         self.simulation.started(worker, key[0], self.spec)
         others = [
             g
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import bisect
 import itertools
 import json
+import operator
 
 from tests.deployments import LIMITS, TWO_TEAMS
 
@@ -163,7 +165,8 @@
         if watch not in self.watches or self.down or asker in self.simulation.refused:
             # Also the open watches of a node that is refused alone wait as in an outage.
             return
-        news = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
+        unseen = bisect.bisect_right(self.log, since, key=operator.itemgetter(0))
+        news = [e for e in self.log[unseen:] if e[1].startswith(prefix)]
         if news or timed_out:
             self.watches.remove(watch)
             events = [
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -32,7 +32,19 @@
             return
         # A machine that hangs beyond its lease has lost its tasks all the same.
         self.mind_lease()
-        self.simulation.after(max(0.1, self.simulation.deployment.report_s / 10), self.watch_lease)
+        self.simulation.after_time(self.next_lease_check(), self.watch_lease)
+
+    def next_lease_check(self):
+        """When the lease, checked ten times a report, can first be seen to have run out.
+
+        It is only ever renewed, so that the checks before then would find nothing.
+        """
+        interval = max(0.1, self.simulation.deployment.report_s / 10)
+        check = self.simulation.now + interval
+        last = check + self.simulation.lease_s
+        while check < last and check - self.renewed <= self.simulation.lease_s:
+            check += interval
+        return check
 
     def mind_lease(self):
         if self.simulation.now - self.renewed > self.simulation.lease_s:
@@ -48,6 +60,7 @@
         """All tasks are gone without an exit."""
         dropped, self.tasks = self.tasks, {}
         for key, mark in dropped.items():
+            self.simulation.task_index.discard(self, key)
             if "gang" in mark and mark["state"] != "exited":
                 mark["gang"].gone(self, key, mark)
 
@@ -215,6 +228,7 @@
             mark["gang"].join(self, key, mark)
             return
         mark["state"] = "running"
+        self.simulation.task_index.add(self, key)
         self.simulation.started(self, key[0], spec)
         wait = 0.2 if self.sick else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
         exit_cause = "error" if self.sick or spec.get("broken") else "done"
@@ -236,6 +250,7 @@
         mark = self.tasks[key]
         if self.alive and mark["state"] != "exited":
             mark.update(state="exited", exit_cause=exit_cause, saved=saved)
+            self.simulation.task_index.discard(self, key)
             if exit_cause == "done":
                 self.simulation.completed.add(key[0])
             if "gang" in mark:
