--- /dev/null
+++ b/tests/fakes/__init__.py
@@ -0,0 +1,1 @@
+"""Fakes of the outside systems, written from the protocol."""
--- a/tests/standins/cloud.py
+++ b/tests/fakes/cloud.py
@@ -5,7 +5,7 @@
 import itertools
 import json
 
-from tests.standins.worker import Worker
+from tests.fakes.worker import Worker
 
 
 class Cloud:
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -9,8 +9,8 @@
 from copperpass.core.ports import CallOutcome
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.stream import FrameDecoder
-from tests.bodies import raw_settings
-from tests.standins.worker import WorkerRequest
+from tests.fakes.worker import WorkerRequest
+from tests.request_bodies import raw_settings
 
 
 class CurrentFrames:
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.scheduling.machines import UNIDENTIFIED
 from copperpass.protocol.users import JobState
-from tests.production import shard_of
+from tests.earlier_versions import shard_of
 
 
 class Invariants:
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""The controllers among stand-ins of the outside systems: all in memory, one clock.
+"""The controllers among fakes of the outside systems: all in memory, one clock.
 
 Messages take time, can be held, lost or delivered late; processes can be cut
 off, crash and come back. The rules of the protocol are checked as it runs.
@@ -10,6 +10,8 @@
 import random
 
 from tests.deployments import TWO_TEAMS
+from tests.fakes.cloud import Cloud
+from tests.fakes.state import State
 from tests.simulation.clock import Clock
 from tests.simulation.controllers import Controllers
 from tests.simulation.faults import Faults
@@ -18,8 +20,6 @@
 from tests.simulation.service_checks import ServiceChecks
 from tests.simulation.task_index import TaskIndex
 from tests.simulation.users import Users
-from tests.standins.cloud import Cloud
-from tests.standins.state import State
 
 
 class Simulation(Clock, Network, Faults, Controllers, Users, Invariants, ServiceChecks):
@@ -41,7 +41,7 @@
     ):
         self.deployment = deployment
         # The limits that the settings announce; the older version that a member's next process
-        # runs (`tests/production.py`), by name; and those of the processes there are.
+        # runs (`tests/earlier_versions.py`), by name; and those of the processes there are.
         self.coming, self.versions = coming, versions if versions is not None else {}
         self.mixed, self.running = versions is not None, {}
         # Below a bound on guarantees for each core all teams have one owner.
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -5,7 +5,7 @@
 import json
 
 from copperpass.protocol.users import JobState
-from tests.standins.gang import Gang
+from tests.fakes.gang import Gang
 
 
 class User:
--- a/tests/standins/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Stand-ins for the outside systems, written from the protocol."""
--- a/tests/state_service.py
+++ b/tests/storage_harness.py
@@ -6,7 +6,7 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.storage.machine_inventory import CachedInventory, MachineInventory
-from tests.standins.state import State
+from tests.fakes.state import State
 
 # Limits that the settings announce under `state.next`.
 
@@ -14,7 +14,7 @@
 COMING = {"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}
 
 
-class Service:
+class StorageHarness:
     """The state service and one writer, without a network."""
 
     def __init__(self, **limits):
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -10,9 +10,9 @@
 from copperpass.core.storage.completions import CompletionStore
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobSpec
-from tests import production
-from tests.bodies import job
-from tests.state_service import COMING, Service
+from tests import earlier_versions
+from tests.request_bodies import job
+from tests.storage_harness import COMING, StorageHarness
 
 
 def ended_jobs(service, sizes):
@@ -72,7 +72,7 @@
 
 
 def test_pages_of_ends_that_are_too_large_are_broken_up_and_no_end_is_lost():
-    service = Service()
+    service = StorageHarness()
     service.win()
     table = ended_jobs(service, [900] * 30)
     service.put("c/ends/0.0", {i: pack_done(bytearray(b"\xff" * 112)) for i in table.jobs})
@@ -91,7 +91,7 @@
 
 
 def test_a_mask_that_fits_no_page_is_cut_once_the_limits_have_dropped():
-    service = Service()
+    service = StorageHarness()
     service.win()
     table = ended_jobs(service, [100_000, 40])
     big, small = table.jobs.values()
@@ -123,7 +123,7 @@
     assert ends_stored(service, table.jobs)[big.spec.id] == {*expected, 50_001}
     assert service.state.writes - writes <= len(pages) and not big.finished
     # An older version takes no harm from the parts: it knows no such jobs, and keeps the pages.
-    old = production.load(production.VERSION_0_2_0)
+    old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
     theirs = old.core.JobTable()
     for key, value in pages.items():
         theirs.saw_ends(key, json.dumps(value).encode())
@@ -163,7 +163,7 @@
 def test_segments_that_an_earlier_owner_writes_late_are_not_overwritten():
     # An owner may follow another under the same token, which then refuses nothing: the ends that
     # the watch shows as stored must not go, or a later owner would run those tasks again.
-    service = Service()
+    service = StorageHarness()
     service.win()
     table, refused = late_segments(service, same_term=True)
     assert 200 in refused
@@ -175,7 +175,7 @@
 def test_ends_of_an_earlier_term_are_refused_when_they_come_late():
     # Guards the token in the records of ends. Their keys' versions alone would let such a write in
     # wherever the new owner has not written yet.
-    service = Service()
+    service = StorageHarness()
     service.win()
     table, refused = late_segments(service, same_term=False)
     assert set(refused) == {409}
@@ -184,7 +184,7 @@
 
 def test_a_page_that_an_earlier_owner_writes_late_goes_only_when_its_ends_are_stored_elsewhere():
     # As above, with whole masks: the late page says more of a job than the page it has by now.
-    service = Service()
+    service = StorageHarness()
     service.win()
     table = ended_jobs(service, [40, 40])
     owner = writer(service, table)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from copperpass.core.ports import CallOutcome
-from tests.bodies import job
+from tests.request_bodies import job
 from tests.scenarios import over, running, started_simulation, step
 from tests.simulation import Simulation, User
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Short stories of whole days, played by real cores against stand-ins in memory."""
+"""Short stories of whole days, played by real cores against fakes in memory."""
 
 import functools
 import json
@@ -9,9 +9,9 @@
 from copperpass.core.jobs.job_table import make_job
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
-from tests.bodies import job
+from tests.fakes.worker import WorkerRequest
+from tests.request_bodies import job
 from tests.simulation import Simulation
-from tests.standins.worker import WorkerRequest
 
 
 def finished(simulation, *numbers):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -5,7 +5,7 @@
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.node.node import Node
 from copperpass.protocol.frames.messages import JobCancelled
-from tests.bodies import job
+from tests.request_bodies import job
 from tests.simulation import Simulation
 from tests.test_end_to_end import running
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from tests.bodies import gang, job
 from tests.deployments import TYPE
-from tests.gang_stories import (
+from tests.gang_scenarios import (
     attempts,
     begun,
     count,
@@ -20,6 +19,7 @@
     runs,
     told,
 )
+from tests.request_bodies import gang, job
 from tests.simulation import Simulation
 
 
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -7,8 +7,8 @@
 from copperpass.core.ports import CallOutcome
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind
-from tests.bodies import gang, job
-from tests.gang_stories import attempts, begun, count, done, fine, marks, present, progress, runs
+from tests.gang_scenarios import attempts, begun, count, done, fine, marks, present, progress, runs
+from tests.request_bodies import gang, job
 from tests.test_shard_scheduler import Bench
 
 
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
 from copperpass.protocol.frames.messages import Grant, MachineStatus, ShardAssignment
-from tests.bodies import job
+from tests.request_bodies import job
 from tests.simulation import Simulation
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -18,7 +18,7 @@
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
 from copperpass.settings import parse
-from tests.bodies import raw_settings
+from tests.request_bodies import raw_settings
 from tests.test_shard_scheduler import Bench
 
 
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -16,8 +16,8 @@
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
 from copperpass.protocol.kvstore import DeleteKey, PutKey, transaction_body
 from copperpass.settings import SettingsError
-from tests.bodies import raw_settings
-from tests.standins.state import State
+from tests.fakes.state import State
+from tests.request_bodies import raw_settings
 
 
 class Model:
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.bodies import job
+from tests.request_bodies import job
 from tests.scenarios import make_unreachable, new_leader, over, running, started_simulation, step
 from tests.simulation import Simulation
 
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.state_service import COMING, Service
+from tests.storage_harness import COMING, StorageHarness
 
 GROUPS = [
     ("caja-grande", zone, spot)
@@ -38,7 +38,7 @@
 
 
 def test_a_fleet_of_several_hundred_machines_fits_and_costs_few_writes():
-    service = Service(**COMING)
+    service = StorageHarness(**COMING)
     inventory = service.inventory()
     marked = set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
@@ -63,7 +63,7 @@
 
 
 def test_names_that_do_not_fit_their_page_leave_the_booking_until_they_are_stored():
-    service = Service(**COMING)
+    service = StorageHarness(**COMING)
     inventory = service.inventory()
     sent = []
     inventory.record_request(service.now, "b-1-1", GROUPS[0], 50, lambda now, ok: sent.append(ok))
@@ -98,7 +98,7 @@
     # The leader's life ends at its n-th write, whose answer it doesn't see; a successor must know
     # the same fleet at each moment, and late writes of the dead one must change nothing.
     for steps in range(12):
-        service = Service()
+        service = StorageHarness()
         old_form(service)
         truth = service.truth()
         inventory = service.inventory()
@@ -123,7 +123,7 @@
 
 
 def test_pages_of_an_interrupted_move_do_not_count_and_go():
-    service = Service()
+    service = StorageHarness()
     old_form(service, 60)
     for number in range(9):
         service.put(
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("limits_drop", [True, False])
 def test_a_refused_record_is_proof_of_the_upgrade_only_if_limits_were_announced(limits_drop):
-    service = Service()
+    service = StorageHarness()
     old_form(service)
     inventory = service.inventory(all_upgraded=False, limits_drop=limits_drop)
     service.state.drop(**COMING)
@@ -168,7 +168,7 @@
 
 def test_a_creation_without_an_answer_holds_the_move_up_until_a_new_term():
     # Applied late, it would bring an old truth back beside the pages.
-    service = Service()
+    service = StorageHarness()
     proof = []
     inventory = service.inventory()
     inventory.all_upgraded, inventory.paged = lambda: bool(proof), False
@@ -189,7 +189,7 @@
 
 def test_what_two_pages_say_of_a_machine_adds_up_before_either_forgets_it():
     # A leader died while it moved machines from one page to another.
-    service = Service()
+    service = StorageHarness()
     place = {"type": "caja-grande", "zone": "monterrey", "spot": True}
     service.put("c/fleet/0", {"places": [{**place, "fresh": ["m-1", "m-2"]}]})
     service.put("c/fleet/1", {"places": [{**place, "up": ["m-1"], "fresh": ["m-3"]}]})
@@ -204,7 +204,7 @@
 
 def test_a_page_that_a_late_removal_has_taken_is_written_again():
     # It was left over from a move, its removal had no answer, and then it was taken into use.
-    service = Service()
+    service = StorageHarness()
     inventory = service.inventory()
     inventory.mark_up(service.now, "m-1", GROUPS[0])
     service.run(inventory, 2.0)
@@ -220,7 +220,7 @@
     """A fleet that changes at random while writes are lost, late or unanswered and leaders fall."""
 
     def __init__(self, seed, value_kb):
-        self.rng, self.service = random.Random(seed), Service(value_kb=value_kb)
+        self.rng, self.service = random.Random(seed), StorageHarness(value_kb=value_kb)
         self.proof, self.numbers = False, itertools.count(1)
         # What the cloud has answered to bookings that were sent; machines; marks that count.
         self.cloud, self.machines, self.marked = {}, {}, set()
@@ -338,7 +338,7 @@
 def test_pages_follow_limits_that_drop_unannounced():
     # Guards a fleet whose pages were filled when values could be larger: without `state.next` only
     # refusals say so, and a page that is refused for ever stores neither bookings nor marks.
-    service = Service()
+    service = StorageHarness()
     inventory = service.inventory(limits_drop=False, least=32768.0)
     fill(service, inventory, 400)
     service.run(inventory, 8.0)
@@ -372,7 +372,7 @@
 
 
 def test_a_page_of_one_item_that_no_value_can_hold_is_not_moved_around_for_ever():
-    service = Service()
+    service = StorageHarness()
     inventory = service.inventory(limits_drop=False, least=32768.0)
     service.state.drop(value_kb=0.5)
     sent, pages, request = [], len(inventory.pages), "b" * 600
@@ -393,7 +393,7 @@
 
 def test_a_page_of_one_item_is_not_moved_by_each_new_leader():
     # Its booking keeps more room than a page has: there is nothing to gain from another page.
-    service = Service()
+    service = StorageHarness()
     place = {"type": "caja-grande", "zone": "monterrey", "spot": True}
     service.put("c/fleet/0", {"places": [{**place, "booked": {"b-1-1": 300}}]})
     inventory = service.inventory()
--- a/tests/test_odd_submissions.py
+++ b/tests/test_odd_submissions.py
@@ -2,7 +2,7 @@
 
 import json
 
-from tests.bodies import job
+from tests.request_bodies import job
 from tests.simulation import Simulation
 
 ODD = [
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -7,8 +7,8 @@
 import pytest
 
 from copperpass import settings as settings_module
-from tests.bodies import job, raw_settings
 from tests.deployments import ONE_TEAM
+from tests.request_bodies import job, raw_settings
 from tests.simulation import Simulation
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -14,8 +14,8 @@
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 from copperpass.settings import Objective
-from tests.bodies import job
 from tests.deployments import TYPE, machine_types
+from tests.request_bodies import job
 
 AIMS = [Objective("wait", "quick", within_s=4.0), Objective("finished", "slow", within_s=100.0)]
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,6 +1,6 @@
 """Two versions side by side in a rolling upgrade.
 
-The earlier versions come from the repository's history (`tests/production.py`).
+The earlier versions come from the repository's history (`tests/earlier_versions.py`).
 """
 
 import itertools
@@ -8,18 +8,18 @@
 
 import pytest
 
-from tests import production
-from tests.bodies import gang, job
+from tests import earlier_versions
+from tests.request_bodies import gang, job
 from tests.simulation import Simulation
-from tests.state_service import COMING
+from tests.storage_harness import COMING
 
-OLD = {"0.2.0": production.VERSION_0_2_0, "0.3.0": None}
+OLD = {"0.2.0": earlier_versions.VERSION_0_2_0, "0.3.0": None}
 both = pytest.mark.parametrize("old", sorted(OLD))
 
 
 def rolled(order, seed, old, coming=COMING, partitioned=False):
     """A simulation in which every member runs an earlier version, and jobs run."""
-    old = production.load(OLD[old])
+    old = earlier_versions.load(OLD[old])
     simulation = Simulation(
         seed, coming=coming, partitioned=partitioned, versions=dict.fromkeys(order, old)
     )
@@ -74,7 +74,7 @@
 def owners(simulation):
     """Who owns each shard at this moment."""
     return {
-        production.shard_of(scheduler): name
+        earlier_versions.shard_of(scheduler): name
         for name, node in simulation.nodes.items()
         for scheduler in node.schedulers
         if node.grant_client.has_authority(simulation.now)
@@ -215,7 +215,7 @@
         simulation.run(4.0)
     for number, name in enumerate(order, 5):
         simulation.submit(job(number, team="blue", tasks=3, run_s=20.0))
-        simulation.versions[name] = production.load()
+        simulation.versions[name] = earlier_versions.load()
         simulation.crash(name, 1.5)
         simulation.run(4.0)
     assert all(simulation.running.values())
@@ -274,7 +274,7 @@
 
     Returns the simulation, the shard and its owner.
     """
-    old = production.load()
+    old = earlier_versions.load()
     simulation = Simulation(41, partitioned=True, versions=dict.fromkeys(["n0", "n1", "n2"], old))
     forbid_used_attempts(simulation)
     simulation.run_until(lambda: len(owners(simulation)) == 2)
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -5,7 +5,7 @@
 import pytest
 
 from copperpass.core.ports import CallOutcome
-from tests.bodies import gang, job
+from tests.request_bodies import gang, job
 from tests.scenarios import (
     new_leader,
     over,
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -16,8 +16,8 @@
 from copperpass.protocol.frames.messages import MachineContact, MachineRoute, Occupancy
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind, ExitCause, TaskStatus, WorkerHeartbeat
-from tests.bodies import job, raw_settings
 from tests.deployments import TYPE, machine_types
+from tests.request_bodies import job, raw_settings
 
 
 class Bench:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,10 +1,10 @@
-"""The stand-ins of tests/simulation.py themselves: workers with gangs, driven by hand."""
+"""The fakes of tests/simulation.py themselves: workers with gangs, driven by hand."""
 
 import pytest
 
-from tests.bodies import gang
+from tests.fakes.worker import Worker
+from tests.request_bodies import gang
 from tests.simulation import Simulation
-from tests.standins.worker import Worker
 
 
 class Hand:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -27,10 +27,10 @@
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import Team, parse
 from copperpass.tuning import Tuning
-from tests.bodies import job, raw_settings
 from tests.deployments import LARGE, TYPE, machine_types
+from tests.request_bodies import job, raw_settings
 from tests.simulation import Simulation
-from tests.state_service import Service
+from tests.storage_harness import StorageHarness
 from tests.test_machine_inventory import fill
 from tests.test_order import made
 from tests.test_shard_scheduler import Bench
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("value_kb", [2.0, 4.0])
 def test_the_records_of_4000_machines_keep_to_the_smallest_limits(value_kb):
-    service = Service(write_rps=60.0, value_kb=value_kb, txn_ops=12)
+    service = StorageHarness(write_rps=60.0, value_kb=value_kb, txn_ops=12)
     inventory = service.inventory()
     fill(service, inventory, MACHINES)
     service.run(inventory, 60.0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -20,7 +20,7 @@
 from copperpass.net.server import ApiFactory, BoundedBody
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import Hello, LeaseExtensionRequest, RelayedHeartbeat
-from tests.bodies import raw_settings
+from tests.request_bodies import raw_settings
 
 # Some tests look for a port that is free and then use it: one process runs them all.
 pytestmark = pytest.mark.xdist_group("sockets")
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -4,11 +4,11 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome
 from copperpass.protocol.kvstore import PutKey
-from tests.state_service import Service
+from tests.storage_harness import StorageHarness
 
 
 def test_refused_batches_go_one_by_one_within_the_budgets_and_teach_the_limit():
-    service = Service(txn_ops=5)
+    service = StorageHarness(txn_ops=5)
     transactions = TransactionQueue(service.out, 60.0, 16, 1.0)
     ends = []
     for n in range(120):
@@ -41,7 +41,7 @@
 
 
 def test_refusals_for_the_rate_slow_the_ledger_down_and_drop_nothing():
-    service = Service(write_rps=5.0)
+    service = StorageHarness(write_rps=5.0)
     transactions = TransactionQueue(service.out, 60.0, 16, 1.0)
     ends, sent = [], 0
     for n in range(150):
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -1,7 +1,7 @@
 """Frames and records of earlier versions, as fixed bytes.
 
-The bytes were written by running those versions (`tests/production.py`). What only a later version
-knows is met here as well.
+The bytes were written by running those versions (`tests/earlier_versions.py`). What only a
+later version knows is met here as well.
 """
 
 import json
@@ -44,7 +44,7 @@
     LeaderRecord,
     VersionRecord,
 )
-from tests import production
+from tests import earlier_versions
 
 CONTACT = MachineContact("10.0.0.9:1", 3, 77)
 # Frames as all earlier versions pack them.
@@ -176,9 +176,9 @@
     assert FrameDecoder().feed(bytes.fromhex(packed)) == [frame]
 
 
-@pytest.mark.parametrize("version", [production.VERSION_0_2_0, None], ids=["0.2.0", "0.3.0"])
+@pytest.mark.parametrize("version", [earlier_versions.VERSION_0_2_0, None], ids=["0.2.0", "0.3.0"])
 def test_earlier_versions_read_these_bytes_and_write_them(version):
-    old = production.load(version)
+    old = earlier_versions.load(version)
     for frame, packed in FRAMES + FRAMES_0_3_0:
         unpacker = old.peer.Unpacker()
         if version and (frame, packed) in FRAMES_0_3_0:
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize(
     ("version", "key", "kind", "raw"),
     [
-        *((production.VERSION_0_2_0, *record) for record in RECORDS),
+        *((earlier_versions.VERSION_0_2_0, *record) for record in RECORDS),
         *((None, *record) for record in RECORDS + RECORDS_0_3_0),
     ],
     ids=[f"0.2.0-{r[0]}" for r in RECORDS] + [f"0.3.0-{r[0]}" for r in RECORDS + RECORDS_0_3_0],
@@ -204,7 +204,7 @@
     written = json.loads(encode(record))
     # Whatever it wrote is written back; beside it may stand only what it reads without harm.
     assert written == {**written, **json.loads(raw)}
-    old = production.load(version)
+    old = earlier_versions.load(version)
     name = getattr(kind, "__name__", "")
     theirs = kind if kind == dict[str, str] else getattr(old.wire, FORMER_NAMES.get(name, name))
     again = old.wire.decode(encode(record), theirs)
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.bodies import gang, job
+from tests.request_bodies import gang, job
 from tests.simulation import Simulation
 
 
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -4,9 +4,9 @@
 
 from copperpass import settings as settings_module
 from copperpass.protocol.json_codec import encode
-from tests.bodies import job, raw_settings
+from tests.request_bodies import job, raw_settings
 from tests.simulation import Simulation
-from tests.state_service import COMING
+from tests.storage_harness import COMING
 
 
 def test_coming_limits_are_checked_and_the_lower_of_both_holds():
