--- /dev/null
+++ b/src/copperpass/core/autoscaling/machine_types.py
@@ -0,0 +1,101 @@
+"""The machine types that the cloud offers: fetched by every member, stored once by a leader."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, MACHINE_TYPES_KEY
+from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.core.kvstore.transactions import TransactionQueue
+from copperpass.core.ports import Call, CallOutcome, Outbox
+from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
+from copperpass.protocol.json_codec import decode, encode
+from copperpass.protocol.kvstore import PutKey
+
+# Only a leader needs prices that follow the market.
+LEADER_REFRESH_S, REFRESH_S = 30.0, 300.0
+FETCH_TIMEOUT_S = 3.0
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class CatalogContext:
+    """What a catalog works with; `on_change` is called after the types have changed."""
+
+    election: LeaderElection
+    transactions: TransactionQueue
+    out: Outbox
+    rng: random.Random
+    max_value_bytes: float
+    on_change: Callable[[], None]
+
+
+class MachineTypeCatalog:
+    """Types by name; what the cloud no longer offers stays, for machines of it may still run."""
+
+    def __init__(self, context: CatalogContext) -> None:
+        self.context = context
+        self.types: dict[str, MachineType] = {}
+        self._next_fetch_at = 0.0
+        self._fetching = False
+        self._stored = False
+        # No value can hold the offer: members that start take theirs from the cloud alone.
+        self._too_large = False
+
+    def on_watch_event(self, raw: bytes) -> None:
+        """The stored offer: a member that has just started need not wait for the cloud's answer."""
+        offer = decode(raw, MachineTypes)
+        self._stored = bool(raw)
+        if offer is not None and not self.types:
+            self._use(offer)
+
+    def tick(self, now: float) -> None:
+        """Fetch the offer when it is due."""
+        context = self.context
+        storable = not self._stored and not self._too_large
+        if context.election.is_leader and storable and self.types:
+            # Fetch again soon, so that the first leader stores the offer.
+            self._next_fetch_at = min(self._next_fetch_at, now + context.election.leader_ttl_s)
+        if not self._fetching and now >= self._next_fetch_at:
+            self._fetching = True
+            context.out.calls.append(
+                Call("cloud", "GET", MACHINE_TYPES_PATH, self._on_fetched, b"", FETCH_TIMEOUT_S)
+            )
+
+    def _on_fetched(self, now: float, outcome: CallOutcome) -> None:
+        self._fetching = False
+        offer = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
+        if offer is None:
+            self._next_fetch_at = now + 1.0 + self.context.rng.random()
+            return
+        self._use(offer)
+        self._store(now, offer)
+        refresh_s = LEADER_REFRESH_S if self.context.election.is_leader else REFRESH_S
+        self._next_fetch_at = now + refresh_s
+
+    def _use(self, offer: MachineTypes) -> None:
+        self.types.update({machine_type.name: machine_type for machine_type in offer.types})
+        self.context.on_change()
+
+    def _store(self, now: float, offer: MachineTypes) -> None:
+        context = self.context
+        if not context.election.is_leader or self._stored:
+            return
+        if len(encode(offer)) > context.max_value_bytes:
+            self._too_large = True
+            return
+
+        def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
+            self._too_large = self._too_large or outcome is TransactionOutcome.INVALID
+
+        # Written once: a late copy must not bring an older offer back.
+        guards = {FENCING_TOKEN_KEY: context.election.election_revision, MACHINE_TYPES_KEY: 0}
+        write = PutKey(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))
+        deadline = now + context.election.leader_ttl_s
+        context.transactions.submit(
+            now, Operation(guards, [write], on_done, deadline, Priority.BATCHED)
+        )
--- a/src/copperpass/core/membership/__init__.py
+++ b/src/copperpass/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which members there are, which version they run, and which of them answer."""
+"""The members: the versions they run, their heartbeats, and what isolation of one leads to."""
--- /dev/null
+++ b/src/copperpass/core/membership/running_counts.py
@@ -0,0 +1,60 @@
+"""How many tasks of each job run, exchanged between members; for display only."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.ports import Outbox
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.protocol.frames.messages import RunningCounts
+
+INTERVAL_S = 1.0
+
+
+class RunningCountExchange:
+    """Sends the counts of this member's shards, and keeps what the peers have sent of theirs."""
+
+    def __init__(
+        self,
+        peers: Sequence[str],
+        jobs: JobTable,
+        shards: dict[str, int],
+        grant_client: GrantClient,
+        out: Outbox,
+        now: float,
+    ) -> None:
+        self.peers, self.jobs, self.shards, self.out = peers, jobs, shards, out
+        self.grant_client = grant_client
+        self._by_peer: dict[str, dict[str, int]] = {}
+        self._next_at = now
+
+    def on_frame(self, sender: str, frame: RunningCounts) -> None:
+        """A peer has sent its counts."""
+        self._by_peer[sender] = frame.running
+
+    def counts_of(self, job_id: str) -> tuple[int, int]:
+        """How many tasks of a job are completed and run, as far as this member knows."""
+        job = self.jobs.jobs.get(job_id)
+        if job is None:
+            return 0, 0
+        if self._is_own(job.spec.team):
+            return job.done_count, job.shown()
+        reported = (counts.get(job_id, 0) for counts in self._by_peer.values())
+        return job.done_count, max(reported, default=0)
+
+    def send_if_due(self, now: float) -> None:
+        """Send the counts of the jobs whose shards this member owns."""
+        if not self.grant_client.schedulers or now < self._next_at:
+            return
+        self._next_at = now + INTERVAL_S
+        counts = {
+            job_id: job.shown()
+            for job_id, job in self.jobs.jobs.items()
+            if job.shown() and self._is_own(job.spec.team)
+        }
+        for peer in self.peers:
+            self.out.send(peer, RunningCounts(counts))
+
+    def _is_own(self, team: str) -> bool:
+        return self.shards.get(team, 0) in self.grant_client.schedulers
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -1,13 +1,15 @@
-"""Which version the members run: proof that outlives them, kept in the state service.
+"""Which version each member runs: proof that outlives the process, kept in the key-value store.
 
-A process of this version writes its member's key once at its start. Older versions neither write
-nor watch such keys. A member is proven new once its key has been read and says so; absent, doubtful
-or unreadable means old. A member's process that has come back with the new version never comes back
-old, so what is proven stays so.
+A process of this version writes its member's key once after its start. Older versions neither write
+nor watch such keys. A member counts as upgraded once its key has been read and says so; absent,
+unreadable or of a lower format means old. A member whose process has come back with the new version
+never comes back old, so an upgraded member stays upgraded.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from copperpass import __version__
 from copperpass.core.kvstore.keys import MEMBER_VERSIONS_PREFIX
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
@@ -17,84 +19,83 @@
 from copperpass.protocol.kvstore import KeyValue, PutKey, key_path
 from copperpass.protocol.records import VersionRecord
 
+# What the records and frames of this version can express; a later version's number is higher.
 FORMAT = 1
 
 
 class VersionRegistry:
-    """Writes the own key, and reads the others' while it matters."""
+    """Writes the own key, and reads the peers' until all members are known to be upgraded."""
 
     def __init__(
         self,
         member: str,
-        others: list[str],
+        peers: Sequence[str],
         out: Outbox,
         transactions: TransactionQueue,
-        gap_s: float,
-        timeout: float,
+        retry_s: float,
+        timeout_s: float,
     ) -> None:
-        self.member, self.members = member, [member, *others]
-        self.out, self.transactions, self.gap_s, self.timeout = out, transactions, gap_s, timeout
-        self.known: set[str] = set()
-        self.busy: set[str] = set()
-        self.next_try = 0.0
+        self.member, self.members = member, [member, *peers]
+        self.out, self.transactions = out, transactions
+        self.retry_s, self.timeout_s = retry_s, timeout_s
+        self.upgraded: set[str] = set()
+        self._in_flight: set[str] = set()
+        self._next_try_at = 0.0
 
     def is_upgraded(self, member: str) -> bool:
-        """Whether a member's process is certainly of this version or a later one."""
-        return member in self.known
+        """Whether a member's process is certainly of this version or a later one.
+
+        A frame or field that older versions don't know goes to no other member: an older one
+        closes the link on a frame that it can't read.
+        """
+        return member in self.upgraded
 
     def all_upgraded(self) -> bool:
-        """Whether every member is."""
-        return len(self.known) == len(self.members)
+        """Whether every member's is."""
+        return len(self.upgraded) == len(self.members)
 
     def tick(self, now: float) -> None:
-        """Store the own key, and read those of the members that are not proven."""
-        if now < self.next_try or self.all_upgraded():
+        """Store the own key, and read those of the members that are not known to be upgraded."""
+        if now < self._next_try_at or self.all_upgraded():
             return
-        self.next_try = now + self.gap_s
+        self._next_try_at = now + self.retry_s
         for member in self.members:
-            if member not in self.known and member not in self.busy:
+            if member not in self.upgraded and member not in self._in_flight:
                 self._read(member)
 
     def _read(self, member: str) -> None:
-        self.busy.add(member)
+        self._in_flight.add(member)
 
         def on_done(now: float, outcome: CallOutcome) -> None:
-            self.busy.discard(member)
-            item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
-            record = decode(bytes(item.value), VersionRecord) if item else None
-            if member != self.member:
-                if record is not None and record.format >= FORMAT:
-                    self.known.add(member)
-            elif record is not None and (record.version, record.format) == (__version__, FORMAT):
-                self.known.add(member)
-            elif item is not None or outcome.status == 404:
-                self._write(now, item.version if item is not None else 0)
-
-        self.out.calls.append(
-            Call(
-                "state",
-                "GET",
-                key_path(MEMBER_VERSIONS_PREFIX + member),
-                on_done,
-                b"",
-                self.timeout,
-            )
-        )
+            self._in_flight.discard(member)
+            self._on_read(now, member, outcome)
+
+        path = key_path(MEMBER_VERSIONS_PREFIX + member)
+        self.out.calls.append(Call("state", "GET", path, on_done, b"", self.timeout_s))
+
+    def _on_read(self, now: float, member: str, outcome: CallOutcome) -> None:
+        item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
+        record = decode(bytes(item.value), VersionRecord) if item else None
+        if member != self.member:
+            if record is not None and record.format >= FORMAT:
+                self.upgraded.add(member)
+        elif record is not None and (record.version, record.format) == (__version__, FORMAT):
+            self.upgraded.add(member)
+        elif item is not None or outcome.status == 404:
+            self._write(now, item.version if item is not None else 0)
 
     def _write(self, now: float, version: int) -> None:
         key, member = MEMBER_VERSIONS_PREFIX + self.member, self.member
-        self.busy.add(member)
+        self._in_flight.add(member)
 
-        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             # Anything but applied is read again: it may have been, or another run was first.
-            self.busy.discard(member)
+            self._in_flight.discard(member)
             if outcome is TransactionOutcome.APPLIED:
-                self.known.add(member)
+                self.upgraded.add(member)
 
-        value = {"version": __version__, "format": FORMAT}
+        write = PutKey(key, {"version": __version__, "format": FORMAT})
+        deadline = now + self.retry_s
         self.transactions.submit(
-            now,
-            Operation(
-                {key: version}, [PutKey(key, value)], on_done, now + self.gap_s, Priority.NORMAL
-            ),
+            now, Operation({key: version}, [write], on_done, deadline, Priority.NORMAL)
         )
--- /dev/null
+++ b/src/copperpass/core/node/cancellations.py
@@ -0,0 +1,42 @@
+"""Cancellations that are stored, announced to the members that run the jobs' tasks."""
+
+from __future__ import annotations
+
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.membership.version_registry import VersionRegistry
+from copperpass.core.ports import Outbox
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.protocol.frames.messages import JobCancelled
+
+
+class CancellationBroadcast:
+    """Marks cancelled jobs here and tells every peer that knows the frame.
+
+    A hint beside the watch, which may be late by as much as the bound on the watch cache's age: it
+    spares starts after a confirmed cancellation, and proves nothing about what users are answered.
+    """
+
+    def __init__(
+        self,
+        jobs: JobTable,
+        grant_client: GrantClient,
+        version_registry: VersionRegistry,
+        out: Outbox,
+    ) -> None:
+        self.jobs, self.grant_client = jobs, grant_client
+        self.version_registry, self.out = version_registry, out
+
+    def announce(self, now: float, job_id: str) -> None:
+        """A job's cancellation has been stored by this member."""
+        self.on_cancelled(now, job_id)
+        registry = self.version_registry
+        for member in registry.members:
+            if member != registry.member and registry.is_upgraded(member):
+                self.out.send(member, JobCancelled(job_id))
+
+    def on_cancelled(self, now: float, job_id: str) -> None:
+        """A job's cancellation is stored: its tasks stop, and none starts."""
+        job = self.jobs.mark_cancelled(job_id)
+        if job is not None:
+            for scheduler in list(self.grant_client.schedulers.values()):
+                scheduler.mark_cancelled(now, job)
--- /dev/null
+++ b/src/copperpass/core/node/frame_router.py
@@ -0,0 +1,125 @@
+"""Frames from other members go to the part of the node that they concern, by their type."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from copperpass.core.autoscaling.cluster_manager import ClusterManager
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
+from copperpass.core.membership.running_counts import RunningCountExchange
+from copperpass.core.node.cancellations import CancellationBroadcast
+from copperpass.core.node.leadership import Leadership
+from copperpass.core.node.worker_heartbeats import WorkerHeartbeatRouter
+from copperpass.core.ports import Outbox
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.core.shards.relay import HeartbeatRelay
+from copperpass.protocol.frames.messages import (
+    CapacityRequests,
+    Frame,
+    Grant,
+    GrantRequest,
+    JobCancelled,
+    LeaseExtensionRequest,
+    LeaseExtensionVote,
+    MachineStatusUpdates,
+    MemberHeartbeat,
+    RelayedAnswer,
+    RelayedHeartbeat,
+    RouteUpdates,
+    RunningCounts,
+    ZoneAffinities,
+)
+
+# Each handler takes the type of frame under which it stands in the table.
+Handler = Callable[[float, str, Any], None]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FrameTargets:
+    """The parts that frames are for."""
+
+    out: Outbox
+    election: LeaderElection
+    leadership: Leadership
+    grant_client: GrantClient
+    peers: PeerHeartbeats
+    running_counts: RunningCountExchange
+    cancellations: CancellationBroadcast
+    relay: HeartbeatRelay
+    worker_heartbeats: WorkerHeartbeatRouter
+
+
+class FrameRouter:
+    """Dispatches each frame; one of a type that has no handler is a later version's."""
+
+    def __init__(self, targets: FrameTargets) -> None:
+        self.targets = targets
+        self._handlers: dict[type[Frame], Handler] = {
+            MemberHeartbeat: targets.peers.on_heartbeat,
+            RunningCounts: self._on_running_counts,
+            JobCancelled: self._on_job_cancelled,
+            RelayedHeartbeat: targets.worker_heartbeats.on_relayed,
+            RelayedAnswer: self._on_relayed_answer,
+            LeaseExtensionRequest: targets.election.on_frame,
+            LeaseExtensionVote: targets.election.on_frame,
+            Grant: targets.grant_client.granted,
+            RouteUpdates: targets.grant_client.entries,
+            GrantRequest: self._on_grant_request,
+            MachineStatusUpdates: self._on_machine_statuses,
+            CapacityRequests: self._on_capacity_requests,
+            ZoneAffinities: self._on_zone_affinities,
+        }
+
+    def on_frame(self, now: float, sender: str, frame: Frame) -> None:
+        """A frame from a peer, whatever its type, is also a sign of life."""
+        self.targets.peers.on_frame(now, sender)
+        handler = self._handlers.get(type(frame))
+        if handler is not None:
+            handler(now, sender, frame)
+
+    def _on_running_counts(self, now: float, sender: str, frame: RunningCounts) -> None:
+        self.targets.running_counts.on_frame(sender, frame)
+
+    def _on_job_cancelled(self, now: float, sender: str, frame: JobCancelled) -> None:
+        self.targets.cancellations.on_cancelled(now, frame.job)
+
+    def _on_relayed_answer(self, now: float, sender: str, frame: RelayedAnswer) -> None:
+        self.targets.relay.answered(frame)
+
+    # -- for a leader ---------------------------------------------------------------------
+
+    def _manager_of(self, epoch: int) -> ClusterManager | None:
+        """The cluster manager, if this member leads under that token; else the frame is stale."""
+        cluster_manager = self.targets.leadership.cluster_manager
+        if cluster_manager is None or cluster_manager.epoch != epoch:
+            return None
+        return cluster_manager
+
+    def _on_grant_request(self, now: float, sender: str, frame: GrantRequest) -> None:
+        cluster_manager = self.targets.leadership.cluster_manager
+        grant = cluster_manager.pulled(now, sender, frame) if cluster_manager else None
+        if grant is not None:
+            self.targets.out.send(sender, grant)
+
+    def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
+        cluster_manager = self._manager_of(frame.epoch)
+        grantee = cluster_manager.grantees.get(sender) if cluster_manager is not None else None
+        if cluster_manager is None or grantee is None:
+            return
+        # An earlier process of the member counted its updates anew.
+        is_current = grantee.incarnation == frame.incarnation
+        if is_current and grantee.inbox.takes(frame.before, frame.upto):
+            cluster_manager.told(now, sender, frame.statuses)
+
+    def _on_capacity_requests(self, now: float, sender: str, frame: CapacityRequests) -> None:
+        cluster_manager = self._manager_of(frame.epoch)
+        if cluster_manager is not None:
+            cluster_manager.asked(now, frame)
+
+    def _on_zone_affinities(self, now: float, sender: str, frame: ZoneAffinities) -> None:
+        cluster_manager = self._manager_of(frame.epoch)
+        if cluster_manager is not None:
+            cluster_manager.tied(frame)
--- /dev/null
+++ b/src/copperpass/core/node/leadership.py
@@ -0,0 +1,73 @@
+"""What this member's own term as the leader consists of, from its beginning to its end."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.ports import Outbox
+from copperpass.core.shards.grant_client import BATCH, GrantClient
+from copperpass.protocol.frames.messages import RouteUpdates
+
+
+class Leadership:
+    """Holds the cluster manager while this member leads, and has it followed by the members."""
+
+    def __init__(
+        self,
+        election: LeaderElection,
+        grant_client: GrantClient,
+        out: Outbox,
+        make_context: Callable[[], ManagerContext],
+    ) -> None:
+        self.election, self.grant_client, self.out = election, grant_client, out
+        self.make_context = make_context
+        self.cluster_manager: ClusterManager | None = None
+
+    def on_change(self, now: float, is_leader: bool, continued: bool) -> None:
+        """The leadership was won or lost by this member."""
+        before = self.cluster_manager
+        if is_leader and continued and before is not None and len(before.shards) == 1:
+            # No other member can have acted in between: the term goes on under a higher token.
+            return
+        if not is_leader:
+            self.cluster_manager = None
+            self.grant_client.leave()
+            return
+        self.cluster_manager = ClusterManager(self.make_context(), now)
+        if continued and before is not None:
+            # Members follow the new token, so they need a term under it. The grants of the term
+            # before have not ended with an authority that goes on: they must expire first.
+            self.cluster_manager.wait_out(before)
+        self.grant_client.lead(self.cluster_manager)
+
+    def tick(self, now: float, watch_revision: int, types_known: bool) -> None:
+        """Run the own term, or follow the member that leads.
+
+        A term begins to act once the watch cache has caught up with its election and the machine
+        types are known.
+        """
+        cluster_manager, leader = self.cluster_manager, self.election.leader
+        if cluster_manager is None:
+            if leader is not None and leader.member != self.election.member:
+                self.grant_client.follow(leader.member, leader.token)
+            return
+        caught_up = watch_revision >= self.election.election_revision
+        if not cluster_manager.ready and caught_up and types_known:
+            cluster_manager.begin(now)
+        cluster_manager.tick(now)
+        self._send_routes(cluster_manager)
+
+    def _send_routes(self, cluster_manager: ClusterManager) -> None:
+        """Send each member the routes that are new to it."""
+        for member, grantee in cluster_manager.grantees.items():
+            feed = grantee.feed
+            while feed is not None and feed.sent < cluster_manager.table.sequence:
+                before, upto, entries = feed.next(BATCH)
+                self.out.send(
+                    member,
+                    RouteUpdates(
+                        cluster_manager.epoch, grantee.incarnation, before, upto, tuple(entries)
+                    ),
+                )
--- /dev/null
+++ b/src/copperpass/core/node/watch_router.py
@@ -0,0 +1,86 @@
+"""Watch events go to the part of the node that keeps the record, by key or prefix of keys."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from copperpass.core.api.user_api import UserApi
+from copperpass.core.autoscaling.machine_types import MachineTypeCatalog
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.jobs.job_table import JobTable
+from copperpass.core.kvstore.keys import (
+    COMPLETIONS_PREFIX,
+    FENCING_TOKEN_KEY,
+    INVENTORY_KEY,
+    INVENTORY_PAGES_PREFIX,
+    LEADER_KEY,
+    LIVE_JOBS_PREFIX,
+    MACHINE_TYPES_KEY,
+    WATCHED_PREFIX,
+)
+from copperpass.core.node.leadership import Leadership
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.core.storage.machine_inventory import CachedInventory
+
+Handler = Callable[[float, str, bytes | None, int], None]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class WatchTargets:
+    """The parts that keep stored records; `completion_versions` is shared with the schedulers."""
+
+    election: LeaderElection
+    machine_types: MachineTypeCatalog
+    jobs: JobTable
+    completion_versions: dict[str, int]
+    inventory: CachedInventory
+    user_api: UserApi
+    grant_client: GrantClient
+    leadership: Leadership
+
+
+class WatchRouter:
+    """Dispatches each event; keys that no handler is for are another version's."""
+
+    def __init__(self, targets: WatchTargets) -> None:
+        self.targets = targets
+        self._handlers: dict[str, Handler] = {
+            LEADER_KEY: targets.election.on_watch_event,
+            FENCING_TOKEN_KEY: targets.election.on_watch_event,
+            MACHINE_TYPES_KEY: self._on_machine_types,
+            LIVE_JOBS_PREFIX: self._on_live_job,
+            COMPLETIONS_PREFIX: self._on_completions,
+            INVENTORY_KEY: self._on_inventory,
+            INVENTORY_PAGES_PREFIX: self._on_inventory,
+        }
+
+    def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        """A key was written, or deleted if `raw` is None, at that version."""
+        prefix_end = key.find("/", len(WATCHED_PREFIX)) + 1
+        handler = self._handlers.get(key[:prefix_end] if prefix_end else key)
+        if handler is not None:
+            handler(now, key, raw, version)
+
+    def _on_machine_types(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        if raw is not None:
+            self.targets.machine_types.on_watch_event(raw)
+
+    def _on_live_job(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        targets = self.targets
+        job, completed = targets.jobs.saw(now, key, raw, version)
+        if raw is None:
+            targets.user_api.note_removed(key[len(LIVE_JOBS_PREFIX) :])
+        for scheduler in list(targets.grant_client.schedulers.values()):
+            if completed and job is not None:
+                scheduler.job_ended(now, job)
+            scheduler.dirty = True
+
+    def _on_completions(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        self.targets.jobs.saw_completions(key, raw)
+        self.targets.completion_versions[key] = version if raw is not None else 0
+
+    def _on_inventory(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+        inventory, manager = self.targets.inventory, self.targets.leadership.cluster_manager
+        if inventory.on_watch_event(key, raw, version) and manager is not None:
+            manager.on_inventory_event(inventory, key, version)
--- /dev/null
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -0,0 +1,97 @@
+"""Where a worker's heartbeat is answered: here, by the member that owns its machine, or nowhere."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from copperpass.core.election.leader_election import LeaderElection
+from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
+from copperpass.core.node.leadership import Leadership
+from copperpass.core.ports import Outbox, Reply
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.core.shards.relay import HeartbeatRelay
+from copperpass.protocol.frames.messages import RelayedAnswer, RelayedHeartbeat
+from copperpass.protocol.json_codec import decode, encode, error_body
+from copperpass.protocol.workers import WorkerHeartbeat, redirect_body
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class WorkerHeartbeatRouter:
+    """Answers heartbeats of own machines; relays others to their owner, or redirects the worker."""
+
+    member: str
+    out: Outbox
+    election: LeaderElection
+    leadership: Leadership
+    grant_client: GrantClient
+    peers: PeerHeartbeats
+    relay: HeartbeatRelay
+
+    def on_request(self, now: float, request: object, body: bytes) -> None:
+        """A worker's heartbeat over HTTP."""
+        heartbeat = decode(body, WorkerHeartbeat)
+        if heartbeat is None:
+            self.out.replies.append(Reply(request, 400, error_body("malformed report")))
+            return
+        owner = self.grant_client.owner_of(heartbeat.machine)
+        if owner is None:
+            owner = self._owner_of_unowned(now, heartbeat)
+            is_own = owner == self.member and self.leadership.cluster_manager is not None
+        else:
+            is_own = owner == self.member
+        if is_own:
+            self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
+        else:
+            self._pass_on(now, request, heartbeat.machine, body, owner)
+
+    def on_relayed(self, now: float, sender: str, frame: RelayedHeartbeat) -> None:
+        """A heartbeat that a worker sent to another member."""
+        heartbeat = decode(frame.body, WorkerHeartbeat)
+        if heartbeat is not None:
+            status, body = self._answer(now, heartbeat, True)
+            self.out.send(sender, RelayedAnswer(frame.number, status, body))
+
+    def _pass_on(
+        self, now: float, request: object, machine: str, body: bytes, owner: str | None
+    ) -> None:
+        """Relay a heartbeat to the machine's owner, or tell its worker where to go."""
+        connected = owner is not None and self.peers.is_connected(now, owner)
+        if owner is not None and connected and self.relay.should_relay(now, machine):
+            self.relay.relay_heartbeat(now, request, body, owner)
+            return
+        if owner is not None and not connected:
+            # The worker would hardly fare better: another member may reach the owner.
+            owner = next(
+                (
+                    peer
+                    for peer in self.election.peers
+                    if peer != owner and self.peers.is_connected(now, peer)
+                ),
+                None,
+            )
+        self.out.replies.append(Reply(request, 421, redirect_body(owner)))
+
+    def _owner_of_unowned(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
+        """Who should answer a machine that no member is known to own: the leader decides."""
+        cluster_manager = self.leadership.cluster_manager
+        if cluster_manager is not None:
+            if not cluster_manager.ready or not self.election.has_authority(now):
+                return None
+            cluster_manager.unowned(now, heartbeat)
+            self.grant_client.refresh(now)
+            return self.grant_client.owner_of(heartbeat.machine)
+        leader = self.election.leader_name()
+        return leader if leader != self.member else None
+
+    def _answer(self, now: float, heartbeat: WorkerHeartbeat, relayed: bool) -> tuple[int, bytes]:
+        """The status and body with which this member itself answers."""
+        route = self.grant_client.directory.get(heartbeat.machine)
+        scheduler = self.grant_client.schedulers.get(route.shard) if route is not None else None
+        if scheduler is None or not self.grant_client.has_authority(now):
+            if self.leadership.cluster_manager is not None and route is None and relayed:
+                self._owner_of_unowned(now, heartbeat)
+            return 421, redirect_body(None)
+        answer = scheduler.worker_heartbeat(now, heartbeat, relayed)
+        if answer is None:
+            return 503, error_body("not commanded here")
+        return 200, encode(answer)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -3,7 +3,7 @@
 import pytest
 
 from copperpass.core.election.leader_election import LeaderElection
-from copperpass.core.node.node import Node
+from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
 from copperpass.protocol.frames.messages import JobCancelled
 from tests.request_bodies import job
 from tests.simulation import Simulation
@@ -92,7 +92,7 @@
 
 def test_without_the_bound_on_the_view_that_day_breaks_a_rule(monkeypatch):
     monkeypatch.setattr(LeaderElection, "watch_cache_valid_until", lambda self: float("inf"))
-    monkeypatch.setattr(Node, "_behind", lambda self: False)
+    monkeypatch.setattr(PeerHeartbeats, "is_behind", lambda self, consistent_at: False)
     with pytest.raises(AssertionError):
         simulation = stuck_leader_day()
         assert not simulation.broken
@@ -153,7 +153,7 @@
     simulation.frame = lambda s, m, f: (
         told.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
     )
-    simulation.nodes[one].version_registry.known.discard(leader)
+    simulation.nodes[one].version_registry.upgraded.discard(leader)
     simulation.cancel("req-000001", one)
     simulation.run(2.0)
     assert told == [(one, other)] and running(simulation) == 6
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -188,7 +188,7 @@
     node = simulation.nodes[simulation.leader()]
     grantee = next(t for n, t in node.cluster_manager.grantees.items() if n != simulation.leader())
     grantee.grants_expire_at = simulation.now + 3.0
-    node._on_leadership_change(simulation.now, True, True)
+    node.leadership.on_change(simulation.now, True, True)
     simulation.run(2.9)
     assert not any(p.owner for p in node.cluster_manager.shards.values())
     simulation.run(1.0)
