--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -9,7 +9,6 @@
 from copperpass.core.scheduling.bin_packing.feasibility import (
     CAPACITY_TOLERANCE,
     satisfies_constraints,
-    slots_in,
 )
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.task_estimates import remaining_s
@@ -51,7 +50,12 @@
                 cpus += released_cpus
                 gpus += released_gpus
                 memory_gb += released_memory_gb
-        return slots_in(spec, (cpus, gpus, memory_gb), limit)
+        # As `slots_in`, without a call: this runs for each pending job and each machine.
+        tasks = limit
+        for need, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
+            if need > 0:
+                tasks = min(tasks, int((free + CAPACITY_TOLERANCE) / need))
+        return max(0, tasks)
 
     def reserve(self, spec: JobSpec, limit: int, horizon: float) -> int:
         """Pack up to `limit` tasks that may start within the horizon; returns how many fit."""
