--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -16,7 +16,7 @@
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
 from copperpass.protocol.kvstore import DeleteKey, KeyValue, PutKey, key_path
-from copperpass.protocol.records import JobRecord
+from copperpass.protocol.records import JobRecord, completed_job_value, submitted_job_value
 from copperpass.protocol.users import (
     JOB_ID_PATTERN,
     MAX_BODY_BYTES,
@@ -154,7 +154,7 @@
         except Rejection as rejection:
             self._refuse(now, request, spec.id, rejection)
             return
-        record = {"spec": msgspec.to_builtins(spec), "at": round(now + self.day, 1)}
+        record = submitted_job_value(spec, round(now + self.day, 1))
         room = self.cluster.state.least_value_bytes
         if len(encode(record)) > room and spec.types is not None:
             # Types named twice, or that don't exist, say nothing.
@@ -200,15 +200,15 @@
             return
 
         def found(n: float, record: JobRecord | None, version: int) -> None:
-            if record is None or record.final:
+            if record is None or record.final_state:
                 self._tell(request, job_id, record)
                 return
             count = self.counts(job_id)[0]
-            final = {"final": JobState.CANCELLED, "count": count}
+            final = completed_job_value(JobState.CANCELLED, count)
 
             def stored(m: float, outcome: TransactionOutcome, revision: int) -> None:
                 if outcome is TransactionOutcome.APPLIED:
-                    over = JobRecord(final=JobState.CANCELLED, count=count)
+                    over = JobRecord(final_state=JobState.CANCELLED, done_count=count)
                     self.note_final(job_id, over)
                     self.announce_cancelled(m, job_id)
                     self._tell(request, job_id, over)
@@ -320,8 +320,8 @@
         if record is None:
             self._answer(request, 404, error_body("no such job"))
             return
-        if record.final:
-            answer = JobAnswer(job_id, record.final, record.count, 0)
+        if record.final_state:
+            answer = JobAnswer(job_id, record.final_state, record.done_count, 0)
         else:
             done, running = self.counts(job_id)
             state = JobState.RUNNING if running else JobState.QUEUED
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -196,14 +196,14 @@
     """A job from its record; `day` is the time of day less the steady clock's."""
     if record.spec is None:
         return None
-    done = unpack_done(record.done, record.spec.tasks)
+    done = unpack_done(record.done_tasks, record.spec.tasks)
     count = sum(byte.bit_count() for byte in done)
     # A record with ends was changed after its creation, maybe by a late write of an earlier leader
     # after our win: its version doesn't prove that the job is younger than the win.
     created = version if count == 0 else 0
     # A process that has just started sees jobs that came long ago: by its own clock all of them
     # would be new, and every restart of all controllers would begin each wait afresh.
-    arrived = min(now, record.at - day) if record.at else now
+    arrived = min(now, record.submitted_at - day) if record.submitted_at else now
     return Job(record.spec, version, arrived, created, done, count)
 
 
@@ -277,7 +277,7 @@
             return job, False
         if version > job.version:
             job.version = version
-            job.merge(unpack_done(record.done, job.spec.tasks))
+            job.merge(unpack_done(record.done_tasks, job.spec.tasks))
         return job, False
 
 
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -11,6 +11,7 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
 from copperpass.protocol.kvstore import DeleteKey, PutKey, Write
+from copperpass.protocol.records import completed_job_value
 from copperpass.protocol.users import JobState
 
 # The part of the limits of a record that is used, which leaves room for what is estimated.
@@ -47,7 +48,7 @@
             return
         job.storing = True
         key = LIVE_JOBS_PREFIX + job.spec.id
-        final = {"final": JobState.DONE, "count": job.spec.tasks}
+        final = completed_job_value(JobState.DONE, job.spec.tasks)
 
         def on_done(at: float, outcome: TransactionOutcome, revision: int) -> None:
             job.storing = False
--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -10,17 +10,38 @@
 from copperpass.protocol.users import JobSpec
 
 
-class JobRecord(msgspec.Struct, omit_defaults=True):
-    """The one record of a job: its spec, its final state, its done tasks.
+class JobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "submitted_at": "at",
+        "final_state": "final",
+        "done_tasks": "done",
+        "done_count": "count",
+    },
+):
+    """The one record of a job: its spec while it is live, its final state afterwards.
 
-    `at`: the time of day when it was submitted; 0 if that isn't known.
+    `submitted_at`: the time of day in seconds when it was submitted; 0 if that isn't known.
+    `done_tasks`: the tasks that are done, as a bitmap in base64 without its trailing zeros.
+    `done_count`: how many were done when it reached its final state.
     """
 
     spec: JobSpec | None = None
-    at: float = 0.0
-    final: str = ""
-    done: str = ""
-    count: int = 0
+    submitted_at: float = 0.0
+    final_state: str = ""
+    done_tasks: str = ""
+    done_count: int = 0
+
+
+def submitted_job_value(spec: JobSpec, submitted_at: float) -> dict[str, object]:
+    """What is stored of a job when it is submitted."""
+    return {"spec": msgspec.to_builtins(spec), "at": submitted_at}
+
+
+def completed_job_value(final_state: str, done_count: int) -> dict[str, object]:
+    """What is stored of a job when it reaches its final state."""
+    return {"final": final_state, "count": done_count}
 
 
 class LeaderRecord(msgspec.Struct):
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -88,7 +88,7 @@
     # A record without the time, or a clock that runs ahead, makes a job new, never one of later.
     record = decode(json.dumps({"spec": job(2)}).encode(), JobRecord)
     assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
-    record.at = 2000.0
+    record.submitted_at = 2000.0
     assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
 
 
