--- a/src/copperpass/core/scheduling/bin_packing/gang_placement.py
+++ b/src/copperpass/core/scheduling/bin_packing/gang_placement.py
@@ -7,34 +7,43 @@
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.bin_packing.feasibility import (
     slots_in,
+    tasks_by_zone,
     zone_choices,
     zone_limit,
 )
-from copperpass.core.scheduling.bin_packing.ranking import Ranking
+from copperpass.core.scheduling.bin_packing.ranking import (
+    FAILED_HERE,
+    FETCH_S,
+    PRICE_PER_CPU,
+    PlacementScore,
+    Ranking,
+)
 from copperpass.core.scheduling.machines import Machine
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class GangPlan:
-    """Where the tasks of a gang go, all at once, and when the last of them has its image."""
+    """Where the missing tasks of a gang go, all at once; of two plans the lower cost is better."""
 
-    places: list[tuple[int, Machine]]
+    # Task index and machine.
+    placements: list[tuple[int, Machine]]
+    # Failed there, slowest fetch of the image, number of machines, mean price.
     cost: tuple[float, ...]
 
 
 def plan_gang(ranking: Ranking, machines: dict[str, Machine]) -> GangPlan | None:
     """Place all missing tasks of a gang, or none of them.
 
-    Of the zones that have room for the whole, the one where it starts soonest: the gang starts with
-    its last image. On few machines rather than on many: it runs at the speed of the slowest.
+    Of the zones that have capacity for the whole, the one where it starts soonest: the gang starts
+    with its last image. On few machines rather than on many: it runs at the speed of the slowest.
     """
     job = ranking.job
     missing = job.missing()
-    offers = [(score, machine) for score, _, machine in ranking.heap]
+    scored = [(score, machine) for score, _, machine in ranking.heap]
     best: GangPlan | None = None
-    for zones in zone_choices(job, {machine.zone for _, machine in offers}, machines):
-        here = [offer for offer in offers if offer[1].zone in zones]
-        plan = _plan_on(job, missing, here, machines)
+    for zones in zone_choices(job, {machine.zone for _, machine in scored}, machines):
+        in_zones = [(score, machine) for score, machine in scored if machine.zone in zones]
+        plan = _plan_on(job, missing, in_zones, machines)
         if plan is not None and (best is None or plan.cost < best.cost):
             best = plan
     return best
@@ -43,45 +52,60 @@
 def _plan_on(
     job: Job,
     missing: list[int],
-    offers: list[tuple[tuple[float, ...], Machine]],
+    scored: list[tuple[PlacementScore, Machine]],
     machines: dict[str, Machine],
 ) -> GangPlan | None:
-    """Place all missing tasks on the offered machines, if there is room."""
-    spec, need, most = job.spec, len(missing), zone_limit(job.spec)
-    counts: dict[str, int] = {}
-    for name in job.placed.values():
-        where = machines[name].zone if name in machines else "?"
-        counts[where] = counts.get(where, 0) + 1
-    here = [
-        (score, machine, slots_in(spec, machine.free_capacity(), need)) for score, machine in offers
-    ]
-    # Where it has failed last, without a fetch first, whole before in parts, cheap before dear.
-    here.sort(key=lambda o: (o[0][0], o[0][3], -o[2], *o[0][1:], o[1].name))
-    places: list[tuple[int, Machine]] = []
-    used: list[tuple[float, ...]] = []
+    """Place all missing tasks on the scored machines, if they have the capacity."""
+    spec, limit = job.spec, zone_limit(job.spec)
+    counts = tasks_by_zone(job, machines)
+    placements: list[tuple[int, Machine]] = []
+    used: list[PlacementScore] = []
     left = list(missing)
-    for score, machine, slots in here:
+    for score, machine, slots in _by_preference(job, len(missing), scored):
         if not left:
             break
-        free = min(slots, most - counts.get(machine.zone, 0)) if spec.spread else slots
+        free = min(slots, limit - counts.get(machine.zone, 0)) if spec.spread else slots
         # Ended tasks that aren't cleared yet are still there: the machine would ignore a start
         # under the same attempt, and refuse one under another.
-        there = {index for name, index, _ in machine.tasks if name == spec.id}
-        mine = [i for i in left if i not in there][:free]
-        if not mine:
+        present = {index for job_id, index, _ in machine.tasks if job_id == spec.id}
+        chosen = [index for index in left if index not in present][:free]
+        if not chosen:
             continue
-        counts[machine.zone] = counts.get(machine.zone, 0) + len(mine)
-        places += [(i, machine) for i in mine]
-        left = [i for i in left if i not in mine]
+        counts[machine.zone] = counts.get(machine.zone, 0) + len(chosen)
+        placements += [(index, machine) for index in chosen]
+        left = [index for index in left if index not in chosen]
         used.append(score)
-    return None if left else GangPlan(places, _cost(used))
+    return None if left else GangPlan(placements, _cost(used))
+
+
+def _by_preference(
+    job: Job, count: int, scored: list[tuple[PlacementScore, Machine]]
+) -> list[tuple[PlacementScore, Machine, int]]:
+    """The machines with their slots: where the gang has failed last, without a fetch first.
+
+    Then whole before in parts, cheap before expensive.
+    """
+    offers = [
+        (score, machine, slots_in(job.spec, machine.free_capacity(), count))
+        for score, machine in scored
+    ]
+    offers.sort(
+        key=lambda offer: (
+            offer[0][FAILED_HERE],
+            offer[0][FETCH_S],
+            -offer[2],
+            *offer[0][FAILED_HERE + 1 :],
+            offer[1].name,
+        )
+    )
+    return offers
 
 
-def _cost(scores: list[tuple[float, ...]]) -> tuple[float, ...]:
-    """The lower the better: failed there, slowest fetch, number of machines, mean price."""
+def _cost(scores: list[PlacementScore]) -> tuple[float, ...]:
+    """The cost of a plan that uses machines with these scores, see `GangPlan`."""
     return (
-        max(score[0] for score in scores),
-        max(score[3] for score in scores),
+        max(score[FAILED_HERE] for score in scores),
+        max(score[FETCH_S] for score in scores),
         float(len(scores)),
-        sum(score[2] for score in scores) / len(scores),
+        sum(score[PRICE_PER_CPU] for score in scores) / len(scores),
     )
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -20,7 +20,7 @@
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.reservation_planning import machine_to_reserve
-from copperpass.core.scheduling.reservations import Reservations
+from copperpass.core.scheduling.reservations import Reservations, reserve_machine
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 from copperpass.core.scheduling.tasks import TaskLifecycle
@@ -331,9 +331,5 @@
         self.reserving.add(name)
         machine = machine_to_reserve(job, self.usable, self.state.machines, now)
         if machine is not None:
-            machine.reserved_for_job, machine.reserved_until = (
-                spec.id,
-                now + self.state.timing.report_s,
-            )
-            machine.reservation_ready_at = 0.0
+            reserve_machine(machine, spec.id, now + self.state.timing.report_s)
             self.jobs_with_reservation.add(spec.id)
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -1,4 +1,4 @@
-"""Gangs: what the reported states of their tasks mean for the attempt."""
+"""Gangs: what the reported states of their tasks mean for the attempt that the tasks share."""
 
 from __future__ import annotations
 
@@ -8,9 +8,15 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.workers import ExitCause, TaskState
 
+# Causes with which a machine refuses a start: the task has not run.
+REFUSALS = (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN)
+
 
 class GangMonitor:
-    """Judges the attempts of gangs by what is reported of their tasks."""
+    """Ends the attempts of gangs that can't complete, by what is reported of their tasks.
+
+    Invariant: tasks of two attempts of a gang never run towards the same completion.
+    """
 
     def __init__(self, state: ShardState, tasks: TaskLifecycle) -> None:
         self.state, self.tasks = state, tasks
@@ -18,11 +24,11 @@
     def on_task_active(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang is reported as active."""
         if job.ending and placement.stop_grace_s is None:
-            # Its machine was taken over only after the attempt had ended and the rest were told.
+            # Its machine was taken over only after the attempt had ended and the rest were stopped.
             self.tasks.stop(now, placement, StopReason.ATTEMPT_OVER)
         if not job.attempt and not job.ending:
             if placement.stop_grace_s is not None:
-                # The second copy of a task, which must go: nobody may join its attempt.
+                # The second copy of a task, which must go: no other task may join its attempt.
                 return
             # Taken over from an earlier owner: what is missing joins its attempt.
             job.attempt = placement.attempt
@@ -33,33 +39,35 @@
             job.begun = True
 
     def on_task_exited(self, now: float, job: Job, placement: Placement) -> None:
-        """A task of a gang has ended without being done."""
+        """A task of a gang has exited without completing."""
         if job.ended():
             return
-        if placement.attempt == job.attempt and not job.ending:
-            refused = placement.exit_cause in (
-                ExitCause.NO_CAPACITY,
-                ExitCause.BUSY,
-                ExitCause.UNKNOWN,
-            )
-            waiting = not job.begun and (
-                refused
-                or placement.stop_grace_s is not None
-                or (placement.exit_cause == ExitCause.ERROR and not placement.running_at)
-            )
-            if not waiting:
-                # Whatever the rest does now, it can't complete under this attempt.
-                self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.exit_cause)
+        current = placement.attempt == job.attempt and not job.ending
+        if current and not self._is_replaceable(job, placement):
+            # Whatever the rest does now, it can't complete under this attempt.
+            self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.exit_cause)
         job.settle_gang()
 
+    def _is_replaceable(self, job: Job, placement: Placement) -> bool:
+        """Whether another placement may join the attempt in place of a task that has exited.
+
+        Only while the gang still gathers: the task was refused, was stopped, or failed before it
+        ran.
+        """
+        return not job.begun and (
+            placement.exit_cause in REFUSALS
+            or placement.stop_grace_s is not None
+            or (placement.exit_cause == ExitCause.ERROR and not placement.running_at)
+        )
+
     def all_reachable(self, now: float, job: Job) -> bool:
-        """Whether all tasks of a gang can be told to stop within the time that saving takes."""
+        """Whether all tasks of a gang can be stopped within the time that a checkpoint takes."""
         timing, machines = self.state.timing, self.state.machines
-        longest = min(timing.silence_s, timing.gang_notice_s)
+        longest_s = min(timing.silence_s, timing.gang_notice_s)
         for name in job.placed.values():
             machine = machines.get(name)
             if machine is None or machine.unreachable_since is not None:
                 return False
-            if now - machine.last_heartbeat_at > longest:
+            if now - machine.last_heartbeat_at > longest_s:
                 return False
         return True
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -8,13 +8,13 @@
 from copperpass.core.scheduling.bin_packing.ranking import Ranking
 from copperpass.core.scheduling.machines import Machine, StopReason
 from copperpass.core.scheduling.reservation_planning import plan_gang_reservation
-from copperpass.core.scheduling.reservations import Reservations
+from copperpass.core.scheduling.reservations import Reservations, reserve_machine
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 
 
 class GangPlacer:
-    """Starts gangs whole, and holds the room where one can start soonest."""
+    """Starts gangs as a whole, and reserves the capacity where one can start soonest."""
 
     def __init__(self, state: ShardState, tasks: TaskLifecycle, reservations: Reservations) -> None:
         self.state, self.tasks, self.reservations = state, tasks, reservations
@@ -28,14 +28,18 @@
         used: tuple[float, float],
         started_on: list[Machine],
     ) -> list[Machine] | None:
-        """Start all missing tasks of a gang or none; None: the team's limit has no room for it."""
+        """Start all missing tasks of a gang or none; returns the machines they start on.
+
+        None: the team's limit doesn't allow the whole gang now, or tasks of an earlier attempt
+        are not proven gone. `started_on` lists the machines that the round has started tasks on.
+        """
         spec, count = job.spec, len(job.missing())
         team = self.state.by_team[spec.team]
         if not fits_within(used[0] + count * spec.cpus, team.cpus_limit) or not fits_within(
             used[1] + count * spec.gpus, team.gpus_limit
         ):
             return None
-        if self._earlier_attempt_left(job):
+        if self._has_earlier_attempt(job):
             return None
         reservations = self.reservations
         policy = reservations.policy(
@@ -44,16 +48,16 @@
         ranking = Ranking(job, candidates, self.machines, now, policy, len(started_on))
         plan = plan_gang(ranking, self.machines)
         if plan is None:
-            self._on_no_capacity(now, job)
+            self._end_incomplete_attempt(now, job)
             return []
         job.short_since = None
         if not job.attempt:
             job.attempt = self.tasks.new_attempt(job)
-        for index, machine in plan.places:
+        for index, machine in plan.placements:
             self.tasks.start(now, job, index, machine)
-        return [machine for _, machine in plan.places]
+        return [machine for _, machine in plan.placements]
 
-    def _earlier_attempt_left(self, job: Job) -> bool:
+    def _has_earlier_attempt(self, job: Job) -> bool:
         """Whether a task of an earlier attempt is not proven gone."""
         job_id, machines = job.spec.id, self.machines
         return any(
@@ -63,10 +67,10 @@
             for placement in machines[name].tasks.values()
         )
 
-    def _on_no_capacity(self, now: float, job: Job) -> None:
-        """End an attempt of which some tasks wait for the rest, which has no room in their zone.
+    def _end_incomplete_attempt(self, now: float, job: Job) -> None:
+        """End an attempt whose placed tasks wait for the rest, which has no capacity in their zone.
 
-        Better all anew than to hold machines until they give up.
+        Starting anew as a whole is better than occupying machines until the tasks time out.
         """
         if not job.placed:
             return
@@ -75,25 +79,25 @@
             self.tasks.end_gang(now, job, StopReason.NO_ROOM, 0.0)
 
     def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
-        """Hold the room where a gang can start soonest; returns whom room is held for."""
+        """Reserve the capacity where a gang can start soonest; returns the jobs it is for."""
         state, report_s = self.state, self.state.timing.report_s
-        found = plan_gang_reservation(
+        reservation = plan_gang_reservation(
             job, usable, self.machines, now, self.reservations.reserved_machines
         )
-        if found is None:
+        if reservation is None:
             return set()
-        for machine in found.machines:
-            # Not to be given back while a gang waits for the rest of its room, however long:
+        for machine in reservation.machines:
+            # Not to be returned while a gang waits for the rest of its capacity, however long:
             # machines that come one by one and go back as idle never add up to its zone's part.
             machine.retain_until = now + report_s
         tuning = self.reservations.tuning
-        late = now - job.arrived > tuning.patience_s
-        slack = state.slos.start_deadline(job, now) - now
-        if (late and not found.whole) or slack > tuning.patient_boots * state.timing.boot_s:
-            # What comes last holds nothing up; and a part of a gang's room is no use to anybody
-            # for as long as it is held, so that has a bound.
+        past_wait = now - job.arrived > tuning.patience_s
+        slack_s = state.slos.start_deadline(job, now) - now
+        can_wait = slack_s > tuning.patient_boots * state.timing.boot_s
+        if can_wait or (past_wait and not reservation.whole):
+            # What comes last delays nothing else; and a part of a gang's capacity is no use to
+            # anybody for as long as it is reserved, so that has a bound.
             return set()
-        for machine in found.machines:
-            machine.reserved_for_job, machine.reserved_until = job.spec.id, now + report_s
-            machine.reservation_ready_at = found.ready
+        for machine in reservation.machines:
+            reserve_machine(machine, job.spec.id, now + report_s, reservation.ready_at)
         return {job.spec.id}
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Tasks that are stopped so that others, which would miss their aim, find room."""
+"""Preemption: tasks are stopped so that others, which would miss their start deadline, fit."""
 
 from __future__ import annotations
 
@@ -10,31 +10,29 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import NO_PRIORITY, Machine, Placement, StopReason
+from copperpass.core.scheduling.reservations import reserve_machine
 from copperpass.core.scheduling.state import ShardState
-from copperpass.core.scheduling.task_estimates import preemption_cost, worth_checkpointing
+from copperpass.core.scheduling.task_estimates import worth_checkpointing
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.scheduling.victims import victims
-from copperpass.protocol.users import PRIORITY_LEVELS
+from copperpass.core.scheduling.victims import Preemptor, choose_victims, cost_of_victim
 
-# Room is freed for as many tasks of a job at a time.
+# Capacity is freed for at most so many tasks of a job at a time.
 MAX_TASKS_AT_ONCE = 8
-# A machine whose tasks are stopped is held for the job for as many reports.
+# A machine whose tasks are preempted is reserved for the job for so many heartbeats.
 RESERVED_HEARTBEATS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Preemptor:
-    """A job that may have tasks of others stopped."""
+class PreemptionPlan:
+    """The victims on one machine, and the CPU seconds of work that preempting them costs."""
 
-    job: Job
-    # Seconds until the nearest aim that can still be met.
-    slack_s: float
-    # Its team is under its guarantee, so it may take back what others have borrowed.
-    under_guarantee: bool
+    machine: Machine
+    victims: list[Placement]
+    cost: float
 
 
 class Preemption:
-    """Stops work of lower priority, or in borrowed room."""
+    """Preempts work of lower priority, or work that uses more than its team's guarantee."""
 
     def __init__(
         self,
@@ -52,33 +50,46 @@
         usable: list[Machine],
         used: dict[str, tuple[float, float]],
     ) -> None:
-        """Stop work of lower priority, or borrowed room, for tasks that would miss their aim."""
-        state = self.state
+        """Free capacity for jobs without a placement that would miss their start deadline.
+
+        `used` holds the CPUs and GPUs of each team's tasks. Tasks that are stopping already count
+        against each job's budget, whichever job they are preempted for.
+        """
         over_guarantee = {
-            team.name for team in state.teams if used[team.name][0] > team.cpus + 1e-6
+            team.name for team in self.state.teams if used[team.name][0] > team.cpus + 1e-6
         }
         stopping: int | None = None
         lowest = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
         for job in unplaced:
-            spec = job.spec
-            slack = state.slos.start_deadline(job, now) - now
-            if slack > state.timing.boot_s:
-                continue
-            under_guarantee = (
-                bool(over_guarantee - {spec.team})
-                and state.slos.guarantee_target_s is not None
-                and fits_within(used[spec.team][0] + spec.cpus, state.by_team[spec.team].cpus)
-            )
-            if lowest >= PRIORITY_LEVELS[spec.priority] and not under_guarantee:
+            preemptor = self._preemptor(now, job, used[job.spec.team][0], over_guarantee)
+            if preemptor is None or (
+                lowest >= preemptor.priority and not preemptor.under_guarantee
+            ):
                 continue
             if stopping is None:
                 stopping = self._count_stopping()
-            budget = (1 if spec.gang else min(job.waiting(), MAX_TASKS_AT_ONCE)) - stopping
+            wanted = 1 if job.spec.gang else min(job.waiting(), MAX_TASKS_AT_ONCE)
+            budget = wanted - stopping
             if budget > 0:
-                preemptor = Preemptor(job, slack, under_guarantee)
                 stopping += self._free_capacity(now, preemptor, usable, over_guarantee, budget)
 
+    def _preemptor(
+        self, now: float, job: Job, used_cpus: float, over_guarantee: set[str]
+    ) -> Preemptor | None:
+        """A job as a preemptor; None while a machine could still boot for it in time."""
+        state, spec = self.state, job.spec
+        slack_s = state.slos.start_deadline(job, now) - now
+        if slack_s > state.timing.boot_s:
+            return None
+        under_guarantee = (
+            bool(over_guarantee - {spec.team})
+            and state.slos.guarantee_target_s is not None
+            and fits_within(used_cpus + spec.cpus, state.by_team[spec.team].cpus)
+        )
+        return Preemptor(job, slack_s, under_guarantee)
+
     def _count_stopping(self) -> int:
+        """How many preempted tasks have not ended yet."""
         return sum(
             1
             for machine in self.state.machines.values()
@@ -96,56 +107,52 @@
         over_guarantee: set[str],
         budget: int,
     ) -> int:
-        """Stop tasks on up to `budget` machines, where the least is lost; returns how many."""
+        """Preempt tasks on up to `budget` machines, where it costs least; returns how many."""
         stopped = 0
-        found = self._candidates(now, preemptor, usable, over_guarantee)
-        for _, _, machine, chosen in heapq.nsmallest(budget, found):
-            for placement in chosen:
+        plans = self._plans(now, preemptor, usable, over_guarantee)
+        reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.report_s
+        for plan in heapq.nsmallest(budget, plans, key=lambda plan: (plan.cost, plan.machine.name)):
+            for placement in plan.victims:
                 self._stop(now, preemptor, placement)
                 stopped += 1
-            machine.reservation_ready_at = 0.0
-            machine.reserved_for_job = preemptor.job.spec.id
-            machine.reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.report_s
-            self.commands.send(now, machine)
+            reserve_machine(plan.machine, preemptor.job.spec.id, reserved_until)
+            self.commands.send(now, plan.machine)
         return stopped
 
     def _stop(self, now: float, preemptor: Preemptor, placement: Placement) -> None:
-        """Stop one task for a preemptor; it saves only where that is worth its while."""
+        """Stop one victim, after a checkpoint only where that is worth its time."""
         victim = self.jobs.jobs.get(placement.job_id)
         if victim is None:
             self.tasks.stop(now, placement, StopReason.PREEMPTED)
             return
         victim.preempted.add(placement.index)
-        save = victim.spec.gang or worth_checkpointing(
+        checkpoint = victim.spec.gang or worth_checkpointing(
             placement, victim.spec, preemptor.slack_s, now
         )
-        self.tasks.stop(now, placement, StopReason.PREEMPTED, save)
+        self.tasks.stop(now, placement, StopReason.PREEMPTED, checkpoint)
 
-    def _candidates(
+    def _plans(
         self, now: float, preemptor: Preemptor, usable: list[Machine], over_guarantee: set[str]
-    ) -> list[tuple[float, str, Machine, list[Placement]]]:
-        """The work that would be lost on each machine, and the tasks to stop there."""
-        job, under_guarantee = preemptor.job, preemptor.under_guarantee
-        priority = PRIORITY_LEVELS[job.spec.priority]
+    ) -> list[PreemptionPlan]:
+        """What could be preempted on each machine."""
+        job, priority = preemptor.job, preemptor.priority
         machines, jobs = self.state.machines, self.jobs.jobs
-        found: list[tuple[float, str, Machine, list[Placement]]] = []
+        plans: list[PreemptionPlan] = []
         for machine in usable:
             if now < machine.reserved_until or (
-                machine.lowest_priority >= priority and not under_guarantee
+                machine.lowest_priority >= priority and not preemptor.under_guarantee
             ):
                 continue
             if not zone_feasible(job, machine.zone, machines):
                 continue
             if machine.fetch_s(job.spec) > preemptor.slack_s:
-                # Its image would come too late for the aim that the room is for.
+                # Its image would come too late for the deadline that the capacity is freed for.
                 continue
-            chosen = victims(job, machine, jobs, over_guarantee, under_guarantee, now)
-            if chosen:
-                cost = sum(self._cost(placement, now) for placement in chosen)
-                found.append((cost, machine.name, machine, chosen))
-        return found
-
-    def _cost(self, placement: Placement, now: float) -> float:
-        """The CPU seconds that stopping a task costs."""
-        victim = self.jobs.jobs.get(placement.job_id)
-        return preemption_cost(placement, victim.spec if victim else None, now) * placement.cpus
+            victims = choose_victims(preemptor, machine, jobs, over_guarantee, now)
+            if victims:
+                cost = sum(
+                    cost_of_victim(placement, jobs, now)[1] * placement.cpus
+                    for placement in victims
+                )
+                plans.append(PreemptionPlan(machine, victims, cost))
+        return plans
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from copperpass.core.jobs.job_table import Job
 from copperpass.core.scheduling.bin_packing.feasibility import (
-    feasible_on_type,
+    feasible_when_empty,
     fits_within,
-    satisfies_constraints,
     slots_in,
     zone_choices,
     zone_feasible,
@@ -21,52 +22,79 @@
 
 @dataclass(frozen=True, slots=True)
 class GangReservation:
-    """The machines where a gang finds room soonest, when, and whether for all of its tasks."""
+    """The machines where a gang finds capacity soonest."""
 
     machines: list[Machine]
-    ready: float
+    # The moment when all of it is free.
+    ready_at: float
+    # Whether it is enough for all missing tasks.
     whole: bool
 
 
-# A place for one task: in how many seconds it is free, whether it isn't kept for others, where.
-Offer = tuple[float, bool, str, Machine]
+class FutureSlot(NamedTuple):
+    """Capacity for one task on a machine; those that are free sooner sort first."""
+
+    free_in_s: float
+    # The machine isn't reserved for work that may use on-demand machines only.
+    unreserved: bool
+    machine_name: str
+    machine: Machine
+
+
+def _capacity_over_time(
+    machine: Machine, now: float
+) -> Iterator[tuple[float, tuple[float, float, float]]]:
+    """In how many seconds a machine has which free capacity, if nothing else starts there."""
+    cpus, gpus, memory = machine.free_capacity()
+    yield 0.0, (cpus, gpus, memory)
+    by_end = sorted(
+        (
+            (remaining_s(placement, now), placement)
+            for placement in machine.tasks.values()
+            if placement.active
+        ),
+        key=lambda pair: pair[0],
+    )
+    for free_in_s, placement in by_end:
+        cpus, gpus = cpus + placement.cpus, gpus + placement.gpus
+        memory += placement.memory_gb
+        yield free_in_s, (cpus, gpus, memory)
 
 
 def machine_to_reserve(
     job: Job, usable: list[Machine], machines: dict[str, Machine], now: float
 ) -> Machine | None:
-    """The machine that will have room for the job's next task soonest, if nothing else starts."""
+    """The machine that has capacity for the job's next task soonest, if nothing else starts."""
     best: tuple[float, str, Machine] | None = None
     spec = job.spec
     for machine in usable:
-        if not satisfies_constraints(spec, machine.type, machine.zone, machine.spot):
+        if not feasible_when_empty(spec, machine):
             continue
-        if not feasible_on_type(spec, machine.type) or not zone_feasible(
-            job, machine.zone, machines
-        ):
+        if not zone_feasible(job, machine.zone, machines):
             continue
         if machine.is_reserved_for_other(spec.id, now):
             continue
-        cpus, gpus, memory = machine.free_capacity()
-        ready = 0.0
-        tasks = sorted(
-            ((remaining_s(p, now), p) for p in machine.tasks.values() if p.active),
-            key=lambda pair: pair[0],
-        )
-        for left, p in tasks:
-            if (
-                fits_within(spec.cpus, cpus)
-                and fits_within(spec.gpus, gpus)
-                and fits_within(spec.memory_gb, memory)
-            ):
-                break
-            ready = left
-            cpus, gpus, memory = cpus + p.cpus, gpus + p.gpus, memory + p.memory_gb
-        if best is None or (ready, machine.name) < best[:2]:
-            best = (ready, machine.name, machine)
+        free_in_s = _free_in_s(spec, machine, now)
+        if best is None or (free_in_s, machine.name) < best[:2]:
+            best = (free_in_s, machine.name, machine)
     return best[2] if best else None
 
 
+def _free_in_s(spec: JobSpec, machine: Machine, now: float) -> float:
+    """In how many seconds a machine has capacity for one task that is feasible there."""
+    last_s = 0.0
+    for free_in_s, (cpus, gpus, memory) in _capacity_over_time(machine, now):
+        if (
+            fits_within(spec.cpus, cpus)
+            and fits_within(spec.gpus, gpus)
+            and fits_within(spec.memory_gb, memory)
+        ):
+            return free_in_s
+        last_s = free_in_s
+    # Sums of decimals fall short of the machine's capacity: it is as free as it will ever be.
+    return last_s
+
+
 def plan_gang_reservation(
     job: Job,
     usable: list[Machine],
@@ -74,69 +102,59 @@
     now: float,
     reserved_machines: frozenset[str],
 ) -> GangReservation | None:
-    """Where a gang will find room soonest.
+    """Where a gang will find capacity soonest.
 
-    If nowhere for all, then where there is room for most: the rest is to be rented there.
+    If nowhere for all, then where there is capacity for most: machines for the rest are to be
+    rented there. `reserved_machines` are those that spot work may not use.
     """
-    spec, need = job.spec, len(job.missing())
-    allowed = [
+    spec, count = job.spec, len(job.missing())
+    feasible = [
         machine
         for machine in usable
-        if satisfies_constraints(spec, machine.type, machine.zone, machine.spot)
-        and feasible_on_type(spec, machine.type)
-        and not machine.is_reserved_for_other(spec.id, now)
+        if feasible_when_empty(spec, machine) and not machine.is_reserved_for_other(spec.id, now)
     ]
     best: tuple[tuple[int, float, int], list[Machine]] | None = None
-    for zones in zone_choices(job, {machine.zone for machine in allowed}, machines):
-        offers: list[Offer] = []
-        for machine in allowed:
+    for zones in zone_choices(job, {machine.zone for machine in feasible}, machines):
+        slots: list[FutureSlot] = []
+        for machine in feasible:
             if machine.zone in zones:
-                offers += _offers(spec, machine, need, now, machine.name not in reserved_machines)
-        offers.sort(key=lambda offer: offer[:3])
-        chosen = _choose(spec, offers, need)
+                unreserved = machine.name not in reserved_machines
+                slots += _future_slots(spec, machine, count, now, unreserved)
+        slots.sort(key=lambda slot: slot[:3])
+        chosen = _first_slots(spec, slots, count)
         if chosen:
-            hold = list({machine.name: machine for _, machine in chosen}.values())
-            rank = (need - len(chosen), chosen[-1][0], len(hold))
+            reserved = list({slot.machine_name: slot.machine for slot in chosen}.values())
+            rank = (count - len(chosen), chosen[-1].free_in_s, len(reserved))
             if best is None or rank < best[0]:
-                best = (rank, hold)
+                best = (rank, reserved)
     if best is None:
         return None
-    (short, last, _), hold = best
-    return GangReservation(hold, now + last, short == 0)
-
-
-def _offers(
-    spec: JobSpec, machine: Machine, need: int, now: float, free_to_all: bool
-) -> list[Offer]:
-    """A machine's free places, one after the other, by when they are there."""
-    offers: list[Offer] = []
-    room, had = list(machine.free_capacity()), 0
-    tasks = sorted(
-        ((remaining_s(p, now), p) for p in machine.tasks.values() if p.active),
-        key=lambda pair: pair[0],
-    )
-    ready = 0.0
-    for left, placement in [*tasks, (0.0, None)]:
-        slots = slots_in(spec, (room[0], room[1], room[2]), need)
-        offers += [(ready, free_to_all, machine.name, machine)] * (slots - had)
-        had = max(had, slots)
-        if placement is not None:
-            ready = left
-            for n, amount in enumerate((placement.cpus, placement.gpus, placement.memory_gb)):
-                room[n] += amount
-    return offers
-
-
-def _choose(spec: JobSpec, offers: list[Offer], need: int) -> list[tuple[float, Machine]]:
-    """The first places, up to `need`, that don't put too many tasks into one zone."""
-    most = zone_limit(spec)
-    counts: dict[str, int] = {}
-    chosen: list[tuple[float, Machine]] = []
-    for ready, _, _, machine in offers:
-        if len(chosen) == need:
+    (missing, free_in_s, _), reserved = best
+    return GangReservation(reserved, now + free_in_s, missing == 0)
+
+
+def _future_slots(
+    spec: JobSpec, machine: Machine, limit: int, now: float, unreserved: bool
+) -> list[FutureSlot]:
+    """A machine's slots for a task, up to `limit`, by when they are free."""
+    future: list[FutureSlot] = []
+    for free_in_s, capacity in _capacity_over_time(machine, now):
+        added = slots_in(spec, capacity, limit) - len(future)
+        future += [FutureSlot(free_in_s, unreserved, machine.name, machine)] * added
+    return future
+
+
+def _first_slots(spec: JobSpec, slots: list[FutureSlot], count: int) -> list[FutureSlot]:
+    """The first slots, up to `count`, that don't put too many tasks into one zone."""
+    limit = zone_limit(spec)
+    by_zone: dict[str, int] = {}
+    chosen: list[FutureSlot] = []
+    for slot in slots:
+        if len(chosen) == count:
             break
-        if spec.spread and counts.get(machine.zone, 0) >= most:
+        zone = slot.machine.zone
+        if spec.spread and by_zone.get(zone, 0) >= limit:
             continue
-        counts[machine.zone] = counts.get(machine.zone, 0) + 1
-        chosen.append((ready, machine))
+        by_zone[zone] = by_zone.get(zone, 0) + 1
+        chosen.append(slot)
     return chosen
