--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -71,5 +71,5 @@
             records.learn_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.entry.failed:
             # It has stopped on its own: nothing runs there any more.
-            records.update(machine, failed=True, may_hold=Occupancy.EMPTY)
+            records.update(machine, failed=True, occupancy=Occupancy.EMPTY)
             self.instance_requests.release(now, [machine])
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -51,26 +51,26 @@
         name: str,
         machine_group: MachineGroup,
         shard: int,
-        may_hold: int,
+        occupancy: int,
         contact: MachineContact | None = None,
     ) -> ManagedMachine:
         """Take up a machine; one that the fleet's record lacks has never been up."""
         state = self.state
         recorded = name in self.inventory.stored_up
-        base = self.next_base()
+        token = self.next_base()
         entry = MachineRoute(
             name,
             machine_group.type,
             machine_group.zone,
             machine_group.spot,
             shard,
-            base,
-            may_hold if recorded else Occupancy.EMPTY,
+            token,
+            occupancy if recorded else Occupancy.EMPTY,
             recorded,
             contact=contact,
         )
         machine = ManagedMachine(
-            entry, state.types[machine_group.type], now, MachineStatus(name, base)
+            entry, state.types[machine_group.type], now, MachineStatus(name, token)
         )
         state.machines[name] = machine
         state.table.put(entry)
@@ -82,7 +82,7 @@
         for name, machine_group in self.inventory.machines.items():
             if machine_group.type in self.state.types and name not in self.state.gone:
                 hint = self.hints.get(name)
-                known = hint is not None and not hint.gone
+                known = hint is not None and not hint.deleted
                 shard = hint.shard if hint is not None and known else NO_SHARD
                 contact = hint.contact if hint is not None and known else None
                 self.add(now, name, machine_group, shard, Occupancy.ANY_SHARD, contact)
@@ -104,35 +104,39 @@
         self,
         machine: ManagedMachine,
         shard: int,
-        may_hold: int,
+        occupancy: int,
         status: MachineStatus | None = None,
     ) -> None:
         """Change who commands a machine, under a higher token."""
-        base = self.next_base()
+        token = self.next_base()
         machine.back_for, machine.back_until = None, 0.0
-        proven = status is not None and may_hold == Occupancy.EMPTY and status.contact is not None
-        contact = status.contact if status is not None and proven else machine.entry.contact
-        machine.status = MachineStatus(machine.entry.name, base, up=machine.status.up)
+        proven_empty = (
+            status is not None and occupancy == Occupancy.EMPTY and status.contact is not None
+        )
+        contact = status.contact if status is not None and proven_empty else machine.entry.contact
+        machine.status = MachineStatus(
+            machine.entry.name, token, registered=machine.status.registered
+        )
         self.update(
             machine,
             shard=shard,
-            base=base,
-            may_hold=may_hold,
-            back=False,
-            vacate=False,
-            proven=proven,
+            base_token=token,
+            occupancy=occupancy,
+            reclaim_requested=False,
+            drain=False,
+            proven_empty=proven_empty,
             contact=contact,
         )
         self.state.added[shard] = self.state.table.sequence
 
     def ask_back(
-        self, now: float, machine: ManagedMachine, shard: int | None, vacate: bool = False
+        self, now: float, machine: ManagedMachine, shard: int | None, drain: bool = False
     ) -> None:
         """Ask a machine's owner to give it back: for another shard, or to be returned."""
         if machine.entry.shard == NO_SHARD:
             return
         machine.back_for, machine.back_until = shard, now + self.state.report_s
-        self.update(machine, back=True, vacate=vacate)
+        self.update(machine, reclaim_requested=True, drain=drain)
 
     def mark_gone(self, now: float, machine: ManagedMachine) -> None:
         """The cloud has confirmed: the machine and all on it are gone."""
@@ -141,5 +145,5 @@
             return
         del self.state.machines[name]
         self.state.gone[name] = now
-        self.update(machine, gone=True, may_hold=Occupancy.EMPTY)
+        self.update(machine, deleted=True, occupancy=Occupancy.EMPTY)
         self.inventory.remove(now, name)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -42,7 +42,7 @@
         """An owner's machines have new statuses; those of earlier assignments are ignored."""
         for status in statuses:
             machine = self.state.machines.get(status.name)
-            if machine is None or status.base != machine.entry.base:
+            if machine is None or status.base_token != machine.entry.base_token:
                 continue
             if self.state.owner_of(machine) != sender:
                 continue
@@ -54,29 +54,33 @@
         status = self._apply_transitions(now, machine, status)
         previous, machine.status = machine.status, status
         machine.used_cpus = status.used_cpus
-        if status.settled and not previous.settled and machine.entry.may_hold != Occupancy.EMPTY:
-            records.update(machine, may_hold=Occupancy.EMPTY)
-        if status.contact is not None and not status.given:
+        if (
+            status.reconciled
+            and not previous.reconciled
+            and machine.entry.occupancy != Occupancy.EMPTY
+        ):
+            records.update(machine, occupancy=Occupancy.EMPTY)
+        if status.contact is not None and not status.released:
             records.learn_contact(machine, status.contact.address, status.contact.agent_epoch)
-        if status.given:
+        if status.released:
             self._on_released(now, machine, status)
             return
         declined = not status.idle or now > machine.back_until
-        if machine.entry.back and not machine.entry.vacate and declined:
+        if machine.entry.reclaim_requested and not machine.entry.drain and declined:
             machine.back_for = None
-            records.update(machine, back=False)
-        if status.release and not machine.releasing:
+            records.update(machine, reclaim_requested=False)
+        if status.deletion_requested and not machine.releasing:
             self.instance_requests.release(now, [machine])
 
     def _apply_transitions(
         self, now: float, machine: ManagedMachine, status: MachineStatus
     ) -> MachineStatus:
         """Record since when a machine is up and idle; returns the status to keep."""
-        if machine.status.up and not status.up:
+        if machine.status.registered and not status.registered:
             # A new owner has had no heartbeat from it yet. It must not count as one that never came
             # up, which would be deleted with all that runs there.
-            status = replace(status, up=True)
-        if status.up and not machine.status.up:
+            status = replace(status, registered=True)
+        if status.registered and not machine.status.registered:
             machine.up_at = machine.idle_since = now
             self.state.inventory.mark_up(now, machine.entry.name, machine.machine_group)
         if status.idle and not machine.status.idle:
@@ -88,7 +92,7 @@
         if status.shard != NO_SHARD:
             # It holds tasks of another shard.
             self.records.rebase(
-                machine, status.shard, machine.entry.may_hold or Occupancy.OWN_SHARD
+                machine, status.shard, machine.entry.occupancy or Occupancy.OWN_SHARD
             )
         elif machine.back_for is not None:
             self.records.rebase(machine, machine.back_for, Occupancy.EMPTY, status)
@@ -113,7 +117,7 @@
             )
         if machine.entry.shard != NO_SHARD or machine.releasing:
             return
-        self.records.rebase(machine, self._shard_of(heartbeat), machine.entry.may_hold)
+        self.records.rebase(machine, self._shard_of(heartbeat), machine.entry.occupancy)
 
     def _shard_of(self, heartbeat: WorkerHeartbeat) -> int:
         """The shard with the most tasks on a machine; the neediest if there are none."""
@@ -134,7 +138,8 @@
         state = self.state
         for machine in list(state.machines.values()):
             booting_too_long = (
-                not machine.status.up and now - machine.created_at > MAX_BOOTS * machine.type.boot_s
+                not machine.status.registered
+                and now - machine.created_at > MAX_BOOTS * machine.type.boot_s
             )
             if machine.releasing:
                 if now - machine.release_sent > RELEASE_RETRY_S:
@@ -142,12 +147,12 @@
             elif booting_too_long:
                 self.instance_requests.release(now, [machine])
             unclaimed = (
-                machine.entry.may_hold != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
+                machine.entry.occupancy != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
             )
             if unclaimed and now - state.won_at > state.lease_s + state.grant_s:
                 # No member has answered it in this term, nor under a grant of the term before, so
                 # the lease of its session has expired and nothing runs there any more.
-                self.records.update(machine, may_hold=Occupancy.EMPTY)
+                self.records.update(machine, occupancy=Occupancy.EMPTY)
                 self.instance_requests.release(now, [machine])
         self._forget_deleted(now)
 
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -141,14 +141,14 @@
         incoming += [
             unused_capacity(machine.type, machine.machine_group)
             for machine in serving
-            if machine.back_for == shard.number and machine.entry.back
+            if machine.back_for == shard.number and machine.entry.reclaim_requested
         ]
         releasable = [
             machine
             for machine in serving
             if machine.releasable
             and machine.entry.shard != shard.number
-            and not machine.entry.back
+            and not machine.entry.reclaim_requested
             and machine.entry.shard != NO_SHARD
         ]
         releasable.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
@@ -263,7 +263,9 @@
                 continue
             if search.place_on_empty(machine.type, machine.machine_group) is not None:
                 self.rebalancer.request_release(now, machine, supply.shard.number)
-        supply.releasable = [machine for machine in supply.releasable if not machine.entry.back]
+        supply.releasable = [
+            machine for machine in supply.releasable if not machine.entry.reclaim_requested
+        ]
 
     def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
         """Give a shard its guaranteed quota out of what others use beyond their own."""
@@ -279,11 +281,11 @@
             excess = sum(machine.used_cpus for machine in machines) - quota
             for machine in sorted(machines, key=lambda m: m.used_cpus):
                 used_cpus = machine.used_cpus
-                if unplaced <= 0 or excess < used_cpus or machine.entry.back:
+                if unplaced <= 0 or excess < used_cpus or machine.entry.reclaim_requested:
                     break
                 capacity = unused_capacity(machine.type, machine.machine_group)
                 placed = capacity.reserve(spec, unplaced, 0.0)
                 if placed > 0 and machine.type.name not in excluded_types:
                     unplaced -= placed
                     excess -= used_cpus
-                    self.records.ask_back(now, machine, supply.shard.number, vacate=True)
+                    self.records.ask_back(now, machine, supply.shard.number, drain=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -67,12 +67,12 @@
         """
         state = self.state
         shard = state.shards.get(frame.shard)
-        if shard is None or frame.applied < state.added.get(shard.number, 0):
+        if shard is None or frame.acknowledged_sequence < state.added.get(shard.number, 0):
             return
         jobs = self.jobs.jobs
         shard.wants = [
             CapacityRequest(jobs[job_id], count, horizon)
-            for job_id, count, horizon in frame.wants
+            for job_id, count, horizon in frame.requests
             if job_id in jobs
         ]
         shard.wants_at = now
@@ -99,7 +99,7 @@
             key=lambda shard: fullness(shard, serving, remaining, allocated),
         )
         # Not while a machine may hold tasks of any shard, as after a failover.
-        if not any(machine.entry.may_hold == Occupancy.ANY_SHARD for machine in serving):
+        if not any(machine.entry.occupancy == Occupancy.ANY_SHARD for machine in serving):
             self._scale_out(now, shards, serving, targets, deferrable_cpus)
         if now >= self.next_summary_at:
             self.next_summary_at = now + SUMMARY_REPORTS * state.report_s
@@ -148,7 +148,7 @@
         for machine in self.state.machines.values():
             entry, status = machine.entry, machine.status
             kind = "spot" if entry.spot else "on-demand"
-            state = "up" if status.up else "booting"
+            state = "up" if status.registered else "booting"
             sums = kinds.setdefault(
                 f"{entry.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
             )
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -56,7 +56,7 @@
         self.on_demand_cpus = dict.fromkeys(shards, 0.0)
         for machine in serving:
             entry = machine.entry
-            if not entry.spot and not entry.back and entry.shard in shards:
+            if not entry.spot and not entry.reclaim_requested and entry.shard in shards:
                 self.on_demand_cpus[entry.shard] += machine.type.cpus
 
     def can_release(self, machine: ManagedMachine) -> bool:
@@ -82,7 +82,7 @@
         cpus = dict.fromkeys(state.shards, 0.0)
         for machine in serving:
             shard = machine.entry.shard
-            if machine.entry.back and machine.back_for is not None:
+            if machine.entry.reclaim_requested and machine.back_for is not None:
                 shard = machine.back_for
             if shard in cpus:
                 cpus[shard] += machine.type.cpus
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -52,9 +52,9 @@
         """Whether it could be used elsewhere or returned now."""
         return (
             self.status.idle
-            and self.status.settled
+            and self.status.reconciled
             and not self.releasing
-            and not self.status.release
+            and not self.status.deletion_requested
             and not self.entry.failed
         )
 
@@ -191,7 +191,9 @@
         return [
             machine
             for machine in self.machines.values()
-            if not machine.releasing and not machine.status.release and not machine.entry.failed
+            if not machine.releasing
+            and not machine.status.deletion_requested
+            and not machine.entry.failed
         ]
 
     def owner_of(self, machine: ManagedMachine) -> str:
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -157,7 +157,7 @@
             recipient, donor = coverage.least_covered(), machine.entry.shard
             if coverage.of(recipient) >= 1.0:
                 break
-            if not machine.releasable or machine.entry.back:
+            if not machine.releasable or machine.entry.reclaim_requested:
                 continue
             if donor not in coverage.cpus or donor == recipient:
                 continue
@@ -176,7 +176,7 @@
             machine
             for machine in serving
             if machine.releasable
-            and not machine.entry.back
+            and not machine.entry.reclaim_requested
             and now - max(machine.idle_since, machine.up_at) >= min_idle_s
         ]
         idle.sort(key=lambda m: -hourly_price(m.type, m.entry.spot) / m.type.cpus)
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -111,7 +111,7 @@
             return
         # An earlier process of the member counted its updates anew.
         is_current = grantee.incarnation == frame.incarnation
-        if is_current and grantee.inbox.takes(frame.before, frame.upto):
+        if is_current and grantee.inbox.takes(frame.after_sequence, frame.last_sequence):
             cluster_manager.told(now, sender, frame.statuses)
 
     def _on_capacity_requests(self, now: float, sender: str, frame: CapacityRequests) -> None:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -229,14 +229,14 @@
             shard=share.shard,
             shards=self.shards,
             epoch=client.epoch,
-            serial=share.serial,
+            serial=share.generation,
             token_version=lambda: client.token_version,
             has_authority=client.has_authority,
             tuning=self.tuning,
             images=client.images,
             consistent_at=self._consistent_at,
         )
-        return ShardScheduler(context, revision=share.revision, now=self.now)
+        return ShardScheduler(context, revision=share.required_revision, now=self.now)
 
     # -- inputs -------------------------------------------------------------------------
 
@@ -317,7 +317,7 @@
     def _check_isolation(self, now: float, cluster_manager: ClusterManager) -> None:
         def has_machines() -> bool:
             machines = cluster_manager.machines.values()
-            return any(machine.status.up or machine.entry.recorded for machine in machines)
+            return any(machine.status.registered or machine.entry.recorded for machine in machines)
 
         heartbeats = [scheduler.last_heartbeat_at for scheduler in self.schedulers]
         self.isolation.check(
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -172,7 +172,9 @@
         if len(foreign) == len(machine.tasks) and not machine.command_in_flight:
             shard = next((p.shard for p in foreign if p.shard != NO_SHARD), NO_SHARD)
             if shard != NO_SHARD:
-                last = MachineStatus(machine.name, machine.base, up=True, given=True, shard=shard)
+                last = MachineStatus(
+                    machine.name, machine.base, registered=True, released=True, shard=shard
+                )
                 self.state.part_with(machine, last)
                 return
         for placement in foreign:
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -33,13 +33,13 @@
         state, name = self.state, entry.name
         machine = self.machines.get(name)
         told = state.given.get(name)
-        if told is not None and (entry.base != told.base or entry.gone):
+        if told is not None and (entry.base_token != told.base_token or entry.deleted):
             del state.given[name]
-        if entry.shard != self.context.shard or entry.gone:
+        if entry.shard != self.context.shard or entry.deleted:
             self._learn_not_ours(now, entry, machine)
             return
         state.elsewhere.pop(name, None)
-        if machine is not None and entry.base > machine.base and not state.ready:
+        if machine is not None and entry.base_token > machine.base and not state.ready:
             self._forget(now, machine)
             machine = None
         if machine is None and name not in state.given:
@@ -53,15 +53,15 @@
             machine.failed = True
             state.unsettled.discard(name)
             self.tasks.session_over(now, machine)
-        if entry.back:
-            self._give_back(now, machine, entry.vacate)
+        if entry.reclaim_requested:
+            self._give_back(now, machine, entry.drain)
 
     def _learn_not_ours(self, now: float, entry: MachineRoute, machine: Machine | None) -> None:
         """The machine is another shard's, or gone."""
-        if entry.gone and machine is not None:
+        if entry.deleted and machine is not None:
             self._gone(now, machine)
-        other_shard = entry.shard != self.context.shard and not entry.gone
-        if entry.may_hold == Occupancy.ANY_SHARD and other_shard and not entry.failed:
+        other_shard = entry.shard != self.context.shard and not entry.deleted
+        if entry.occupancy == Occupancy.ANY_SHARD and other_shard and not entry.failed:
             self.state.elsewhere[entry.name] = (entry.type, entry.zone, entry.spot)
         elif self.state.elsewhere.pop(entry.name, None) is not None:
             self.state.dirty = True
@@ -81,8 +81,8 @@
         machine_type = self.context.types.get(entry.type)
         if machine_type is None:
             return None
-        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, entry.base)
-        machine.token = entry.base
+        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, entry.base_token)
+        machine.token = entry.base_token
         machine.idle_since = now
         machine.recorded = entry.recorded
         machine.images = self.context.images.setdefault(entry.name, machine.images)
@@ -90,20 +90,20 @@
         self.state.dirty = True
         if entry.contact is not None:
             machine.address, machine.agent_epoch = entry.contact.address, entry.contact.agent_epoch
-        if entry.proven and entry.contact is not None:
+        if entry.proven_empty and entry.contact is not None:
             # It can be commanded at once.
             machine.sequence = entry.contact.sequence
             machine.settled = machine.up = True
             machine.up_at = machine.last_heartbeat_at = machine.last_answer_at = now
-        elif entry.recorded and entry.may_hold != Occupancy.EMPTY:
+        elif entry.recorded and entry.occupancy != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
             machine.last_answer_at = now + self.state.timing.overlap_s
             self.state.unsettled.add(entry.name)
         return machine
 
-    def _give_back(self, now: float, machine: Machine, vacate: bool) -> None:
+    def _give_back(self, now: float, machine: Machine, drain: bool) -> None:
         """The leader wants a machine for others: give it back if it is proven empty."""
-        if self.state.give_back_if_empty(machine) or not vacate:
+        if self.state.give_back_if_empty(machine) or not drain:
             return
         machine.draining = True
         for placement in list(machine.starts):
@@ -142,11 +142,11 @@
         last = machine.last_status
         return (
             last is None
-            or last.base != machine.base
-            or last.up != machine.up
+            or last.base_token != machine.base
+            or last.registered != machine.up
             or last.idle != idle
-            or last.settled != settled
-            or last.release != machine.deletion_requested
+            or last.reconciled != settled
+            or last.deletion_requested != machine.deletion_requested
             or last.used_cpus != machine.used_cpus
             or machine.last_status_session != machine.agent_epoch
         )
@@ -160,7 +160,7 @@
             machine.up,
             settled,
             idle,
-            release=machine.deletion_requested,
+            deletion_requested=machine.deletion_requested,
             used_cpus=machine.used_cpus,
             contact=MachineContact(machine.address, machine.agent_epoch, 0) if known else None,
         )
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -90,10 +90,10 @@
             MachineStatus(
                 machine.name,
                 machine.base,
-                up=True,
-                settled=True,
+                registered=True,
+                reconciled=True,
                 idle=True,
-                given=True,
+                released=True,
                 contact=contact,
             ),
         )
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -67,7 +67,7 @@
 
     def _begin(self, epoch: int, leader: str) -> None:
         self.hints.update(self.directory)
-        self.hints = {n: e for n, e in self.hints.items() if not e.gone}
+        self.hints = {n: e for n, e in self.hints.items() if not e.deleted}
         self.owned_before.update({n: s.member for n, s in self.shares.items()})
         self.epoch, self.leader = epoch, leader
         self.cluster_manager = self.local = None
@@ -126,8 +126,11 @@
             )
         for number, owner in self.schedulers.items():
             share = self.shares[number]
-            known = share.revision != UNKNOWN_REVISION and view_revision >= share.revision
-            if not owner.ready and known and self.inbox.applied >= share.at:
+            known = (
+                share.required_revision != UNKNOWN_REVISION
+                and view_revision >= share.required_revision
+            )
+            if not owner.ready and known and self.inbox.applied >= share.required_sequence:
                 owner.begin(now)
             owner.on_demand_excess = self.on_demand_excess
             owner.tick(now)
@@ -214,8 +217,8 @@
         # Counted from the asking, by a clock that may run slow against the leader's.
         self.until = max(self.until, asked + grant.length_ms / 1000 * (1 - 2 * CLOCK_DRIFT))
         self.token_version, self.on_demand_excess = grant.token_version, grant.on_demand_excess
-        self.feed.acknowledged(grant.applied)
-        self._share(now, grant.shares)
+        self.feed.acknowledged(grant.acknowledged_sequence)
+        self._share(now, grant.assignments)
 
     def entries(self, now: float, sender: str, part: RouteUpdates) -> None:
         """Part of the leader's table."""
@@ -223,13 +226,13 @@
         if (
             mine
             and part.incarnation == self.incarnation
-            and self.inbox.takes(part.before, part.upto)
+            and self.inbox.takes(part.after_sequence, part.last_sequence)
         ):
-            self._learn(now, part.entries)
+            self._learn(now, part.routes)
 
     def _learn(self, now: float, entries: Iterable[MachineRoute]) -> None:
         for entry in entries:
-            if entry.gone:
+            if entry.deleted:
                 self.directory.pop(entry.name, None)
                 self.hints.pop(entry.name, None)
                 self.table.entries.pop(entry.name, None)
@@ -242,7 +245,7 @@
         self.shares = {share.shard: share for share in shares}
         for number, owner in list(self.schedulers.items()):
             share = self.shares.get(number)
-            if share is None or share.member != self.member or share.serial != owner.serial:
+            if share is None or share.member != self.member or share.generation != owner.serial:
                 owner.over = True
                 del self.schedulers[number]
         for number, share in self.shares.items():
@@ -253,7 +256,7 @@
                 owned = self.schedulers[number] = self.make(share)
                 for entry in self.directory.values():
                     owned.learn(now, entry)
-            owned.revision = share.revision
+            owned.revision = share.required_revision
 
     def owner_of(self, machine: str) -> str | None:
         """The member that commands a machine, as far as this one knows."""
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -59,7 +59,7 @@
         if grantee.incarnation != pull.incarnation or feed is None:
             feed = self._restarted(now, sender, grantee, pull.incarnation)
         grantee.heard = now
-        feed.acknowledged(pull.applied)
+        feed.acknowledged(pull.acknowledged_sequence)
         self.share_out(now)
         length = self._extend(now, grantee)
         return Grant(
@@ -118,10 +118,10 @@
         shard.wants, shard.reading, shard.zone_affinities = [], False, {}
         for machine in list(self.state.machines.values()):
             if machine.entry.shard == shard.number:
-                may_hold = machine.entry.may_hold
-                if machine.entry.recorded and may_hold == Occupancy.EMPTY:
-                    may_hold = Occupancy.OWN_SHARD
-                self.records.rebase(machine, shard.number, may_hold)
+                occupancy = machine.entry.occupancy
+                if machine.entry.recorded and occupancy == Occupancy.EMPTY:
+                    occupancy = Occupancy.OWN_SHARD
+                self.records.rebase(machine, shard.number, occupancy)
 
     def wait_out(self, before: dict[str, Grantee]) -> None:
         """Give no shard while a grant of one's own earlier term may run."""
@@ -224,9 +224,9 @@
         busy = {shard.owner for shard in state.shards.values()}
         live = [member for member in self._live(now) if member not in busy]
         machines = state.machines.values()
-        up = any(m.status.up or m.entry.may_hold != Occupancy.EMPTY for m in machines)
+        up = any(m.status.registered or m.entry.occupancy != Occupancy.EMPTY for m in machines)
         if up:
-            settled = all(m.status.settled or not m.status.up for m in machines)
+            settled = all(m.status.reconciled or not m.status.registered for m in machines)
             quiet = now - max(self.passed_at, state.won_at) > state.lease_s
             if not settled or not quiet:
                 return
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -123,21 +123,21 @@
 
 _LENGTH = struct.Struct("!B")
 _HEARTBEAT = struct.Struct("!QI")
-_PROMISE_REQUEST = struct.Struct("!QQ")
-_PROMISE = struct.Struct("!QQB")
+_LEASE_EXTENSION_REQUEST = struct.Struct("!QQ")
+_LEASE_EXTENSION_VOTE = struct.Struct("!QQB")
 _RUNNING_COUNT = struct.Struct("!BI")
 _RELAYED_HEARTBEAT = struct.Struct("!I")
 _RELAYED_ANSWER = struct.Struct("!IH")
 _GRANT_REQUEST = struct.Struct("!QQIQ")
 _GRANT = struct.Struct("!QQIIQBQB")
-_SHARE = struct.Struct("!BIQQ")
+_ASSIGNMENT = struct.Struct("!BIQQ")
 _BATCH = struct.Struct("!QQQQH")
-_ENTRY = struct.Struct("!BQBB")
+_ROUTE = struct.Struct("!BQBB")
 _STATUS = struct.Struct("!QBBf")
 _CONTACT = struct.Struct("!QQ")
-_MACHINE_REQUESTS = struct.Struct("!QBQH")
-_MACHINE_REQUEST = struct.Struct("!If")
-_ZONE_TIES = struct.Struct("!QBH")
+_CAPACITY_REQUESTS = struct.Struct("!QBQH")
+_PENDING_TASKS = struct.Struct("!If")
+_ZONE_AFFINITIES = struct.Struct("!QBH")
 
 
 def _text(value: str) -> bytes:
@@ -166,100 +166,107 @@
     return MachineContact(reader.text(), *reader.unpack(_CONTACT)) if present else None
 
 
-def _encode_entry(entry: MachineRoute) -> bytes:
+def _encode_route(route: MachineRoute) -> bytes:
     flags = _pack_flags(
-        entry.spot,
-        entry.recorded,
-        entry.back,
-        entry.vacate,
-        entry.failed,
-        entry.gone,
-        entry.proven,
-        entry.contact is not None,
+        route.spot,
+        route.recorded,
+        route.reclaim_requested,
+        route.drain,
+        route.failed,
+        route.deleted,
+        route.proven_empty,
+        route.contact is not None,
     )
     return (
-        _text(entry.name)
-        + _text(entry.type)
-        + _text(entry.zone)
-        + _ENTRY.pack(entry.shard, entry.base, entry.may_hold, flags)
-        + _encode_contact(entry.contact)
+        _text(route.name)
+        + _text(route.type)
+        + _text(route.zone)
+        + _ROUTE.pack(route.shard, route.base_token, route.occupancy, flags)
+        + _encode_contact(route.contact)
     )
 
 
-def _decode_entry(reader: PayloadReader) -> MachineRoute:
+def _decode_route(reader: PayloadReader) -> MachineRoute:
     name, machine_type, zone = reader.text(), reader.text(), reader.text()
-    shard, base, may_hold, flags = reader.unpack(_ENTRY)
-    spot, recorded, back, vacate, failed, gone, proven, reached = _unpack_flags(flags, 8)
+    shard, base_token, occupancy, flags = reader.unpack(_ROUTE)
+    spot, recorded, reclaim_requested, drain, failed, deleted, proven_empty, reached = (
+        _unpack_flags(flags, 8)
+    )
     return MachineRoute(
         name=name,
         type=machine_type,
         zone=zone,
         spot=spot,
         shard=shard,
-        base=base,
-        may_hold=may_hold,
+        base_token=base_token,
+        occupancy=occupancy,
         recorded=recorded,
-        back=back,
-        vacate=vacate,
+        reclaim_requested=reclaim_requested,
+        drain=drain,
         failed=failed,
-        gone=gone,
+        deleted=deleted,
         contact=_decode_contact(reader, reached),
-        proven=proven,
+        proven_empty=proven_empty,
     )
 
 
 def _encode_status(status: MachineStatus) -> bytes:
     flags = _pack_flags(
-        status.up,
-        status.settled,
+        status.registered,
+        status.reconciled,
         status.idle,
-        status.given,
-        status.release,
+        status.released,
+        status.deletion_requested,
         status.contact is not None,
     )
     return (
         _text(status.name)
-        + _STATUS.pack(status.base, flags, status.shard, status.used_cpus)
+        + _STATUS.pack(status.base_token, flags, status.shard, status.used_cpus)
         + _encode_contact(status.contact)
     )
 
 
 def _decode_status(reader: PayloadReader) -> MachineStatus:
     name = reader.text()
-    base, flags, shard, used_cpus = reader.unpack(_STATUS)
-    up, settled, idle, given, release, reached = _unpack_flags(flags, 6)
+    base_token, flags, shard, used_cpus = reader.unpack(_STATUS)
+    registered, reconciled, idle, released, deletion_requested, reached = _unpack_flags(flags, 6)
     return MachineStatus(
         name=name,
-        base=base,
-        up=up,
-        settled=settled,
+        base_token=base_token,
+        registered=registered,
+        reconciled=reconciled,
         idle=idle,
-        given=given,
+        released=released,
         shard=shard,
-        release=release,
+        deletion_requested=deletion_requested,
         used_cpus=used_cpus,
         contact=_decode_contact(reader, reached),
     )
 
 
-def _encode_share(share: ShardAssignment) -> bytes:
-    return _text(share.member) + _SHARE.pack(share.shard, share.serial, share.revision, share.at)
+def _encode_assignment(assignment: ShardAssignment) -> bytes:
+    return _text(assignment.member) + _ASSIGNMENT.pack(
+        assignment.shard,
+        assignment.generation,
+        assignment.required_revision,
+        assignment.required_sequence,
+    )
 
 
-def _decode_share(reader: PayloadReader) -> ShardAssignment:
+def _decode_assignment(reader: PayloadReader) -> ShardAssignment:
     member = reader.text()
-    shard, serial, revision, at = reader.unpack(_SHARE)
-    return ShardAssignment(shard, member, serial, revision, at)
+    shard, generation, required_revision, required_sequence = reader.unpack(_ASSIGNMENT)
+    return ShardAssignment(shard, member, generation, required_revision, required_sequence)
 
 
-def _encode_request(request: PendingTasks) -> bytes:
+def _encode_pending_tasks(request: PendingTasks) -> bytes:
     job_id, tasks, horizon = request
-    return _text(job_id) + _MACHINE_REQUEST.pack(tasks, horizon)
+    return _text(job_id) + _PENDING_TASKS.pack(tasks, horizon)
 
 
-def _decode_request(reader: PayloadReader) -> PendingTasks:
+def _decode_pending_tasks(reader: PayloadReader) -> PendingTasks:
     job_id = reader.text()
-    return PendingTasks(job_id, *reader.unpack(_MACHINE_REQUEST))
+    return PendingTasks(job_id, *reader.unpack(_PENDING_TASKS))
 
 
 # -- frames ----------------------------------------------------------------------------
@@ -269,16 +276,16 @@
     return _HEARTBEAT.pack(frame.token, frame.state_age_ms)
 
 
-def _encode_promise_request(frame: LeaseExtensionRequest) -> bytes:
-    return _PROMISE_REQUEST.pack(frame.token, frame.number)
+def _encode_lease_extension_request(frame: LeaseExtensionRequest) -> bytes:
+    return _LEASE_EXTENSION_REQUEST.pack(frame.token, frame.number)
 
 
-def _encode_promise(frame: LeaseExtensionVote) -> bytes:
-    return _PROMISE.pack(frame.token, frame.number, frame.granted)
+def _encode_lease_extension_vote(frame: LeaseExtensionVote) -> bytes:
+    return _LEASE_EXTENSION_VOTE.pack(frame.token, frame.number, frame.granted)
 
 
-def _decode_promise(reader: PayloadReader) -> LeaseExtensionVote:
-    token, number, granted = reader.unpack(_PROMISE)
+def _decode_lease_extension_vote(reader: PayloadReader) -> LeaseExtensionVote:
+    token, number, granted = reader.unpack(_LEASE_EXTENSION_VOTE)
     reader.finish()
     if granted > 1:
         raise FrameError("neither yes nor no")
@@ -325,7 +332,9 @@
 
 
 def _encode_grant_request(frame: GrantRequest) -> bytes:
-    return _GRANT_REQUEST.pack(frame.epoch, frame.incarnation, frame.number, frame.applied)
+    return _GRANT_REQUEST.pack(
+        frame.epoch, frame.incarnation, frame.number, frame.acknowledged_sequence
+    )
 
 
 def _encode_grant(frame: Grant) -> bytes:
@@ -336,16 +345,23 @@
         frame.length_ms,
         frame.token_version,
         frame.on_demand_excess,
-        frame.applied,
-        len(frame.shares),
+        frame.acknowledged_sequence,
+        len(frame.assignments),
     )
-    return head + b"".join(_encode_share(share) for share in frame.shares)
+    return head + b"".join(_encode_assignment(assignment) for assignment in frame.assignments)
 
 
 def _decode_grant(reader: PayloadReader) -> Grant:
-    epoch, incarnation, number, length_ms, token_version, on_demand_excess, applied, count = (
-        reader.unpack(_GRANT)
-    )
+    (
+        epoch,
+        incarnation,
+        number,
+        length_ms,
+        token_version,
+        on_demand_excess,
+        acknowledged_sequence,
+        count,
+    ) = reader.unpack(_GRANT)
     return Grant(
         epoch=epoch,
         incarnation=incarnation,
@@ -353,53 +369,61 @@
         length_ms=length_ms,
         token_version=token_version,
         on_demand_excess=bool(on_demand_excess),
-        applied=applied,
-        shares=tuple(_decode_share(reader) for _ in range(count)),
+        acknowledged_sequence=acknowledged_sequence,
+        assignments=tuple(_decode_assignment(reader) for _ in range(count)),
     )
 
 
-def _encode_entries(frame: RouteUpdates) -> bytes:
-    head = _BATCH.pack(frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.entries))
-    return head + b"".join(_encode_entry(entry) for entry in frame.entries)
+def _encode_routes(frame: RouteUpdates) -> bytes:
+    head = _BATCH.pack(
+        frame.epoch, frame.incarnation, frame.after_sequence, frame.last_sequence, len(frame.routes)
+    )
+    return head + b"".join(_encode_route(route) for route in frame.routes)
 
 
-def _decode_entries(reader: PayloadReader) -> RouteUpdates:
-    epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
-    entries = tuple(_decode_entry(reader) for _ in range(count))
-    return RouteUpdates(epoch, incarnation, before, upto, entries)
+def _decode_routes(reader: PayloadReader) -> RouteUpdates:
+    epoch, incarnation, after_sequence, last_sequence, count = reader.unpack(_BATCH)
+    routes = tuple(_decode_route(reader) for _ in range(count))
+    return RouteUpdates(epoch, incarnation, after_sequence, last_sequence, routes)
 
 
 def _encode_statuses(frame: MachineStatusUpdates) -> bytes:
     head = _BATCH.pack(
-        frame.epoch, frame.incarnation, frame.before, frame.upto, len(frame.statuses)
+        frame.epoch,
+        frame.incarnation,
+        frame.after_sequence,
+        frame.last_sequence,
+        len(frame.statuses),
     )
     return head + b"".join(_encode_status(status) for status in frame.statuses)
 
 
 def _decode_statuses(reader: PayloadReader) -> MachineStatusUpdates:
-    epoch, incarnation, before, upto, count = reader.unpack(_BATCH)
+    epoch, incarnation, after_sequence, last_sequence, count = reader.unpack(_BATCH)
     statuses = tuple(_decode_status(reader) for _ in range(count))
-    return MachineStatusUpdates(epoch, incarnation, before, upto, statuses)
+    return MachineStatusUpdates(epoch, incarnation, after_sequence, last_sequence, statuses)
 
 
-def _encode_machine_requests(frame: CapacityRequests) -> bytes:
-    head = _MACHINE_REQUESTS.pack(frame.epoch, frame.shard, frame.applied, len(frame.wants))
-    return head + b"".join(_encode_request(request) for request in frame.wants)
+def _encode_capacity_requests(frame: CapacityRequests) -> bytes:
+    head = _CAPACITY_REQUESTS.pack(
+        frame.epoch, frame.shard, frame.acknowledged_sequence, len(frame.requests)
+    )
+    return head + b"".join(_encode_pending_tasks(request) for request in frame.requests)
 
 
-def _decode_machine_requests(reader: PayloadReader) -> CapacityRequests:
-    epoch, shard, applied, count = reader.unpack(_MACHINE_REQUESTS)
-    wants = tuple(_decode_request(reader) for _ in range(count))
-    return CapacityRequests(epoch, shard, applied, wants)
+def _decode_capacity_requests(reader: PayloadReader) -> CapacityRequests:
+    epoch, shard, acknowledged_sequence, count = reader.unpack(_CAPACITY_REQUESTS)
+    requests = tuple(_decode_pending_tasks(reader) for _ in range(count))
+    return CapacityRequests(epoch, shard, acknowledged_sequence, requests)
 
 
-def _encode_zone_ties(frame: ZoneAffinities) -> bytes:
-    head = _ZONE_TIES.pack(frame.epoch, frame.shard, len(frame.zones))
+def _encode_zone_affinities(frame: ZoneAffinities) -> bytes:
+    head = _ZONE_AFFINITIES.pack(frame.epoch, frame.shard, len(frame.zones))
     return head + b"".join(_text(job_id) + _text(zone) for job_id, zone in frame.zones)
 
 
-def _decode_zone_ties(reader: PayloadReader) -> ZoneAffinities:
-    epoch, shard, count = reader.unpack(_ZONE_TIES)
+def _decode_zone_affinities(reader: PayloadReader) -> ZoneAffinities:
+    epoch, shard, count = reader.unpack(_ZONE_AFFINITIES)
     zones = tuple((reader.text(), reader.text()) for _ in range(count))
     return ZoneAffinities(epoch, shard, zones)
 
@@ -420,11 +444,14 @@
     FrameCodec(
         FrameKind.LEASE_EXTENSION_REQUEST,
         LeaseExtensionRequest,
-        _encode_promise_request,
-        lambda reader: LeaseExtensionRequest(*reader.unpack(_PROMISE_REQUEST)),
+        _encode_lease_extension_request,
+        lambda reader: LeaseExtensionRequest(*reader.unpack(_LEASE_EXTENSION_REQUEST)),
     ),
     FrameCodec(
-        FrameKind.LEASE_EXTENSION_VOTE, LeaseExtensionVote, _encode_promise, _decode_promise
+        FrameKind.LEASE_EXTENSION_VOTE,
+        LeaseExtensionVote,
+        _encode_lease_extension_vote,
+        _decode_lease_extension_vote,
     ),
     FrameCodec(
         FrameKind.RUNNING_COUNTS, RunningCounts, _encode_running_counts, _decode_running_counts
@@ -445,15 +472,15 @@
         lambda reader: GrantRequest(*reader.unpack(_GRANT_REQUEST)),
     ),
     FrameCodec(FrameKind.GRANT, Grant, _encode_grant, _decode_grant),
-    FrameCodec(FrameKind.ROUTE_UPDATES, RouteUpdates, _encode_entries, _decode_entries),
+    FrameCodec(FrameKind.ROUTE_UPDATES, RouteUpdates, _encode_routes, _decode_routes),
     FrameCodec(
         FrameKind.MACHINE_STATUS_UPDATES, MachineStatusUpdates, _encode_statuses, _decode_statuses
     ),
     FrameCodec(
         FrameKind.CAPACITY_REQUESTS,
         CapacityRequests,
-        _encode_machine_requests,
-        _decode_machine_requests,
+        _encode_capacity_requests,
+        _decode_capacity_requests,
     ),
     FrameCodec(
         FrameKind.JOB_CANCELLED,
@@ -461,7 +488,9 @@
         lambda frame: frame.job.encode(),
         lambda reader: JobCancelled(reader.rest().decode()),
     ),
-    FrameCodec(FrameKind.ZONE_AFFINITIES, ZoneAffinities, _encode_zone_ties, _decode_zone_ties),
+    FrameCodec(
+        FrameKind.ZONE_AFFINITIES, ZoneAffinities, _encode_zone_affinities, _decode_zone_affinities
+    ),
 )
 _BY_KIND: dict[int, FrameCodec] = {codec.kind: codec for codec in CODECS}
 _BY_TYPE = {codec.message_type: codec for codec in CODECS}
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -39,17 +39,17 @@
     zone: str
     spot: bool
     shard: int
-    base: int
-    may_hold: int = Occupancy.EMPTY
+    base_token: int
+    occupancy: int = Occupancy.EMPTY
     recorded: bool = False
-    # Its owner shall give it back if it is idle (`vacate`: in any case), to be used elsewhere.
-    back: bool = False
-    vacate: bool = False
+    # Its owner shall give it back if it is idle (`drain`: in any case), to be used elsewhere.
+    reclaim_requested: bool = False
+    drain: bool = False
     failed: bool = False
-    gone: bool = False
+    deleted: bool = False
     contact: MachineContact | None = None
     # Given back empty a moment ago under the same leader: the contact is certain, nothing is there.
-    proven: bool = False
+    proven_empty: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,15 +57,15 @@
     """A machine in an owner's table: what its reports have shown."""
 
     name: str
-    base: int
-    up: bool = False
-    settled: bool = False
+    base_token: int
+    registered: bool = False
+    reconciled: bool = False
     idle: bool = False
     # Given back: its owner commands it no more. `shard`: whose tasks are on it, if not the owner's.
-    given: bool = False
+    released: bool = False
     shard: int = NO_SHARD
     # Its owner wants it deleted.
-    release: bool = False
+    deletion_requested: bool = False
     used_cpus: float = 0.0
     contact: MachineContact | None = None
 
@@ -142,7 +142,7 @@
     epoch: int
     incarnation: int
     number: int
-    applied: int
+    acknowledged_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,10 +151,10 @@
 
     shard: int
     member: str
-    serial: int
-    revision: int
+    generation: int
+    required_revision: int
     # The number of the leader's table that the owner must have reached before it starts anything.
-    at: int = 0
+    required_sequence: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,8 +167,8 @@
     length_ms: int
     token_version: int
     on_demand_excess: bool
-    applied: int
-    shares: tuple[ShardAssignment, ...] = ()
+    acknowledged_sequence: int
+    assignments: tuple[ShardAssignment, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,9 +177,9 @@
 
     epoch: int
     incarnation: int
-    before: int
-    upto: int
-    entries: tuple[MachineRoute, ...]
+    after_sequence: int
+    last_sequence: int
+    routes: tuple[MachineRoute, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,8 +188,8 @@
 
     epoch: int
     incarnation: int
-    before: int
-    upto: int
+    after_sequence: int
+    last_sequence: int
     statuses: tuple[MachineStatus, ...]
 
 
@@ -199,8 +199,8 @@
 
     epoch: int
     shard: int
-    applied: int
-    wants: tuple[PendingTasks, ...]
+    acknowledged_sequence: int
+    requests: tuple[PendingTasks, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -113,7 +113,7 @@
             MachineRoute(
                 "m-1", "box", "a", True, 1, 1 << 45, 2, True, False, True, False, False, CONTACT
             ),
-            MachineRoute("m-2", "box", "b", False, 255, 7, gone=True),
+            MachineRoute("m-2", "box", "b", False, 255, 7, deleted=True),
         ),
     ),
     MachineStatusUpdates(
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -219,8 +219,8 @@
     bench.owner.machines["m-1"].deletion_requested = True
     bench.owner.scan(bench.now)
     assert bench.job.placed == {0: "m-1"}
-    assert [s.release for s in bench.owner.statuses(bench.now)] == [True]
-    bench.owner.learn(bench.now, dataclasses.replace(bench.entry, gone=True))
+    assert [s.deletion_requested for s in bench.owner.statuses(bench.now)] == [True]
+    bench.owner.learn(bench.now, dataclasses.replace(bench.entry, deleted=True))
     assert bench.job.placed == {} and "m-1" not in bench.owner.machines
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -68,7 +68,7 @@
         7, 0, tuple((job_id, "a-long-name-of-a-zone") for job_id, _, _ in requests)
     )
     assert unpacked(zone_affinities) == zone_affinities
-    entries = tuple(
+    routes = tuple(
         MachineRoute(
             f"m-{n:06d}",
             "box",
@@ -80,7 +80,7 @@
         )
         for n in range(MACHINES)
     )
-    assert unpacked(RouteUpdates(7, 1, 0, MACHINES, entries)).entries == entries
+    assert unpacked(RouteUpdates(7, 1, 0, MACHINES, routes)).routes == routes
     counts = RunningCounts({f"req-{n:06d}": 1 for n in range(10_000)})
     assert unpacked(counts) == counts
 
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -75,7 +75,7 @@
                 MachineRoute(
                     "m-1", "box", "a", True, 1, 1 << 45, 2, True, False, True, False, False, CONTACT
                 ),
-                MachineRoute("m-2", "box", "b", False, 255, 7, gone=True),
+                MachineRoute("m-2", "box", "b", False, 255, 7, deleted=True),
             ),
         ),
         "6370030a0000006700000000000000030000000000000005000000000000000000000000000000020002"
