--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -69,7 +69,7 @@
 
     The shard with the lowest is served first: it is the furthest below its allocation.
     """
-    cpus = sum(machine.type.cpus for machine in serving if machine.entry.shard == shard.number)
+    cpus = sum(machine.type.cpus for machine in serving if machine.route.shard == shard.number)
     work = [remaining[team] for team in shard.teams if team in remaining]
     tasks_left = sum(team.tasks for team in work)
     cpus_left = sum(team.cpus for team in work)
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -5,7 +5,7 @@
 from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, InstanceRequests
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.state import ManagerContext, ManagerState
+from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.protocol.cloud import ListedMachine, MachineList, machines_path
 from copperpass.protocol.frames.messages import NO_SHARD, Occupancy
@@ -17,14 +17,14 @@
 
     def __init__(
         self,
-        context: ManagerContext,
-        state: ManagerState,
+        context: ClusterManagerContext,
+        state: ClusterState,
         records: MachineRecords,
         instance_requests: InstanceRequests,
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
         self.out, self.cloud = context.out, context.cluster.cloud
-        self.next_reading_at = state.won_at
+        self.next_reading_at = state.elected_at
         self.reading = False
 
     def tick(self, now: float) -> None:
@@ -58,7 +58,7 @@
     def _on_listed(self, now: float, item: ListedMachine) -> None:
         """Record what the list says of a machine."""
         state, records = self.state, self.records
-        if item.id in state.gone or item.type not in state.types:
+        if item.id in state.deleted_at or item.type not in state.types:
             return
         machine = state.machines.get(item.id)
         if machine is None:
@@ -66,10 +66,10 @@
             machine = records.add(now, item.id, machine_group, NO_SHARD, Occupancy.EMPTY)
             machine.created_at = now - item.age_s
             state.inventory.record_machine(now, item.id, machine_group)
-        machine.listed = True
-        if item.address and machine.entry.contact is None:
-            records.learn_contact(machine, item.address, 0)
-        if item.state == "failed" and not machine.entry.failed:
+        machine.in_cloud_listing = True
+        if item.address and machine.route.contact is None:
+            records.record_contact(machine, item.address, 0)
+        if item.state == "failed" and not machine.route.failed:
             # It has stopped on its own: nothing runs there any more.
             records.update(machine, failed=True, occupancy=Occupancy.EMPTY)
             self.instance_requests.release(now, [machine])
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -9,7 +9,7 @@
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.machine_tracking import MachineTracker
 from copperpass.core.autoscaling.planner import Planner
-from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ManagerContext, ManagerState
+from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ClusterManagerContext, ClusterState
 from copperpass.core.kvstore.keys import INVENTORY_KEY
 from copperpass.core.shards.grants import ShardGrants
 from copperpass.core.storage.machine_inventory import CachedInventory, page_number
@@ -24,7 +24,7 @@
 )
 from copperpass.protocol.workers import WorkerHeartbeat
 
-__all__ = ["UNKNOWN_REVISION", "ClusterManager", "ManagerContext"]
+__all__ = ["UNKNOWN_REVISION", "ClusterManager", "ClusterManagerContext"]
 
 
 class ClusterManager:
@@ -34,16 +34,16 @@
     writes it.
     """
 
-    def __init__(self, context: ManagerContext, now: float) -> None:
+    def __init__(self, context: ClusterManagerContext, now: float) -> None:
         self.out, self.election = context.out, context.election
-        self.state = state = ManagerState(context, now)
-        self.epoch, self.won_at = state.epoch, state.won_at
-        self.table, self.machines = state.table, state.machines
-        self.shards, self.grantees = state.shards, state.grantees
+        self.state = state = ClusterState(context, now)
+        self.epoch, self.elected_at = state.epoch, state.elected_at
+        self.replication_log, self.machines = state.replication_log, state.machines
+        self.shards, self.members = state.shards, state.members
         self.records = MachineRecords(context, state)
         self.instance_requests = InstanceRequests(context, state, self.records)
-        self.listing = CloudListing(context, state, self.records, self.instance_requests)
-        self.following = MachineTracker(context, state, self.records, self.instance_requests)
+        self.cloud_listing = CloudListing(context, state, self.records, self.instance_requests)
+        self.machine_tracker = MachineTracker(context, state, self.records, self.instance_requests)
         self.grants = ShardGrants(context, state, self.records)
         self.planner = Planner(context, state, self.records, self.instance_requests)
         self.inventory = state.inventory
@@ -76,9 +76,9 @@
         """The version of the token counter that guards this term's writes."""
         return self.state.token_version()
 
-    def shares(self) -> tuple[ShardAssignment, ...]:
+    def assignments(self) -> tuple[ShardAssignment, ...]:
         """Who owns what."""
-        return self.grants.shares()
+        return self.grants.assignments()
 
     # -- start of a term ---------------------------------------------------------------------
 
@@ -105,33 +105,35 @@
         else:
             self.inventory.on_page_event(number, version, number in cached.pages)
 
-    def wait_out(self, before: ClusterManager) -> None:
+    def defer_until_previous_grants_end(self, before: ClusterManager) -> None:
         """Give no shard while a grant of one's own earlier term may run."""
-        self.grants.wait_out(before.grantees)
+        self.grants.defer_until_previous_grants_end(before.members)
 
     # -- frames and reports ------------------------------------------------------------------
 
-    def pulled(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
+    def on_grant_request(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
         """A member asks to have its grants extended."""
-        return self.grants.pulled(now, sender, pull)
+        return self.grants.on_grant_request(now, sender, pull)
 
-    def told(self, now: float, sender: str, statuses: Iterable[MachineStatus]) -> None:
+    def on_machine_statuses(
+        self, now: float, sender: str, statuses: Iterable[MachineStatus]
+    ) -> None:
         """An owner's table has news."""
-        self.following.told(now, sender, statuses)
+        self.machine_tracker.on_machine_statuses(now, sender, statuses)
 
-    def tied(self, frame: ZoneAffinities) -> None:
+    def on_zone_affinities(self, frame: ZoneAffinities) -> None:
         """An owner says in which zone jobs must find room; older owners don't."""
         shard = self.shards.get(frame.shard)
         if shard is not None:
             shard.zone_affinities = dict(frame.zones)
 
-    def asked(self, now: float, wants: CapacityRequests) -> None:
+    def on_capacity_requests(self, now: float, wants: CapacityRequests) -> None:
         """An owner has tasks that its machines have no room for in time."""
-        self.planner.asked(now, wants)
+        self.planner.on_capacity_requests(now, wants)
 
-    def unowned(self, now: float, heartbeat: WorkerHeartbeat) -> None:
+    def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
         """A machine reports that is in nobody's shard: find out whose it is."""
-        self.following.unowned(now, heartbeat)
+        self.machine_tracker.on_unowned_heartbeat(now, heartbeat)
 
     # -- time --------------------------------------------------------------------------------
 
@@ -139,7 +141,7 @@
         """Everything that the passing of time asks for."""
         if not self.state.ready or not self.election.has_authority(now):
             return
-        if self.records.used_up():
+        if self.records.handovers_exhausted():
             # Only a new term has tokens for more handovers.
             self.election.step_down(now, StepDownReason.HANDOVERS_EXHAUSTED)
             return
@@ -147,16 +149,16 @@
             self.election.step_down(now, StepDownReason.INVENTORY_WRITE_UNRESOLVED)
             return
         self.grants.expire(now)
-        self.grants.relieve(now)
-        self.grants.share_out(now)
+        self.grants.rebalance(now)
+        self.grants.assign_free_shards(now)
         self.inventory.tick(now)
-        self._note_pages()
-        self.listing.tick(now)
+        self._log_paged_once()
+        self.cloud_listing.tick(now)
         if self.planner.due(now):
             self.planner.plan(now)
-            self.following.sweep(now)
+            self.machine_tracker.sweep(now)
 
-    def _note_pages(self) -> None:
+    def _log_paged_once(self) -> None:
         """Log the fleet's move from one record to pages, once."""
         if self.inventory.paged and not self.paged:
             # From here on there is no going back to a version that knows `c/fleet` alone.
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from copperpass.core.autoscaling.sliding_maximum import SlidingMaximum
-from copperpass.core.autoscaling.state import ManagerContext, ManagerState
+from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState
 from copperpass.core.autoscaling.urgency import is_urgent
 from copperpass.core.scheduling.guarantees import assess_guarantees
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
@@ -47,7 +47,7 @@
 class DemandTracker:
     """Measures demand and keeps its peaks, in CPUs, over sliding windows."""
 
-    def __init__(self, context: ManagerContext, state: ManagerState) -> None:
+    def __init__(self, context: ClusterManagerContext, state: ClusterState) -> None:
         tuning = context.tuning
         self.state, self.cluster, self.jobs = state, context.cluster, context.jobs
         self.slos = ServiceLevelObjectives(context.cluster.objectives, tuning.patience_s)
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -5,10 +5,10 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import (
+    ClusterManagerContext,
+    ClusterState,
     InstanceRequest,
     ManagedMachine,
-    ManagerContext,
-    ManagerState,
 )
 from copperpass.core.kvstore.token_bucket import TokenBucket
 from copperpass.core.ports import NO_ANSWER, Call, CallOutcome
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, context: ManagerContext, state: ManagerState, records: MachineRecords
+        self, context: ClusterManagerContext, state: ClusterState, records: MachineRecords
     ) -> None:
         self.state, self.records, self.inventory = state, records, state.inventory
         self.out, self.election = context.out, context.election
@@ -122,7 +122,7 @@
         )
         self.inventory.record_answer(now, request_id, names)
         for name in names:
-            if name not in state.machines and name not in state.gone:
+            if name not in state.machines and name not in state.deleted_at:
                 self.records.add(now, name, machine_group, shard, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
@@ -130,21 +130,21 @@
         if not self.election.has_authority(now):
             return
         for machine in machines:
-            machine.releasing = True
+            machine.deleting = True
         unconfirmed = [
             machine
             for machine in self.state.machines.values()
-            if machine.releasing and now - machine.release_sent > RELEASE_RETRY_S
+            if machine.deleting and now - machine.deletion_sent_at > RELEASE_RETRY_S
         ][:MAX_RELEASES_PER_CALL]
         if not unconfirmed or not self.call_budget.take(now, 1.0):
             return
         for machine in unconfirmed:
-            machine.release_sent = now
+            machine.deletion_sent_at = now
 
         def on_done(done_at: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
                 for machine in unconfirmed:
-                    self.records.mark_gone(done_at, machine)
+                    self.records.mark_deleted(done_at, machine)
 
-        body = release_body([machine.entry.name for machine in unconfirmed])
+        body = release_body([machine.route.name for machine in unconfirmed])
         self.out.calls.append(Call("cloud", "POST", RELEASE_PATH, on_done, body, CALL_TIMEOUT_S))
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -8,7 +8,7 @@
 from copperpass.core.autoscaling.instance_requests import RELEASE_RETRY_S, InstanceRequests
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState, ManagedMachine
 from copperpass.core.jobs.job_table import JobTable
 from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus, Occupancy
 from copperpass.protocol.workers import WorkerHeartbeat
@@ -20,14 +20,14 @@
 class MachineTracker:
     """Follows each machine from its first heartbeat until it is reassigned or deleted.
 
-    Owns no state of its own: it writes the statuses in `ManagerState`, and changes what the members
+    Owns no state of its own: it writes the statuses in `ClusterState`, and changes what the members
     know of a machine through `MachineRecords` alone.
     """
 
     def __init__(
         self,
-        context: ManagerContext,
-        state: ManagerState,
+        context: ClusterManagerContext,
+        state: ClusterState,
         records: MachineRecords,
         instance_requests: InstanceRequests,
     ) -> None:
@@ -38,11 +38,13 @@
 
     # -- statuses from owners ---------------------------------------------------------------
 
-    def told(self, now: float, sender: str, statuses: Iterable[MachineStatus]) -> None:
+    def on_machine_statuses(
+        self, now: float, sender: str, statuses: Iterable[MachineStatus]
+    ) -> None:
         """An owner's machines have new statuses; those of earlier assignments are ignored."""
         for status in statuses:
             machine = self.state.machines.get(status.name)
-            if machine is None or status.base_token != machine.entry.base_token:
+            if machine is None or status.base_token != machine.route.base_token:
                 continue
             if self.state.owner_of(machine) != sender:
                 continue
@@ -57,19 +59,19 @@
         if (
             status.reconciled
             and not previous.reconciled
-            and machine.entry.occupancy != Occupancy.EMPTY
+            and machine.route.occupancy != Occupancy.EMPTY
         ):
             records.update(machine, occupancy=Occupancy.EMPTY)
         if status.contact is not None and not status.released:
-            records.learn_contact(machine, status.contact.address, status.contact.agent_epoch)
+            records.record_contact(machine, status.contact.address, status.contact.agent_epoch)
         if status.released:
             self._on_released(now, machine, status)
             return
-        declined = not status.idle or now > machine.back_until
-        if machine.entry.reclaim_requested and not machine.entry.drain and declined:
-            machine.back_for = None
+        declined = not status.idle or now > machine.reclaim_deadline
+        if machine.route.reclaim_requested and not machine.route.drain and declined:
+            machine.reclaim_for_shard = None
             records.update(machine, reclaim_requested=False)
-        if status.deletion_requested and not machine.releasing:
+        if status.deletion_requested and not machine.deleting:
             self.instance_requests.release(now, [machine])
 
     def _apply_transitions(
@@ -81,8 +83,8 @@
             # up, which would be deleted with all that runs there.
             status = replace(status, registered=True)
         if status.registered and not machine.status.registered:
-            machine.up_at = machine.idle_since = now
-            self.state.inventory.mark_up(now, machine.entry.name, machine.machine_group)
+            machine.registered_at = machine.idle_since = now
+            self.state.inventory.mark_up(now, machine.route.name, machine.machine_group)
         if status.idle and not machine.status.idle:
             machine.idle_since = now
         return status
@@ -91,23 +93,23 @@
         """An owner has released a machine: no member commands it now."""
         if status.shard != NO_SHARD:
             # It holds tasks of another shard.
-            self.records.rebase(
-                machine, status.shard, machine.entry.occupancy or Occupancy.OWN_SHARD
+            self.records.reassign(
+                machine, status.shard, machine.route.occupancy or Occupancy.OWN_SHARD
             )
-        elif machine.back_for is not None:
-            self.records.rebase(machine, machine.back_for, Occupancy.EMPTY, status)
+        elif machine.reclaim_for_shard is not None:
+            self.records.reassign(machine, machine.reclaim_for_shard, Occupancy.EMPTY, status)
         else:
-            self.records.rebase(machine, NO_SHARD, Occupancy.EMPTY, status)
+            self.records.reassign(machine, NO_SHARD, Occupancy.EMPTY, status)
             self.instance_requests.release(now, [machine])
 
     # -- unassigned machines ------------------------------------------------------------------
 
-    def unowned(self, now: float, heartbeat: WorkerHeartbeat) -> None:
+    def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
         """A machine that is assigned to no shard has sent a heartbeat: assign it to one."""
         state = self.state
         machine = state.machines.get(heartbeat.machine)
         if machine is None:
-            if heartbeat.machine in state.gone or heartbeat.type not in state.types:
+            if heartbeat.machine in state.deleted_at or heartbeat.type not in state.types:
                 return
             # Unexpected: of a request that was carried out late, or a late copy of a heartbeat of a
             # machine that is deleted. Its owner will find out whether answers reach it.
@@ -115,9 +117,9 @@
             machine = self.records.add(
                 now, heartbeat.machine, machine_group, NO_SHARD, Occupancy.EMPTY
             )
-        if machine.entry.shard != NO_SHARD or machine.releasing:
+        if machine.route.shard != NO_SHARD or machine.deleting:
             return
-        self.records.rebase(machine, self._shard_of(heartbeat), machine.entry.occupancy)
+        self.records.reassign(machine, self._shard_of(heartbeat), machine.route.occupancy)
 
     def _shard_of(self, heartbeat: WorkerHeartbeat) -> int:
         """The shard with the most tasks on a machine; the neediest if there are none."""
@@ -141,15 +143,15 @@
                 not machine.status.registered
                 and now - machine.created_at > MAX_BOOTS * machine.type.boot_s
             )
-            if machine.releasing:
-                if now - machine.release_sent > RELEASE_RETRY_S:
+            if machine.deleting:
+                if now - machine.deletion_sent_at > RELEASE_RETRY_S:
                     self.instance_requests.release(now, [machine])
             elif booting_too_long:
                 self.instance_requests.release(now, [machine])
             unclaimed = (
-                machine.entry.occupancy != Occupancy.EMPTY and machine.entry.shard == NO_SHARD
+                machine.route.occupancy != Occupancy.EMPTY and machine.route.shard == NO_SHARD
             )
-            if unclaimed and now - state.won_at > state.lease_s + state.grant_s:
+            if unclaimed and now - state.elected_at > state.lease_s + state.grant_s:
                 # No member has answered it in this term, nor under a grant of the term before, so
                 # the lease of its session has expired and nothing runs there any more.
                 self.records.update(machine, occupancy=Occupancy.EMPTY)
@@ -157,7 +159,7 @@
         self._forget_deleted(now)
 
     def _forget_deleted(self, now: float) -> None:
-        gone = self.state.gone
+        gone = self.state.deleted_at
         expired = [
             name for name, deleted_at in gone.items() if now - deleted_at > self.deleted_retention_s
         ]
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -18,9 +18,9 @@
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import (
     CapacityRequest,
+    ClusterManagerContext,
+    ClusterState,
     ManagedMachine,
-    ManagerContext,
-    ManagerState,
     Shard,
 )
 from copperpass.core.jobs.job_table import Job
@@ -53,7 +53,7 @@
             self._own = [
                 unused_capacity(machine.type, machine.machine_group, machine.used_cpus)
                 for machine in self.serving
-                if machine.entry.shard == self.shard.number
+                if machine.route.shard == self.shard.number
             ]
         return self._own
 
@@ -89,7 +89,7 @@
         """Whether a machine is of a type or in a zone that the tasks may not use."""
         if machine.type.name in self.excluded_types:
             return True
-        return self.zone is not None and machine.entry.zone != self.zone
+        return self.zone is not None and machine.route.zone != self.zone
 
 
 class PlacementPlanner:
@@ -97,8 +97,8 @@
 
     def __init__(
         self,
-        context: ManagerContext,
-        state: ManagerState,
+        context: ClusterManagerContext,
+        state: ClusterState,
         records: MachineRecords,
         tracker: DemandTracker,
         rebalancer: Rebalancer,
@@ -115,10 +115,10 @@
         Without a plan nothing is provisioned, and nothing claimed that others keep for their
         peaks: this only moves machines that are idle and not needed.
         """
-        if now - shard.wants_at > REQUEST_REPORTS * self.state.report_s:
+        if now - shard.capacity_requests_at > REQUEST_REPORTS * self.state.heartbeat_interval_s:
             return
         supply = self._supply(shard, serving)
-        for request in shard.wants:
+        for request in shard.capacity_requests:
             exhausted = plan is not None and plan.full and not supply.releasable
             if exhausted and not request.job.guaranteed:
                 # This plan can neither provision nor move anything more: the next one goes on.
@@ -141,17 +141,17 @@
         incoming += [
             unused_capacity(machine.type, machine.machine_group)
             for machine in serving
-            if machine.back_for == shard.number and machine.entry.reclaim_requested
+            if machine.reclaim_for_shard == shard.number and machine.route.reclaim_requested
         ]
         releasable = [
             machine
             for machine in serving
             if machine.releasable
-            and machine.entry.shard != shard.number
-            and not machine.entry.reclaim_requested
-            and machine.entry.shard != NO_SHARD
+            and machine.route.shard != shard.number
+            and not machine.route.reclaim_requested
+            and machine.route.shard != NO_SHARD
         ]
-        releasable.sort(key=lambda m: hourly_price(m.type, m.entry.spot) / m.type.cpus)
+        releasable.sort(key=lambda m: hourly_price(m.type, m.route.spot) / m.type.cpus)
         return ShardSupply(shard, serving, incoming, releasable, self.rebalancer.coverage(serving))
 
     def _begin(self, now: float, supply: ShardSupply, request: CapacityRequest) -> PlacementSearch:
@@ -212,9 +212,9 @@
                 break
             if search.excludes(machine) or not self.rebalancer.can_release(machine):
                 continue
-            if spot_only and not machine.entry.spot:
+            if spot_only and not machine.route.spot:
                 continue
-            donor, cpus = machine.entry.shard, machine.type.cpus
+            donor, cpus = machine.route.shard, machine.type.cpus
             if not supply.coverage.can_donate(donor, number, cpus):
                 continue
             capacity = search.place_on_empty(machine.type, machine.machine_group)
@@ -264,7 +264,7 @@
             if search.place_on_empty(machine.type, machine.machine_group) is not None:
                 self.rebalancer.request_release(now, machine, supply.shard.number)
         supply.releasable = [
-            machine for machine in supply.releasable if not machine.entry.reclaim_requested
+            machine for machine in supply.releasable if not machine.route.reclaim_requested
         ]
 
     def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
@@ -276,16 +276,16 @@
         for other in self.state.shards.values():
             if other is supply.shard or unplaced <= 0:
                 continue
-            machines = [m for m in supply.serving if m.entry.shard == other.number]
+            machines = [m for m in supply.serving if m.route.shard == other.number]
             quota = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
             excess = sum(machine.used_cpus for machine in machines) - quota
             for machine in sorted(machines, key=lambda m: m.used_cpus):
                 used_cpus = machine.used_cpus
-                if unplaced <= 0 or excess < used_cpus or machine.entry.reclaim_requested:
+                if unplaced <= 0 or excess < used_cpus or machine.route.reclaim_requested:
                     break
                 capacity = unused_capacity(machine.type, machine.machine_group)
                 placed = capacity.reserve(spec, unplaced, 0.0)
                 if placed > 0 and machine.type.name not in excluded_types:
                     unplaced -= placed
                     excess -= used_cpus
-                    self.records.ask_back(now, machine, supply.shard.number, drain=True)
+                    self.records.request_reclaim(now, machine, supply.shard.number, drain=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -15,9 +15,9 @@
 )
 from copperpass.core.autoscaling.state import (
     CapacityRequest,
+    ClusterManagerContext,
+    ClusterState,
     ManagedMachine,
-    ManagerContext,
-    ManagerState,
     Shard,
 )
 from copperpass.core.autoscaling.warm_capacity import WarmCapacity
@@ -37,8 +37,8 @@
 
     def __init__(
         self,
-        context: ManagerContext,
-        state: ManagerState,
+        context: ClusterManagerContext,
+        state: ClusterState,
         records: MachineRecords,
         instance_requests: InstanceRequests,
     ) -> None:
@@ -48,9 +48,9 @@
         self.rebalancer = Rebalancer(state, records, self.tracker)
         self.placement = PlacementPlanner(context, state, records, self.tracker, self.rebalancer)
         self.warm_capacity = WarmCapacity(context, state, self.tracker, self.rebalancer)
-        self.next_plan_at = self.next_summary_at = state.won_at
+        self.next_plan_at = self.next_summary_at = state.elected_at
         cloud_rps = context.cluster.cloud.rps
-        self.plan_interval_s = max(state.report_s / 4, 2.0 / cloud_rps)
+        self.plan_interval_s = max(state.heartbeat_interval_s / 4, 2.0 / cloud_rps)
         self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_interval_s)
 
     def due(self, now: float) -> bool:
@@ -60,23 +60,25 @@
         self.next_plan_at = now + self.plan_interval_s
         return True
 
-    def asked(self, now: float, frame: CapacityRequests) -> None:
+    def on_capacity_requests(self, now: float, frame: CapacityRequests) -> None:
         """An owner requests capacity for tasks that its machines can't start in time.
 
         Ignored if it was sent before the owner knew of the machines that it was last assigned.
         """
         state = self.state
         shard = state.shards.get(frame.shard)
-        if shard is None or frame.acknowledged_sequence < state.added.get(shard.number, 0):
+        if shard is None or frame.acknowledged_sequence < state.last_added_sequence.get(
+            shard.number, 0
+        ):
             return
         jobs = self.jobs.jobs
-        shard.wants = [
+        shard.capacity_requests = [
             CapacityRequest(jobs[job_id], count, horizon)
             for job_id, count, horizon in frame.requests
             if job_id in jobs
         ]
-        shard.wants_at = now
-        if shard.wants and len(state.shards) > 1 and state.ready:
+        shard.capacity_requests_at = now
+        if shard.capacity_requests and len(state.shards) > 1 and state.ready:
             # Idle machines of other shards can serve at once; scale-out waits for the next plan.
             self.tracker.sample_shard(now, shard.number, self.tracker.measure(now))
             self.placement.serve(now, shard, state.serving(), None)
@@ -99,10 +101,10 @@
             key=lambda shard: fullness(shard, serving, remaining, allocated),
         )
         # Not while a machine may hold tasks of any shard, as after a failover.
-        if not any(machine.entry.occupancy == Occupancy.ANY_SHARD for machine in serving):
+        if not any(machine.route.occupancy == Occupancy.ANY_SHARD for machine in serving):
             self._scale_out(now, shards, serving, targets, deferrable_cpus)
         if now >= self.next_summary_at:
-            self.next_summary_at = now + SUMMARY_REPORTS * state.report_s
+            self.next_summary_at = now + SUMMARY_REPORTS * state.heartbeat_interval_s
             self._log_fleet(targets, demand, allocated)
         self.warm_capacity.scale_in(now, targets, deferrable_cpus)
 
@@ -146,11 +148,11 @@
         """Log the machines by shard, type and state: their number, their CPUs, how many idle."""
         kinds: dict[str, list[float]] = {}
         for machine in self.state.machines.values():
-            entry, status = machine.entry, machine.status
-            kind = "spot" if entry.spot else "on-demand"
+            route, status = machine.route, machine.status
+            kind = "spot" if route.spot else "on-demand"
             state = "up" if status.registered else "booting"
             sums = kinds.setdefault(
-                f"{entry.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
+                f"{route.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
             )
             sums[0] += 1
             sums[1] += machine.type.cpus
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.autoscaling.demand import DemandTracker
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.state import ManagedMachine, ManagerState
+from copperpass.core.autoscaling.state import ClusterState, ManagedMachine
 
 # Keeps the ratio of a shard without any demand finite.
 MIN_PEAK_CPUS = 1e-3
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, state: ManagerState, records: MachineRecords, tracker: DemandTracker
+        self, state: ClusterState, records: MachineRecords, tracker: DemandTracker
     ) -> None:
         self.state, self.records, self.tracker = state, records, tracker
         self.on_demand_cpus: dict[int, float] = {}
@@ -55,14 +55,14 @@
         shards = self.state.shards
         self.on_demand_cpus = dict.fromkeys(shards, 0.0)
         for machine in serving:
-            entry = machine.entry
-            if not entry.spot and not entry.reclaim_requested and entry.shard in shards:
-                self.on_demand_cpus[entry.shard] += machine.type.cpus
+            route = machine.route
+            if not route.spot and not route.reclaim_requested and route.shard in shards:
+                self.on_demand_cpus[route.shard] += machine.type.cpus
 
     def can_release(self, machine: ManagedMachine) -> bool:
         """Whether its shard keeps enough on-demand CPUs for its urgent work without a machine."""
-        shard = machine.entry.shard
-        if machine.entry.spot or shard not in self.state.shards:
+        shard = machine.route.shard
+        if machine.route.spot or shard not in self.state.shards:
             return True
         needed_cpus = self.tracker.on_demand_peaks[shard].value()
         if needed_cpus <= 0:
@@ -71,19 +71,19 @@
 
     def request_release(self, now: float, machine: ManagedMachine, recipient: int | None) -> None:
         """Ask a machine's owner to release it: for a recipient, or None for scale-in."""
-        shard = machine.entry.shard
-        if not machine.entry.spot and shard in self.on_demand_cpus:
+        shard = machine.route.shard
+        if not machine.route.spot and shard in self.on_demand_cpus:
             self.on_demand_cpus[shard] -= machine.type.cpus
-        self.records.ask_back(now, machine, recipient)
+        self.records.request_reclaim(now, machine, recipient)
 
     def coverage(self, serving: list[ManagedMachine]) -> CoverageRatio:
         """The coverage by what serves a shard, will be released to it or is requested for it."""
         state = self.state
         cpus = dict.fromkeys(state.shards, 0.0)
         for machine in serving:
-            shard = machine.entry.shard
-            if machine.entry.reclaim_requested and machine.back_for is not None:
-                shard = machine.back_for
+            shard = machine.route.shard
+            if machine.route.reclaim_requested and machine.reclaim_for_shard is not None:
+                shard = machine.reclaim_for_shard
             if shard in cpus:
                 cpus[shard] += machine.type.cpus
         for request in state.pending_requests.values():
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -44,7 +44,7 @@
         """An empty plan for a fleet of these machines."""
         plan = cls(max_machines=max_machines)
         for machine in serving:
-            zone = machine.entry.zone
+            zone = machine.route.zone
             plan.machines_by_zone[zone] = plan.machines_by_zone.get(zone, 0) + 1
         return plan
 
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -28,24 +28,24 @@
 class ManagedMachine:
     """A rented machine, as the leader sees it."""
 
-    entry: MachineRoute
+    route: MachineRoute
     type: MachineType
     created_at: float
     status: MachineStatus
-    up_at: float = 0.0
+    registered_at: float = 0.0
     idle_since: float = 0.0
     used_cpus: float = 0.0
-    listed: bool = False
-    releasing: bool = False
-    release_sent: float = float("-inf")
+    in_cloud_listing: bool = False
+    deleting: bool = False
+    deletion_sent_at: float = float("-inf")
     # The shard that it is asked back for; None: to be returned.
-    back_for: int | None = None
-    back_until: float = 0.0
+    reclaim_for_shard: int | None = None
+    reclaim_deadline: float = 0.0
 
     @property
     def machine_group(self) -> MachineGroup:
         """What it was rented as."""
-        return MachineGroup(self.entry.type, self.entry.zone, self.entry.spot)
+        return MachineGroup(self.route.type, self.route.zone, self.route.spot)
 
     @property
     def releasable(self) -> bool:
@@ -53,9 +53,9 @@
         return (
             self.status.idle
             and self.status.reconciled
-            and not self.releasing
+            and not self.deleting
             and not self.status.deletion_requested
-            and not self.entry.failed
+            and not self.route.failed
         )
 
 
@@ -83,33 +83,33 @@
     number: int
     teams: list[str]
     owner: str = ""
-    serial: int = 0
-    revision: int = UNKNOWN_REVISION
+    generation: int = 0
+    required_revision: int = UNKNOWN_REVISION
     # How far the table had come when the shard was given.
-    at: int = 0
-    reading: bool = False
-    free_at: float = 0.0
-    wants: list[CapacityRequest] = field(default_factory=list)
-    wants_at: float = float("-inf")
+    required_sequence: int = 0
+    reading_revision: bool = False
+    assignable_at: float = 0.0
+    capacity_requests: list[CapacityRequest] = field(default_factory=list)
+    capacity_requests_at: float = float("-inf")
     # The zones that jobs in it are tied to, as the owner says.
     zone_affinities: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Grantee:
+class MemberState:
     """A member that may own shards."""
 
     incarnation: int = 0
     # When this run of the member first asked.
-    since: float = float("inf")
-    heard: float = float("-inf")
+    joined_at: float = float("inf")
+    last_request_at: float = float("-inf")
     grants_expire_at: float = float("-inf")
-    feed: ReplicationSender[MachineRoute] | None = None
-    inbox: ReplicationReceiver = field(default_factory=ReplicationReceiver)
+    replication_sender: ReplicationSender[MachineRoute] | None = None
+    replication_receiver: ReplicationReceiver = field(default_factory=ReplicationReceiver)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ManagerContext:
+class ClusterManagerContext:
     """What a node gives to the manager of a term that it leads.
 
     The job table, the types and the stored fleet are the node's own and change while the term
@@ -127,40 +127,40 @@
     cached_inventory: CachedInventory
     # The shard of each team.
     shards: dict[str, int]
-    hints: dict[str, MachineRoute]
-    owners: dict[int, str]
+    previous_routes: dict[str, MachineRoute]
+    previous_owners: dict[int, str]
     incarnation: int
     # Whether a member's heartbeats come in at a moment.
-    linked: Callable[[float, str], bool]
+    heartbeats_arrive: Callable[[float, str], bool]
     # Whether all members are certainly of this version or a later one.
     all_upgraded: Callable[[], bool] = lambda: False
 
 
-class ManagerState:
+class ClusterState:
     """Machines, shards, grantees and bookings of one term.
 
     Every machine stands in `machines` and in `table`, whose entries go to the members; one that the
     cloud has confirmed as deleted stands in `gone` until no late message can speak of it.
     """
 
-    def __init__(self, context: ManagerContext, now: float) -> None:
+    def __init__(self, context: ClusterManagerContext, now: float) -> None:
         self.cluster, self.types, self.election = context.cluster, context.types, context.election
         self.member = context.election.member
         self.epoch = context.election.token
-        self.won_at = now
+        self.elected_at = now
         self.ready = False
         self.grant_s = GRANT_TTL_RATIO * context.election.leader_ttl_s
-        self.report_s = context.cluster.workers.report_s
+        self.heartbeat_interval_s = context.cluster.workers.report_s
         self.lease_s = worker_lease_expiry_s(context.cluster)
         self.boot_s = longest_boot(context.types)
-        self.table: ReplicationLog[MachineRoute] = ReplicationLog()
+        self.replication_log: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
         # When each deleted machine was confirmed as gone.
-        self.gone: dict[str, float] = {}
+        self.deleted_at: dict[str, float] = {}
         # The table's number when a machine was last added to each shard.
-        self.added: dict[int, int] = {}
-        self.grantees: dict[str, Grantee] = {}
-        self.grantees[self.member] = Grantee(context.incarnation, now, now, float("inf"))
+        self.last_added_sequence: dict[int, int] = {}
+        self.members: dict[str, MemberState] = {}
+        self.members[self.member] = MemberState(context.incarnation, now, now, float("inf"))
         self.shard_of = context.shards
         self.shards: dict[int, Shard] = {}
         for team, number in context.shards.items():
@@ -191,21 +191,21 @@
         return [
             machine
             for machine in self.machines.values()
-            if not machine.releasing
+            if not machine.deleting
             and not machine.status.deletion_requested
-            and not machine.entry.failed
+            and not machine.route.failed
         ]
 
     def owner_of(self, machine: ManagedMachine) -> str:
         """The member that owns a machine's shard; empty where nobody does."""
-        shard = self.shards.get(machine.entry.shard)
+        shard = self.shards.get(machine.route.shard)
         return shard.owner if shard is not None else ""
 
     def neediest_shard(self) -> int:
         """The shard whose tasks have the least room for their number."""
 
         def pressure(shard: Shard) -> tuple[float, int]:
-            want = sum(request.tasks * request.job.spec.cpus for request in shard.wants)
+            want = sum(request.tasks * request.job.spec.cpus for request in shard.capacity_requests)
             return (-want, shard.number)
 
         return min(self.shards.values(), key=pressure).number
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -13,7 +13,7 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.rebalancing import Rebalancer
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
-from copperpass.core.autoscaling.state import ManagedMachine, ManagerContext, ManagerState
+from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState, ManagedMachine
 from copperpass.core.scheduling.prices import hourly_price
 
 
@@ -25,8 +25,8 @@
 
     def __init__(
         self,
-        context: ManagerContext,
-        state: ManagerState,
+        context: ClusterManagerContext,
+        state: ClusterState,
         tracker: DemandTracker,
         rebalancer: Rebalancer,
     ) -> None:
@@ -120,8 +120,8 @@
         """The on-demand CPUs that a shard has or will have."""
         cpus_by_zone: dict[str, float] = {}
         for machine in serving:
-            if machine.entry.shard == shard and not machine.entry.spot:
-                zone = machine.entry.zone
+            if machine.route.shard == shard and not machine.route.spot:
+                zone = machine.route.zone
                 cpus_by_zone[zone] = cpus_by_zone.get(zone, 0.0) + machine.type.cpus
         for machine_group, count in self._incoming(shard, plan):
             if not machine_group.spot:
@@ -154,10 +154,10 @@
         coverage = self.rebalancer.coverage(serving)
         reserved_types = self.tracker.reserved_type_names()
         for machine in serving:
-            recipient, donor = coverage.least_covered(), machine.entry.shard
+            recipient, donor = coverage.least_covered(), machine.route.shard
             if coverage.of(recipient) >= 1.0:
                 break
-            if not machine.releasable or machine.entry.reclaim_requested:
+            if not machine.releasable or machine.route.reclaim_requested:
                 continue
             if donor not in coverage.cpus or donor == recipient:
                 continue
@@ -176,12 +176,12 @@
             machine
             for machine in serving
             if machine.releasable
-            and not machine.entry.reclaim_requested
-            and now - max(machine.idle_since, machine.up_at) >= min_idle_s
+            and not machine.route.reclaim_requested
+            and now - max(machine.idle_since, machine.registered_at) >= min_idle_s
         ]
-        idle.sort(key=lambda m: -hourly_price(m.type, m.entry.spot) / m.type.cpus)
+        idle.sort(key=lambda m: -hourly_price(m.type, m.route.spot) / m.type.cpus)
         for machine in idle:
-            target = targets.spot_cpus if machine.entry.spot else targets.total_cpus
+            target = targets.spot_cpus if machine.route.spot else targets.total_cpus
             if total - machine.type.cpus >= target and self.rebalancer.can_release(machine):
                 total -= machine.type.cpus
                 self.rebalancer.request_release(now, machine, None)
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -65,8 +65,8 @@
             RelayedAnswer: self._on_relayed_answer,
             LeaseExtensionRequest: targets.election.on_frame,
             LeaseExtensionVote: targets.election.on_frame,
-            Grant: targets.grant_client.granted,
-            RouteUpdates: targets.grant_client.entries,
+            Grant: targets.grant_client.on_grant,
+            RouteUpdates: targets.grant_client.on_routes,
             GrantRequest: self._on_grant_request,
             MachineStatusUpdates: self._on_machine_statuses,
             CapacityRequests: self._on_capacity_requests,
@@ -87,7 +87,7 @@
         self.targets.cancellations.on_cancelled(now, frame.job)
 
     def _on_relayed_answer(self, now: float, sender: str, frame: RelayedAnswer) -> None:
-        self.targets.relay.answered(frame)
+        self.targets.relay.on_answer(frame)
 
     # -- for a leader ---------------------------------------------------------------------
 
@@ -100,26 +100,28 @@
 
     def _on_grant_request(self, now: float, sender: str, frame: GrantRequest) -> None:
         cluster_manager = self.targets.leadership.cluster_manager
-        grant = cluster_manager.pulled(now, sender, frame) if cluster_manager else None
+        grant = cluster_manager.on_grant_request(now, sender, frame) if cluster_manager else None
         if grant is not None:
             self.targets.out.send(sender, grant)
 
     def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
         cluster_manager = self._manager_of(frame.epoch)
-        grantee = cluster_manager.grantees.get(sender) if cluster_manager is not None else None
+        grantee = cluster_manager.members.get(sender) if cluster_manager is not None else None
         if cluster_manager is None or grantee is None:
             return
         # An earlier process of the member counted its updates anew.
         is_current = grantee.incarnation == frame.incarnation
-        if is_current and grantee.inbox.takes(frame.after_sequence, frame.last_sequence):
-            cluster_manager.told(now, sender, frame.statuses)
+        if is_current and grantee.replication_receiver.accept(
+            frame.after_sequence, frame.last_sequence
+        ):
+            cluster_manager.on_machine_statuses(now, sender, frame.statuses)
 
     def _on_capacity_requests(self, now: float, sender: str, frame: CapacityRequests) -> None:
         cluster_manager = self._manager_of(frame.epoch)
         if cluster_manager is not None:
-            cluster_manager.asked(now, frame)
+            cluster_manager.on_capacity_requests(now, frame)
 
     def _on_zone_affinities(self, now: float, sender: str, frame: ZoneAffinities) -> None:
         cluster_manager = self._manager_of(frame.epoch)
         if cluster_manager is not None:
-            cluster_manager.tied(frame)
+            cluster_manager.on_zone_affinities(frame)
--- a/src/copperpass/core/node/leadership.py
+++ b/src/copperpass/core/node/leadership.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
+from copperpass.core.autoscaling.cluster_manager import ClusterManager, ClusterManagerContext
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.grant_client import BATCH, GrantClient
@@ -19,7 +19,7 @@
         election: LeaderElection,
         grant_client: GrantClient,
         out: Outbox,
-        make_context: Callable[[], ManagerContext],
+        make_context: Callable[[], ClusterManagerContext],
     ) -> None:
         self.election, self.grant_client, self.out = election, grant_client, out
         self.make_context = make_context
@@ -33,13 +33,13 @@
             return
         if not is_leader:
             self.cluster_manager = None
-            self.grant_client.leave()
+            self.grant_client.unfollow()
             return
         self.cluster_manager = ClusterManager(self.make_context(), now)
         if continued and before is not None:
             # Members follow the new token, so they need a term under it. The grants of the term
             # before have not ended with an authority that goes on: they must expire first.
-            self.cluster_manager.wait_out(before)
+            self.cluster_manager.defer_until_previous_grants_end(before)
         self.grant_client.lead(self.cluster_manager)
 
     def tick(self, now: float, watch_revision: int, types_known: bool) -> None:
@@ -61,10 +61,13 @@
 
     def _send_routes(self, cluster_manager: ClusterManager) -> None:
         """Send each member the routes that are new to it."""
-        for member, grantee in cluster_manager.grantees.items():
-            feed = grantee.feed
-            while feed is not None and feed.sent < cluster_manager.table.sequence:
-                before, upto, entries = feed.next(BATCH)
+        for member, grantee in cluster_manager.members.items():
+            feed = grantee.replication_sender
+            while (
+                feed is not None
+                and feed.sent_sequence < cluster_manager.replication_log.last_sequence
+            ):
+                before, upto, entries = feed.next_batch(BATCH)
                 self.out.send(
                     member,
                     RouteUpdates(
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -5,7 +5,7 @@
 import random
 
 from copperpass.core.api.user_api import UserApi
-from copperpass.core.autoscaling.cluster_manager import ClusterManager, ManagerContext
+from copperpass.core.autoscaling.cluster_manager import ClusterManager, ClusterManagerContext
 from copperpass.core.autoscaling.machine_groups import longest_boot
 from copperpass.core.autoscaling.machine_types import CatalogContext, MachineTypeCatalog
 from copperpass.core.election.context import ElectionContext
@@ -195,11 +195,11 @@
             )
         )
 
-    def _manager_context(self) -> ManagerContext:
+    def _manager_context(self) -> ClusterManagerContext:
         """For a term that this member leads, with what earlier terms knew."""
         client = self.grant_client
-        owners = {number: share.member for number, share in client.shares.items()}
-        return ManagerContext(
+        owners = {number: share.member for number, share in client.assignments.items()}
+        return ClusterManagerContext(
             cluster=self.cluster,
             tuning=self.tuning,
             out=self.out,
@@ -209,10 +209,10 @@
             types=self.machine_types.types,
             cached_inventory=self.cached_inventory,
             shards=self.shards,
-            hints={**client.hints, **client.directory},
-            owners={**client.owned_before, **owners},
+            previous_routes={**client.previous_routes, **client.routing_table},
+            previous_owners={**client.previous_owners, **owners},
             incarnation=client.incarnation,
-            linked=self.peers.is_connected,
+            heartbeats_arrive=self.peers.is_connected,
             all_upgraded=self.version_registry.all_upgraded,
         )
 
@@ -229,7 +229,7 @@
             shard=share.shard,
             shards=self.shards,
             epoch=client.epoch,
-            serial=share.generation,
+            generation=share.generation,
             token_version=lambda: client.token_version,
             has_authority=client.has_authority,
             tuning=self.tuning,
@@ -254,7 +254,7 @@
         self.leadership.tick(now, self.watch_cache.revision, bool(self.machine_types.types))
         # An owner whose watch cache falls behind that of others stops asking: its grant expires,
         # and the leader assigns the shard to another member, long before the bound on the cache.
-        self.grant_client.asking = not self._is_behind()
+        self.grant_client.requests_enabled = not self._is_behind()
         self.grant_client.tick(now, self.watch_cache.revision)
         if self.cluster_manager is not None:
             self._check_isolation(now, self.cluster_manager)
@@ -317,12 +317,12 @@
     def _check_isolation(self, now: float, cluster_manager: ClusterManager) -> None:
         def has_machines() -> bool:
             machines = cluster_manager.machines.values()
-            return any(machine.status.registered or machine.entry.recorded for machine in machines)
+            return any(machine.status.registered or machine.route.recorded for machine in machines)
 
         heartbeats = [scheduler.last_heartbeat_at for scheduler in self.schedulers]
         self.isolation.check(
             now,
-            max([cluster_manager.won_at, *heartbeats]),
+            max([cluster_manager.elected_at, *heartbeats]),
             has_machines,
             self.watch_cache.consistent_at,
         )
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -42,7 +42,7 @@
     shard: int
     shards: dict[str, int]
     epoch: int
-    serial: int
+    generation: int
     token_version: Callable[[], int]
     # Whether the shard is still owned at a moment.
     has_authority: Callable[[float], bool]
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -39,7 +39,7 @@
         # Jobs in need of machines that may only run in the zone where others of their tasks are.
         self.zone_affinities: dict[str, str] = {}
 
-    def wants(self, now: float) -> list[PendingTasks]:
+    def capacity_requests(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no room for in time, the most urgent first."""
         state, timing = self.state, self.state.timing
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
@@ -119,7 +119,7 @@
         state = self.state
         if now < job.backoff_until or job.ending or job.announce_cancelled:
             return False
-        if job.created > state.revision or not (state.unsettled or state.elsewhere):
+        if job.created > state.required_revision or not (state.unsettled or state.elsewhere):
             return True
         # Tasks of a job from before our time may still run where we have not looked yet, but only
         # on machines that the job allows and that can hold one of its tasks.
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -28,42 +28,42 @@
         self.context, self.state, self.commands, self.tasks = context, state, commands, tasks
         self.machines = state.machines
 
-    def learn(self, now: float, entry: MachineRoute) -> None:
-        """The leader's table has an entry for a machine."""
-        state, name = self.state, entry.name
+    def on_route(self, now: float, route: MachineRoute) -> None:
+        """The leader's table has a route for a machine."""
+        state, name = self.state, route.name
         machine = self.machines.get(name)
         told = state.given.get(name)
-        if told is not None and (entry.base_token != told.base_token or entry.deleted):
+        if told is not None and (route.base_token != told.base_token or route.deleted):
             del state.given[name]
-        if entry.shard != self.context.shard or entry.deleted:
-            self._learn_not_ours(now, entry, machine)
+        if route.shard != self.context.shard or route.deleted:
+            self._on_foreign_route(now, route, machine)
             return
         state.elsewhere.pop(name, None)
-        if machine is not None and entry.base_token > machine.base and not state.ready:
+        if machine is not None and route.base_token > machine.base and not state.ready:
             self._forget(now, machine)
             machine = None
         if machine is None and name not in state.given:
-            machine = self._add(now, entry)
+            machine = self._add(now, route)
         if machine is None:
             return
-        if entry.recorded and not machine.recorded:
+        if route.recorded and not machine.recorded:
             machine.recorded, state.dirty = True, True
-        if entry.failed and not machine.failed:
+        if route.failed and not machine.failed:
             # It has stopped on its own: nothing runs there any more.
             machine.failed = True
             state.unsettled.discard(name)
             self.tasks.session_over(now, machine)
-        if entry.reclaim_requested:
-            self._give_back(now, machine, entry.drain)
+        if route.reclaim_requested:
+            self._give_back(now, machine, route.drain)
 
-    def _learn_not_ours(self, now: float, entry: MachineRoute, machine: Machine | None) -> None:
+    def _on_foreign_route(self, now: float, route: MachineRoute, machine: Machine | None) -> None:
         """The machine is another shard's, or gone."""
-        if entry.deleted and machine is not None:
+        if route.deleted and machine is not None:
             self._gone(now, machine)
-        other_shard = entry.shard != self.context.shard and not entry.deleted
-        if entry.occupancy == Occupancy.ANY_SHARD and other_shard and not entry.failed:
-            self.state.elsewhere[entry.name] = (entry.type, entry.zone, entry.spot)
-        elif self.state.elsewhere.pop(entry.name, None) is not None:
+        other_shard = route.shard != self.context.shard and not route.deleted
+        if route.occupancy == Occupancy.ANY_SHARD and other_shard and not route.failed:
+            self.state.elsewhere[route.name] = (route.type, route.zone, route.spot)
+        elif self.state.elsewhere.pop(route.name, None) is not None:
             self.state.dirty = True
 
     def _forget(self, now: float, machine: Machine) -> None:
@@ -77,28 +77,28 @@
         self.state.unsettled.discard(machine.name)
         del self.machines[machine.name]
 
-    def _add(self, now: float, entry: MachineRoute) -> Machine | None:
-        machine_type = self.context.types.get(entry.type)
+    def _add(self, now: float, route: MachineRoute) -> Machine | None:
+        machine_type = self.context.types.get(route.type)
         if machine_type is None:
             return None
-        machine = Machine(entry.name, machine_type, entry.zone, entry.spot, entry.base_token)
-        machine.token = entry.base_token
+        machine = Machine(route.name, machine_type, route.zone, route.spot, route.base_token)
+        machine.token = route.base_token
         machine.idle_since = now
-        machine.recorded = entry.recorded
-        machine.images = self.context.images.setdefault(entry.name, machine.images)
-        self.machines[entry.name] = machine
+        machine.recorded = route.recorded
+        machine.images = self.context.images.setdefault(route.name, machine.images)
+        self.machines[route.name] = machine
         self.state.dirty = True
-        if entry.contact is not None:
-            machine.address, machine.agent_epoch = entry.contact.address, entry.contact.agent_epoch
-        if entry.proven_empty and entry.contact is not None:
+        if route.contact is not None:
+            machine.address, machine.agent_epoch = route.contact.address, route.contact.agent_epoch
+        if route.proven_empty and route.contact is not None:
             # It can be commanded at once.
-            machine.sequence = entry.contact.sequence
+            machine.sequence = route.contact.sequence
             machine.settled = machine.up = True
             machine.up_at = machine.last_heartbeat_at = machine.last_answer_at = now
-        elif entry.recorded and entry.occupancy != Occupancy.EMPTY:
+        elif route.recorded and route.occupancy != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
             machine.last_answer_at = now + self.state.timing.overlap_s
-            self.state.unsettled.add(entry.name)
+            self.state.unsettled.add(route.name)
         return machine
 
     def _give_back(self, now: float, machine: Machine, drain: bool) -> None:
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -61,9 +61,9 @@
         )
         self.next_scan = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
-        self.shard, self.serial, self.has_authority = (
+        self.shard, self.generation, self.has_authority = (
             context.shard,
-            context.serial,
+            context.generation,
             context.has_authority,
         )
         self.machines: dict[str, Machine] = state.machines
@@ -84,9 +84,9 @@
         self.heartbeats.match_jobs()
         self.state.dirty = True
 
-    def learn(self, now: float, entry: MachineRoute) -> None:
-        """The leader's table has an entry for a machine."""
-        self.ownership.learn(now, entry)
+    def on_route(self, now: float, route: MachineRoute) -> None:
+        """The leader's table has a route for a machine."""
+        self.ownership.on_route(now, route)
 
     def worker_heartbeat(
         self, now: float, heartbeat: WorkerHeartbeat, handed: bool = False
@@ -136,9 +136,9 @@
         """What the leader should know of the machines and has not been told."""
         return self.ownership.statuses(now)
 
-    def wants(self, now: float) -> list[PendingTasks]:
+    def capacity_requests(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no room for in time: job, count, seconds left."""
-        return self.demand.wants(now)
+        return self.demand.capacity_requests(now)
 
     # -- state that others look at or set ------------------------------------------------
 
@@ -171,13 +171,13 @@
         self.state.over = value
 
     @property
-    def revision(self) -> int:
+    def required_revision(self) -> int:
         """Jobs created after it were not started by an earlier owner."""
-        return self.state.revision
+        return self.state.required_revision
 
-    @revision.setter
-    def revision(self, value: int) -> None:
-        self.state.revision = value
+    @required_revision.setter
+    def required_revision(self, value: int) -> None:
+        self.state.required_revision = value
 
     @property
     def on_demand_excess(self) -> bool:
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -30,7 +30,7 @@
         ]
         self.by_team = {team.name: team for team in self.teams}
         # Jobs created after this revision can't have been started by an earlier owner.
-        self.revision = revision
+        self.required_revision = revision
         self.since = now
         # The view has caught up with the revision at which the ownership began.
         self.ready = False
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -42,7 +42,7 @@
         """Count one more attempt of a job; attempts of different owners never equal."""
         job.attempts += 1
         context = self.context
-        return (context.epoch << EPOCH_SHIFT) + (context.serial << SERIAL_SHIFT) + job.attempts
+        return (context.epoch << EPOCH_SHIFT) + (context.generation << SERIAL_SHIFT) + job.attempts
 
     def start(self, now: float, job: Job, index: int, machine: Machine) -> None:
         """Place a task on a machine; it is sent with the machine's next commands."""
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -25,44 +25,44 @@
 class RelayedWorker:
     """A worker that reports here although another node commands it."""
 
-    at: float
+    last_heartbeat_at: float
     referred: bool = False
-    stuck_until: float = 0.0
+    relay_until: float = 0.0
 
 
 class HeartbeatRelay:
     """Hands reports on, and answers them with what comes back."""
 
     def __init__(self, out: Outbox, lease_s: float, wait_s: float) -> None:
-        self.out, self.lease_s, self.wait_s = out, lease_s, wait_s
+        self.out, self.lease_s, self.timeout_s = out, lease_s, wait_s
         self.workers: OrderedDict[str, RelayedWorker] = OrderedDict()
         self.pending: OrderedDict[int, tuple[float, object]] = OrderedDict()
-        self.number = 0
+        self.last_number = 0
 
     def should_relay(self, now: float, machine: str) -> bool:
         """Whether a machine's report is to be handed on rather than referred."""
         worker = self.workers.get(machine)
-        if worker is None or now - worker.at > self.lease_s:
+        if worker is None or now - worker.last_heartbeat_at > self.lease_s:
             self.workers[machine] = RelayedWorker(now)
             self.workers.move_to_end(machine)
             return True
-        worker.at = now
+        worker.last_heartbeat_at = now
         self.workers.move_to_end(machine)
         if worker.referred:
             worker.referred = False
-            worker.stuck_until = now + STUCK_LEASES * self.lease_s
-        if now < worker.stuck_until:
+            worker.relay_until = now + STUCK_LEASES * self.lease_s
+        if now < worker.relay_until:
             return True
         worker.referred = True
         return False
 
     def relay_heartbeat(self, now: float, request: object, body: bytes, member: str) -> None:
         """Send a report on."""
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        self.pending[self.number] = (now + self.wait_s, request)
-        self.out.send(member, RelayedHeartbeat(self.number, body))
+        self.last_number = (self.last_number + 1) & 0xFFFFFFFF
+        self.pending[self.last_number] = (now + self.timeout_s, request)
+        self.out.send(member, RelayedHeartbeat(self.last_number, body))
 
-    def answered(self, frame: RelayedAnswer) -> None:
+    def on_answer(self, frame: RelayedAnswer) -> None:
         """Pass an answer back; one that comes too late finds nobody waiting."""
         held = self.pending.pop(frame.number, None)
         if held is not None:
@@ -82,6 +82,6 @@
         """Forget the workers that haven't come for longer than anything of them counts."""
         while self.workers:
             worker = next(iter(self.workers.values()))
-            if now - worker.at <= FORGOTTEN_LEASES * self.lease_s:
+            if now - worker.last_heartbeat_at <= FORGOTTEN_LEASES * self.lease_s:
                 break
             self.workers.popitem(last=False)
--- a/src/copperpass/core/shards/routing.py
+++ b/src/copperpass/core/shards/routing.py
@@ -35,17 +35,17 @@
 
     def __init__(self) -> None:
         self.entries: dict[str, tuple[int, T]] = {}
-        self.sequence = 0
+        self.last_sequence = 0
 
     def put(self, entry: T) -> bool:
         """Set a machine's entry; says whether that changed anything."""
         held = self.entries.get(entry.name)
         if held is not None and held[1] == entry:
             return False
-        self.sequence += 1
+        self.last_sequence += 1
         # Dictionaries keep the order of insertion: the newest stays last.
         self.entries.pop(entry.name, None)
-        self.entries[entry.name] = (self.sequence, entry)
+        self.entries[entry.name] = (self.last_sequence, entry)
         return True
 
     def after(self, sequence: int, most: int) -> tuple[list[T], int]:
@@ -57,7 +57,7 @@
                 break
             newer.append(held)
         newer.reverse()
-        upto = self.sequence if len(newer) <= most else newer[most - 1][0]
+        upto = self.last_sequence if len(newer) <= most else newer[most - 1][0]
         return [entry for _, entry in newer[:most]], max(sequence, upto)
 
 
@@ -65,24 +65,27 @@
     """How far a receiver is known to have come, and what to send it."""
 
     def __init__(self, table: ReplicationLog[T], patience: int = 3) -> None:
-        self.table, self.patience = table, patience
-        self.acked = self.sent = 0
-        self.idle = 0
+        self.log, self.max_unchanged_acknowledgements = table, patience
+        self.acknowledged_sequence = self.sent_sequence = 0
+        self.unchanged_acknowledgements = 0
 
-    def acknowledged(self, sequence: int) -> None:
+    def on_acknowledged(self, sequence: int) -> None:
         """The receiver has everything up to a number; what was lost is sent again."""
-        if sequence > self.acked or sequence >= self.sent:
-            self.acked, self.idle = max(self.acked, sequence), 0
-            self.sent = max(self.sent, self.acked)
+        if sequence > self.acknowledged_sequence or sequence >= self.sent_sequence:
+            self.acknowledged_sequence, self.unchanged_acknowledgements = (
+                max(self.acknowledged_sequence, sequence),
+                0,
+            )
+            self.sent_sequence = max(self.sent_sequence, self.acknowledged_sequence)
             return
-        self.idle += 1
-        if self.idle >= self.patience:
-            self.sent, self.idle = self.acked, 0
+        self.unchanged_acknowledgements += 1
+        if self.unchanged_acknowledgements >= self.max_unchanged_acknowledgements:
+            self.sent_sequence, self.unchanged_acknowledgements = self.acknowledged_sequence, 0
 
-    def next(self, most: int) -> tuple[int, int, list[T]]:
+    def next_batch(self, most: int) -> tuple[int, int, list[T]]:
         """The next batch: the number before it, its last number, its entries."""
-        entries, upto = self.table.after(self.sent, most)
-        before, self.sent = self.sent, upto
+        entries, upto = self.log.after(self.sent_sequence, most)
+        before, self.sent_sequence = self.sent_sequence, upto
         return before, upto, entries
 
 
@@ -90,16 +93,16 @@
     """The receiver's side: takes batches in order, without gaps."""
 
     def __init__(self) -> None:
-        self.applied = 0
+        self.applied_sequence = 0
 
-    def takes(self, before: int, upto: int) -> bool:
+    def accept(self, before: int, upto: int) -> bool:
         """Whether a batch may be applied now.
 
         One that brings nothing beyond what is there may be a late one, held back on an old
         connection: its entries may be older than those that have come since. A batch that reaches
         further was made when all that is there was known, so whatever it holds is newer.
         """
-        if before > self.applied or upto <= self.applied:
+        if before > self.applied_sequence or upto <= self.applied_sequence:
             return False
-        self.applied = upto
+        self.applied_sequence = upto
         return True
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -142,7 +142,7 @@
     simulation = partitioned()
     name = owners(simulation)[0]
     grant_client = simulation.nodes[name].grant_client
-    number = max(grant_client.asked)
+    number = max(grant_client.request_times)
     stale = Grant(
         grant_client.epoch,
         grant_client.incarnation,
@@ -153,9 +153,9 @@
         0,
         (ShardAssignment(1, name, 99, 1, 0),),
     )
-    until = grant_client.until
-    grant_client.granted(simulation.now, grant_client.leader, stale)
-    assert grant_client.until == until and set(grant_client.schedulers) == {0}
+    valid_until = grant_client.valid_until
+    grant_client.on_grant(simulation.now, grant_client.leader, stale)
+    assert grant_client.valid_until == valid_until and set(grant_client.schedulers) == {0}
 
 
 def test_a_shard_of_the_leaders_own_goes_to_a_member_that_comes_back():
@@ -176,20 +176,20 @@
 def test_tables_arrive_whole_over_links_that_lose_delay_and_repeat_frames():
     # A batch held back on an old connection once brought back what newer ones had replaced.
     rng = random.Random(4)
-    table, inbox, got, late = ReplicationLog(), ReplicationReceiver(), {}, []
-    feed = ReplicationSender(table)
+    log, receiver, got, late = ReplicationLog(), ReplicationReceiver(), {}, []
+    sender = ReplicationSender(log)
     for step in range(600):
         if step < 400:
-            table.put(MachineStatus(f"m-{rng.randint(1, 40)}", step))
-        batch = feed.next(5)
+            log.put(MachineStatus(f"m-{rng.randint(1, 40)}", step))
+        batch = sender.next_batch(5)
         if rng.random() < 0.4:
             late.append(batch)
         arrived = [batch] if rng.random() < 0.6 else []
         if late and rng.random() < 0.3:
             arrived.append(late.pop(rng.randrange(len(late))))
-        for before, upto, entries in arrived:
-            if inbox.takes(before, upto):
+        for after_sequence, last_sequence, entries in arrived:
+            if receiver.accept(after_sequence, last_sequence):
                 got.update({e.name: e for e in entries})
         if rng.random() < 0.7:
-            feed.acknowledged(inbox.applied)
-    assert got == {name: entry for name, (_, entry) in table.entries.items()}
+            sender.on_acknowledged(receiver.applied_sequence)
+    assert got == {name: entry for name, (_, entry) in log.entries.items()}
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -183,11 +183,13 @@
 
 
 def test_a_term_that_goes_on_assigns_no_shard_while_grants_of_the_one_before_run():
-    # Holds `ClusterManager.wait_out`.
+    # Holds `ClusterManager.defer_until_previous_grants_end`.
     simulation = started_simulation([job(1, tasks=4, run_s=20.0)], 4, partitioned=True)
     node = simulation.nodes[simulation.leader()]
-    grantee = next(t for n, t in node.cluster_manager.grantees.items() if n != simulation.leader())
-    grantee.grants_expire_at = simulation.now + 3.0
+    member_state = next(
+        t for n, t in node.cluster_manager.members.items() if n != simulation.leader()
+    )
+    member_state.grants_expire_at = simulation.now + 3.0
     node.leadership.on_change(simulation.now, True, True)
     simulation.run(2.9)
     assert not any(p.owner for p in node.cluster_manager.shards.values())
@@ -238,7 +240,7 @@
     leader = simulation.leader()
     granted = [
         t.grants_expire_at
-        for n, t in simulation.nodes[leader].cluster_manager.grantees.items()
+        for n, t in simulation.nodes[leader].cluster_manager.members.items()
         if n != leader
     ]
     simulation.nodes[leader].election.step_down(simulation.now, "told to")
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -40,14 +40,14 @@
             shard=0,
             shards={t.name: 0 for t in cluster.teams},
             epoch=1,
-            serial=1,
+            generation=1,
             token_version=lambda: 50,
             has_authority=lambda now: True,
             consistent_at=lambda: self.consistent_at,
         )
         self.owner = ShardScheduler(context, revision=50, now=self.now)
         self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
-        self.owner.learn(self.now, self.entry)
+        self.owner.on_route(self.now, self.entry)
         self.owner.begin(self.now)
         self.sequence = 0
         self.worker_heartbeat([], token=0)
@@ -55,7 +55,7 @@
 
     def take_over(self, name, **more):
         """Learn of a machine that an earlier commander may have used."""
-        self.owner.learn(
+        self.owner.on_route(
             self.now,
             MachineRoute(
                 name,
@@ -220,7 +220,7 @@
     bench.owner.scan(bench.now)
     assert bench.job.placed == {0: "m-1"}
     assert [s.deletion_requested for s in bench.owner.statuses(bench.now)] == [True]
-    bench.owner.learn(bench.now, dataclasses.replace(bench.entry, deleted=True))
+    bench.owner.on_route(bench.now, dataclasses.replace(bench.entry, deleted=True))
     assert bench.job.placed == {} and "m-1" not in bench.owner.machines
 
 
@@ -249,10 +249,12 @@
     bench.sequence += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
-    assert bench.owner.wants(bench.now) == [], "the room that ends before its wait does is enough"
+    assert bench.owner.capacity_requests(bench.now) == [], (
+        "the room that ends before its wait does is enough"
+    )
     later = bench.now + 100.0
     bench.owner.machines["m-1"].last_heartbeat_at = later
-    ((name, count, left),) = bench.owner.wants(later)
+    ((name, count, left),) = bench.owner.capacity_requests(later)
     assert (name, count) == ("req-000002", 4) and 0 < left < 30
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -157,7 +157,7 @@
     bench = Bench()
     for number in range(2, machines + 1):
         name = f"m-{number}"
-        bench.owner.learn(
+        bench.owner.on_route(
             bench.now, MachineRoute(name, "box", "a", True, 0, bench.token, recorded=True)
         )
         bench.owner.machines[name].settled = True
