--- a/tests/fakes/gang.py
+++ b/tests/fakes/gang.py
@@ -17,7 +17,7 @@
         self.members = {}  # (worker, key of the task) -> what the worker notes of it
         self.started = self.broken = self.safe = self.over = self.late = False
         self.progress, self.since, self.speed, self.turn = 0.0, None, 1.0, 0
-        self.first_stop, self.told = None, set()
+        self.first_stop, self.stop_requested = None, set()
 
     # -- waiting
 
@@ -32,11 +32,11 @@
             if j == self.job_id and a != self.attempt and g.members
         ]
         if others:
-            self.simulation.broken.append(f"two_attempts: {key} beside {others[0].attempt}")
+            self.simulation.violations.append(f"two_attempts: {key} beside {others[0].attempt}")
         if key[0] in self.simulation.completed:
             worker.end(key, "done")
             return
-        if worker.sick or self.spec.get("broken"):
+        if worker.failing or self.spec.get("broken"):
             self.simulation.after(0.2, lambda: self.leave(worker, key, mark, "error"))
         self.simulation.after(
             self.simulation.gang_wait_s, lambda: self.leave(worker, key, mark, "alone", "gathering")
@@ -50,7 +50,7 @@
             return
         self.started = True
         for mark in self.members.values():
-            self.simulation.waited += self.simulation.now - mark.pop("at")
+            self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
             mark["state"] = "running"
         self.speed = min(worker.speed for worker, _ in self.members)
         self.progress = self.simulation.progress.get(self.job_id, 0.0)
@@ -71,7 +71,7 @@
             )
             return
         if exit_cause == "alone":
-            self.simulation.alone.add((self.job_id, self.attempt))
+            self.simulation.gave_up_waiting.add((self.job_id, self.attempt))
         worker.end(key, exit_cause, **more)
 
     # -- running
@@ -112,7 +112,7 @@
         if self.members.pop((worker, key), None) is None:
             return  # it never had its image
         if "at" in mark:
-            self.simulation.waited += self.simulation.now - mark.pop("at")
+            self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
         elif self.started and not self.over and not self.safe:
             self.fail()
 
@@ -177,7 +177,7 @@
                 self.lost("too little grace")
                 worker.end(key, "halted")
                 return
-            self.told.add(key[0])
+            self.stop_requested.add(key[0])
             mark["state"] = "flushing"
             self.simulation.after(self.spec["flush_s"], lambda: self.saved(worker, key, mark))
 
@@ -198,7 +198,7 @@
         self.late = True
         if self.broken or self.safe or self.over:
             return
-        if len(self.told) == self.spec["pages"]:
+        if len(self.stop_requested) == self.spec["pages"]:
             self.let_go()
             return
         self.lost("not all told in time")
@@ -211,7 +211,7 @@
 
     def let_go(self):
         """Exit with the progress safe, when all are told and have saved or no time is left."""
-        if len(self.told) < self.spec["pages"]:
+        if len(self.stop_requested) < self.spec["pages"]:
             return
         ready = [m for m in self.members.items() if m[1].get("kept")]
         if ready and (self.late or self.safe or len(ready) == len(self.members)):
@@ -229,8 +229,8 @@
             and not (self.broken or self.safe or self.over)
             and loss > 1e-6
             and self.spec["proof_s"] > 0
-            and self.job_id not in self.simulation.unwanted
+            and self.job_id not in self.simulation.cancel_requested
         ):
-            self.simulation.lost_saves.append(
+            self.simulation.lost_progress.append(
                 (self.job_id, self.attempt, exit_cause, round(loss, 3))
             )
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -64,7 +64,7 @@
             for key in gone:
                 del self.data[key]
                 self.log.append((self.revision, key, None))
-            self.wake()
+            self.notify_watches()
 
     def handle(self, method, path, body, reply, asker=""):
         self.expire()
@@ -105,7 +105,7 @@
             watch = [query["under"], int(query["since"]), reply, asker]
             self.watches.append(watch)
             self.simulation.after(int(query["block_ms"]) / 1000, lambda: self.answer(watch, True))
-            self.wake()
+            self.notify_watches()
         elif path == "/multi":
             self.transaction(json.loads(body), reply)
         elif path == "/leases":
@@ -154,9 +154,9 @@
                 self.log.append((self.revision, write["remove"], None))
         self.simulation.wrote(writes)
         reply(200, json.dumps({"issue": self.revision}).encode())
-        self.wake()
+        self.notify_watches()
 
-    def wake(self):
+    def notify_watches(self):
         for watch in list(self.watches):
             self.answer(watch, False)
 
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -18,7 +18,7 @@
         self.tasks = {}
         self.renewed = simulation.now
         self.alive = True
-        self.sick = False
+        self.failing = False
         self.notice = None
         self.hung_until = 0.0
         self.speed = 1.0 - 0.1 * random.Random(name).random()
@@ -31,7 +31,7 @@
         if not self.alive:
             return
         # A machine that hangs beyond its lease has lost its tasks all the same.
-        self.mind_lease()
+        self.check_lease()
         self.simulation.after_time(self.next_lease_check(), self.watch_lease)
 
     def next_lease_check(self):
@@ -46,7 +46,7 @@
             check += interval
         return check
 
-    def mind_lease(self):
+    def check_lease(self):
         if self.simulation.now - self.renewed > self.simulation.lease_s:
             self.drop_all()
             self.agent_epoch += 1
@@ -83,7 +83,7 @@
 
     def resume(self):
         if self.alive and not self.hung_for():
-            self.mind_lease()
+            self.check_lease()
             for mark in list(self.tasks.values()):
                 if "gang" in mark:
                     mark["gang"].resumes()
@@ -230,8 +230,8 @@
         mark["state"] = "running"
         self.simulation.task_index.add(self, key)
         self.simulation.started(self, key[0], spec)
-        wait = 0.2 if self.sick else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
-        exit_cause = "error" if self.sick or spec.get("broken") else "done"
+        wait = 0.2 if self.failing else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
+        exit_cause = "error" if self.failing or spec.get("broken") else "done"
 
         def over():
             if self.tasks.get(key) is mark and not self.held_up(mark, over):
@@ -256,7 +256,7 @@
             if "gang" in mark:
                 mark["gang"].gone(self, key, mark)
 
-    def on_it(self):
+    def present_tasks(self):
         """The tasks that are on this machine: from the image to the exit."""
         return [
             k[0]
--- a/tests/gang_scenarios.py
+++ b/tests/gang_scenarios.py
@@ -41,14 +41,14 @@
     return simulation.progress.get(f"req-{number:06d}", 0.0)
 
 
-def told(simulation, number):
+def poll_body(simulation, number):
     poll = simulation.poll(f"req-{number:06d}")
     simulation.run(1)
     assert poll.status == 200
     return poll.body
 
 
-def begun(*specs, capacity=None, **more):
+def simulation_with(*specs, capacity=None, **more):
     """A simulation with a leader, in which these jobs have been submitted."""
     simulation = Simulation(**more)
     if capacity is not None:
@@ -60,7 +60,7 @@
     return simulation
 
 
-def fine(simulation):
+def check_invariants(simulation):
     simulation.check_sums()
     simulation.check_cancelled()
-    assert not simulation.broken
+    assert not simulation.violations
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -4,16 +4,16 @@
 
 
 def running(simulation):
-    return sum(len(w.on_it()) for w in simulation.cloud.workers())
+    return sum(len(w.present_tasks()) for w in simulation.cloud.workers())
 
 
-def make_unreachable(simulation, worker, trouble, hang_s):
-    """Break contact with a machine: `deaf`, `mute`, `hung` for a while, or cut off."""
-    if trouble == "deaf":
-        simulation.deaf.add(worker.name)
-    elif trouble == "mute":
-        simulation.mute.add(worker.name)
-    elif trouble == "hung":
+def make_unreachable(simulation, worker, fault, hang_s):
+    """Break contact with a machine as `fault` says; any other name cuts it off."""
+    if fault == "inbound_blocked":
+        simulation.inbound_blocked.add(worker.name)
+    elif fault == "outbound_blocked":
+        simulation.outbound_blocked.add(worker.name)
+    elif fault == "hung":
         worker.hang(hang_s)
     else:
         for name in simulation.names:
@@ -41,7 +41,7 @@
         simulation.check_sums()
 
 
-def over(simulation, number):
+def is_completed(simulation, number):
     return f"d/job/req-{number:06d}" in simulation.state.data
 
 
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -71,7 +71,7 @@
             self.after(self.rng.uniform(2.0, 2.5 * self.lease_s), lambda: self.copy(name, body))
 
     def to_node(self, sender, name, body, reply):
-        if sender in self.mute:
+        if sender in self.outbound_blocked:
             self.after(0.5, lambda: reply(0, b"{}"))
             return
 
@@ -189,7 +189,7 @@
                         lambda: self.state.handle(call.method, call.path, call.body, reply),
                     )
                 else:
-                    if name in self.stuck and call.path.startswith(("/follow", "/kv?")):
+                    if name in self.watches_blocked and call.path.startswith(("/follow", "/kv?")):
                         return
                     self.state.handle(call.method, call.path, call.body, reply, name)
             elif call.service == "cloud":
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -23,12 +23,12 @@
         self.state.down = False
         for lease, (_, ttl) in self.state.leases.items():
             self.state.leases[lease] = (self.now + ttl, ttl)
-        self.state.wake()
+        self.state.notify_watches()
 
-    def calm(self):
+    def end_faults(self):
         """End all troubles."""
         self.heal()
-        self.deaf, self.mute, self.refused = set(), set(), set()
+        self.inbound_blocked, self.outbound_blocked, self.refused = set(), set(), set()
         self.late_writes = self.late_reports = self.slow_state = 0.0
         self.lost_answers = self.late_commands = 0.0
-        self.lag = (0.001, 0.02)
+        self.latency = (0.001, 0.02)
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -12,24 +12,24 @@
 
     def check_answer(self, user, name):
         if user.known is not None and user.status in (400, 404, 422):
-            self.broken.append(f"forgotten: {user.known} {user.status}")
+            self.violations.append(f"forgotten: {user.known} {user.status}")
         if user.status not in (200, 201) or "id" not in user.body:
             return
         job_id, status = user.body["id"], user.body["status"]
         # Told by anybody before this was asked, or by the same node before this was answered. Of
         # two questions that overlap at two nodes, the one read first may be answered last.
-        for before in (user.before.get(job_id), self.told_by[name].get(job_id)):
+        for before in (user.before.get(job_id), self.acknowledged_by[name].get(job_id)):
             if before in (JobState.DONE, JobState.CANCELLED) and status != before:
-                self.broken.append(f"went_back: {job_id} {before} -> {status}")
-        self.told_by[name][job_id] = status
+                self.violations.append(f"went_back: {job_id} {before} -> {status}")
+        self.acknowledged_by[name][job_id] = status
         if status == JobState.DONE:
             spec = self.specs[job_id]
             if any(f"{job_id}/{i}" not in self.completed for i in range(spec["pages"])):
-                self.broken.append(f"not_done: {job_id}")
+                self.violations.append(f"not_done: {job_id}")
         if status == JobState.CANCELLED:
             self.cancelled.setdefault(job_id, self.now)
-        if self.told.get(job_id) not in (JobState.DONE, JobState.CANCELLED):
-            self.told[job_id] = status
+        if self.acknowledged.get(job_id) not in (JobState.DONE, JobState.CANCELLED):
+            self.acknowledged[job_id] = status
 
     def started(self, worker, task, spec):
         self.starts += 1
@@ -38,7 +38,7 @@
         present = self.task_index.of(job_id)
         for other, (other_task, _) in present:
             if other is not worker and other.alive and other_task == task:
-                self.broken.append(f"ran_twice: {task}")
+                self.violations.append(f"ran_twice: {task}")
         team = spec["desk"]
         used = sum(
             self.specs[other_id]["cpus"] * len(tasks)
@@ -47,23 +47,23 @@
         )
         limit = self.deployment.limit(team)
         if used > limit + 1e-6:
-            self.broken.append(f"quota: {team} {used}")
+            self.violations.append(f"quota: {team} {used}")
         if worker.kind["name"] not in (spec.get("racks") or [worker.kind["name"]]):
-            self.broken.append(f"wrong_place: {task}")
+            self.violations.append(f"wrong_place: {task}")
         if worker.spot and not spec["borrowed"]:
-            self.broken.append(f"wrong_place: {task}")
+            self.violations.append(f"wrong_place: {task}")
         if spec.get("hall") not in (None, worker.zone):
-            self.broken.append(f"wrong_place: {task}")
+            self.violations.append(f"wrong_place: {task}")
         zones = [other.zone for other, _ in present]
         if spec["same_place"] and len(set(zones)) > 1:
-            self.broken.append(f"wrong_place: {task} {zones}")
+            self.violations.append(f"wrong_place: {task} {zones}")
         if spec["spread"] and zones.count(worker.zone) > (spec["pages"] + 1) // 2:
-            self.broken.append(f"wrong_place: {task} {zones}")
-        told = self.cancelled.get(job_id)
-        if told is not None:
-            self.late_starts.append(self.now - told)
-            if self.now - told > self.cancel_s:
-                self.broken.append(f"ran_cancelled: {task}")
+            self.violations.append(f"wrong_place: {task} {zones}")
+        cancelled_at = self.cancelled.get(job_id)
+        if cancelled_at is not None:
+            self.late_starts.append(self.now - cancelled_at)
+            if self.now - cancelled_at > self.cancel_s:
+                self.violations.append(f"ran_cancelled: {task}")
 
     def wrote(self, writes):
         """A change of the state service; stories may look at it."""
@@ -104,15 +104,15 @@
 
     def check_known(self):
         """Every accepted uncancelled job is answered for, and none is forgotten or called less."""
-        accepted = sorted(j for j in self.told if j not in self.cancelled)
+        accepted = sorted(j for j in self.acknowledged if j not in self.cancelled)
         polls = {j: self.poll(j) for j in accepted}
         self.run(3.0)
-        self.broken += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
+        self.violations += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
 
     def check_cancelled(self):
-        for job_id, told in self.cancelled.items():
-            if self.now - told > self.cancel_s:
-                self.broken += [
+        for job_id, cancelled_at in self.cancelled.items():
+            if self.now - cancelled_at > self.cancel_s:
+                self.violations += [
                     f"ran_cancelled: {task} still there"
                     for _, (task, _) in self.task_index.of(job_id)
                 ]
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -17,19 +17,21 @@
             self.after(self.rng.uniform(0.0, 0.5), action)
 
     def carry(self, a, b, action, back=False):
-        if b in self.deaf and (back or a in self.names):
+        if b in self.inbound_blocked and (back or a in self.names):
             return
         if frozenset((a, b)) in self.cuts:
             if self.rng.random() < 0.7:
                 self.held.append(action)
             return
-        self.after(self.rng.uniform(*self.lag), action)
+        self.after(self.rng.uniform(*self.latency), action)
 
     def carry_frame(self, sender, member, action):
         """As `carry`, but what is sent later arrives later where links keep their order."""
         if not self.deployment.ordered_links or frozenset((sender, member)) in self.cuts:
             self.carry(sender, member, action)
             return
-        at = max(self.now + self.rng.uniform(*self.lag), self.arrivals.get((sender, member), 0.0))
+        at = max(
+            self.now + self.rng.uniform(*self.latency), self.arrivals.get((sender, member), 0.0)
+        )
         self.arrivals[sender, member] = at
         self.after(at - self.now, action)
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -23,7 +23,7 @@
             if worker.alive and worker.notice is None:
                 place = (worker.zone, worker.spot, worker.kind["cpus"])
                 least_used[place] = min(used_here, least_used.get(place, used_here))
-        for job_id in sorted(self.told):
+        for job_id in sorted(self.acknowledged):
             spec = self.specs[job_id]
             ended = all(f"{job_id}/{i}" in self.completed for i in range(spec["pages"]))
             limit = self.deployment.limit(spec["desk"])
@@ -36,11 +36,11 @@
             if ended or job_id in self.cancelled or job_id in on or not fits:
                 self.waits.pop(job_id, None)
             elif self.now - self.waits.setdefault(job_id, self.now) > bound:
-                self.broken.append(f"starved: {job_id}")
+                self.violations.append(f"starved: {job_id}")
 
     def finish(self, seconds=300.0, known_after=75.0):
         """End all troubles, and see that every accepted job that wasn't cancelled is done."""
-        self.calm()
+        self.end_faults()
         end, asked = self.now + seconds, self.now + known_after
         while self.now < end:
             self.run(1.0)
@@ -52,18 +52,18 @@
                 asked = 0.0
             left = [
                 j
-                for j in self.told
+                for j in self.acknowledged
                 if j not in self.cancelled and f"d/job/{j}" not in self.state.data
             ]
             if not left:
                 break
         self.check_known()
         self.check_sums()
-        assert not self.broken, self.broken
+        assert not self.violations, self.violations
         assert not left, [self.specs[j] for j in left]
 
     def check_served(self, within=240.0, age_s=None):
-        """At least half of each class and team is done, and of a class's largest begun in time.
+        """At least half of each class and team is done, and the largest of a class start in time.
 
         Only jobs count that weren't cancelled and came longer than `age_s` ago, as a rule `within`.
         """
@@ -71,7 +71,7 @@
         groups = {}
         counted = [
             self.specs[j]
-            for j in sorted(self.told)
+            for j in sorted(self.acknowledged)
             if j not in self.cancelled and self.now - self.submitted[j] > age_s
         ]
         largest = {}
@@ -83,12 +83,12 @@
             groups.setdefault(("class", spec["slot"]), []).append(done)
             groups.setdefault(("team", spec["desk"]), []).append(done)
             if spec["cpus"] == largest[spec["slot"]]:
-                begun = self.first_start.get(job_id, float("inf")) - self.submitted[job_id]
-                groups.setdefault(("largest of", spec["slot"]), []).append(begun <= within)
+                started_in_s = self.first_start.get(job_id, float("inf")) - self.submitted[job_id]
+                groups.setdefault(("largest of", spec["slot"]), []).append(started_in_s <= within)
         shares = {group: sum(served) / len(served) for group, served in groups.items()}
         poor = {group: share for group, share in shares.items() if share < 0.5}
         if poor:
-            self.broken.append(f"unserved: {poor}")
+            self.violations.append(f"unserved: {poor}")
         return shares
 
     def gang_fits(self, spec):
@@ -121,10 +121,10 @@
             for key, t in worker.tasks.items()
             if t["state"] != "exited"
         }
-        for job_id in sorted(self.told):
+        for job_id in sorted(self.acknowledged):
             spec = self.specs[job_id]
             over = f"{job_id}/0" in self.completed or job_id in self.cancelled
             if spec["form"] != "ensemble" or over or job_id in placed or not self.gang_fits(spec):
                 waits.pop(job_id, None)
             elif self.now - waits.setdefault(job_id, self.now) > bound:
-                self.broken.append(f"starved: {job_id}")
+                self.violations.append(f"starved: {job_id}")
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -56,22 +56,22 @@
         # Gangs of which a task gave up, seconds that members waited, progress thrown away,
         # jobs whose users asked to cancel; tasks whose images come slower or whose next start
         # is refused.
-        self.alone, self.waited, self.lost_saves = set(), 0.0, []
-        self.unwanted, self.fetch_s, self.refusals = set(), {}, {}
+        self.gave_up_waiting, self.gang_wait_s_total, self.lost_progress = set(), 0.0, []
+        self.cancel_requested, self.fetch_s, self.refusals = set(), {}, {}
         self.names = [f"n{i}" for i in range(nodes)]
         self.state, self.cloud = State(self, deployment), Cloud(self)
         self.task_index = TaskIndex()
         self.specs, self.completed, self.cancelled = {}, set(), {}
-        self.told, self.broken = {}, []
-        self.told_by = {name: {} for name in self.names}
+        self.acknowledged, self.violations = {}, []
+        self.acknowledged_by = {name: {} for name in self.names}
         self.nodes, self.life = {}, dict.fromkeys(self.names, 0)
-        self.cuts, self.held, self.deaf = set(), [], set()
+        self.cuts, self.held, self.inbound_blocked = set(), [], set()
         # When the latest frame between two controllers arrives, if their order is kept.
         self.arrivals = {}
         # Whom the state service refuses alone, and whose watches and lists get no answer.
-        self.refused, self.stuck = set(), set()
+        self.refused, self.watches_blocked = set(), set()
         # Machines that reach no controller, while direct commands reach them.
-        self.mute = set()
+        self.outbound_blocked = set()
         # Shares of transactions carried out late without an answer, and of reports copied late.
         self.late_writes = self.late_reports = 0.0
         # Shares of transactions whose answer alone is lost, and of direct commands that are carried
@@ -81,7 +81,7 @@
         # cancellation tasks still began.
         self.submitted, self.first_start, self.late_starts = {}, {}, []
         # How long a message takes, and an answer of the state service beyond that.
-        self.lag, self.slow_state = (0.001, 0.02), 0.0
+        self.latency, self.slow_state = (0.001, 0.02), 0.0
         self.waits = {}
         self.starts = 0
         # Called with what leaves a controller: when, its name, the kind of output and its parts.
--- a/tests/simulation/task_index.py
+++ b/tests/simulation/task_index.py
@@ -29,6 +29,6 @@
 
     def matches(self, workers):
         """Whether the index equals a scan of the machines."""
-        scanned = sorted((w.name, task) for w in workers for task in w.on_it())
+        scanned = sorted((w.name, task) for w in workers for task in w.present_tasks())
         indexed = sorted((w.name, key[0]) for tasks in self.by_job.values() for w, key in tasks)
         return indexed == scanned
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -25,9 +25,9 @@
     def ask(self, action, name=None, job_id=None):
         name = name or self.rng.choice(sorted(self.nodes))
         user = User()
-        user.known = job_id if job_id in self.told else None
+        user.known = job_id if job_id in self.acknowledged else None
         user.before = {
-            j: s for j, s in self.told.items() if s in (JobState.DONE, JobState.CANCELLED)
+            j: s for j, s in self.acknowledged.items() if s in (JobState.DONE, JobState.CANCELLED)
         }
         action(self.nodes[name].user_api, user)
         self.drain(name)
@@ -46,7 +46,7 @@
         return self.ask(lambda user_api, user: user_api.poll(self.now, user, job_id), name, job_id)
 
     def cancel(self, job_id, name=None):
-        self.unwanted.add(job_id)
+        self.cancel_requested.add(job_id)
         return self.ask(
             lambda user_api, user: user_api.cancel(self.now, user, job_id), name, job_id
         )
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -9,7 +9,7 @@
 
 from copperpass.core.ports import CallOutcome
 from tests.request_bodies import job
-from tests.scenarios import over, running, started_simulation, step
+from tests.scenarios import is_completed, running, started_simulation, step
 from tests.simulation import Simulation, User
 
 
@@ -18,7 +18,7 @@
     simulation = Simulation(seed=3, partitioned=partitioned)
     simulation.cloud.capacity = {(z, s): 1 for z in "abc" for s in (True, False)}
     simulation.run_until(simulation.leader)
-    simulation.lag = (0.05, 0.2)
+    simulation.latency = (0.05, 0.2)
     for n in range(1, 31):
         simulation.submit(
             job(
@@ -38,7 +38,7 @@
         simulation.submit(job(n, team="red" if n % 2 else "blue", tasks=3, cpus=4.0, run_s=8.0))
         step(simulation, 3.0)
     step(simulation, 120.0)
-    assert over(simulation, 99)
+    assert is_completed(simulation, 99)
     simulation.finish(400.0)
 
 
@@ -117,13 +117,15 @@
     simulation = started_simulation([job(n, tasks=2, run_s=6.0) for n in range(1, 5)], 8)
     workers = simulation.cloud.workers()
     chosen = {"some": workers[:1], "zone": [w for w in workers if w.zone == "a"], "all": workers}
-    simulation.mute = {w.name for w in chosen[share]}
+    simulation.outbound_blocked = {w.name for w in chosen[share]}
     # New work all the time: direct commands go on, and their answers must not pass for reports.
     for n in range(10, 10 + int(3 * simulation.lease_s)):
         simulation.submit(job(n, tasks=1, cpus=1.0, run_s=25.0 if n % 3 else 2.0))
         step(simulation, 1.0)
     if share == "some":
-        assert not any(w.name in simulation.mute for w in simulation.cloud.workers()), "still kept"
+        assert not any(w.name in simulation.outbound_blocked for w in simulation.cloud.workers()), (
+            "still kept"
+        )
     simulation.finish(500.0)
 
 
@@ -171,7 +173,7 @@
     simulation.submit(job(5, tasks=4, cpus=4.0, run_s=15.0, spread=True, same_place=True))
     simulation.run_until(lambda: running(simulation) >= 8, 90)
     for _ in range(3):
-        for worker in [w for w in simulation.cloud.workers() if w.on_it()][::2]:
+        for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
             simulation.cloud.take(worker.name)
         step(simulation, 12.0)
     simulation.finish(400.0)
@@ -234,4 +236,4 @@
     simulation.submit(job(2, team=team, tasks=2, cpus=16.0, run_s=300.0, same_place=True))
     simulation.run_until(lambda: running(simulation) >= 2, 60)
     simulation.run_until(lambda: running(simulation) == 3, 90)
-    assert not simulation.broken
+    assert not simulation.violations
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -30,7 +30,7 @@
         poll = simulation.poll("req-000001", name)
         simulation.run(1)
         assert poll.body["status"] == "done"
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_two_nodes_one_id_one_job():
@@ -47,7 +47,7 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=500.0))
-    running = lambda: any(w.on_it() for w in simulation.cloud.workers())  # noqa: E731
+    running = lambda: any(w.present_tasks() for w in simulation.cloud.workers())  # noqa: E731
     simulation.run_until(running, 60)
     user = simulation.cancel("req-000001")
     simulation.run(2)
@@ -65,12 +65,14 @@
     simulation.run_until(simulation.leader)
     for n in range(1, 5):
         simulation.submit(job(n, run_s=25.0))
-    simulation.run_until(lambda: sum(len(w.on_it()) for w in simulation.cloud.workers()) == 8, 60)
+    simulation.run_until(
+        lambda: sum(len(w.present_tasks()) for w in simulation.cloud.workers()) == 8, 60
+    )
     old, starts = simulation.leader(), simulation.starts
     simulation.crash(old, back_after=5.0)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
     simulation.run_until(finished(simulation, 1, 2, 3, 4), 90)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_a_restart_of_all_controllers_does_not_begin_each_wait_afresh():
@@ -97,7 +99,9 @@
     simulation.run_until(simulation.leader)
     for n in range(1, 4):
         simulation.submit(job(n, run_s=40.0))
-    simulation.run_until(lambda: sum(len(w.on_it()) for w in simulation.cloud.workers()) == 6, 60)
+    simulation.run_until(
+        lambda: sum(len(w.present_tasks()) for w in simulation.cloud.workers()) == 6, 60
+    )
     leader, starts = simulation.leader(), simulation.starts
     simulation.state.down = True
     simulation.run(1.8 * simulation.lease_s)
@@ -107,34 +111,34 @@
     assert refused.status == 503 and refused.retry_after >= 1
     simulation.outage_over()
     simulation.run_until(finished(simulation, 1, 2, 3), 90)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_a_leader_refused_alone_hands_over():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=60.0, tasks=4))
-    simulation.run_until(lambda: any(w.on_it() for w in simulation.cloud.workers()), 60)
+    simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
     old = simulation.leader()
     simulation.refused.add(old)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 3 * simulation.lease_s)
     assert simulation.nodes[old].healthy(simulation.now) is False
     simulation.run_until(finished(simulation, 1), 150)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_a_leader_that_hears_neither_workers_nor_controllers_steps_down():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=30.0))
-    simulation.run_until(lambda: any(w.on_it() for w in simulation.cloud.workers()), 60)
+    simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
     old, starts = simulation.leader(), simulation.starts
     for other in [w.name for w in simulation.cloud.workers()] + simulation.names:
         if other != old:
             simulation.cut(old, other)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 15)
     simulation.run_until(finished(simulation, 1), 90)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_a_machine_that_is_gone_does_not_hold_up_every_change_of_leader():
@@ -155,7 +159,8 @@
     )
     simulation.run(3.0)
     assert (
-        not simulation.nodes[simulation.leader()].schedulers[0].unsettled and not simulation.broken
+        not simulation.nodes[simulation.leader()].schedulers[0].unsettled
+        and not simulation.violations
     )
 
 
@@ -166,10 +171,10 @@
         simulation.submit(job(n, cpus=4.0, tasks=2))
     simulation.run_until(lambda: len(simulation.cloud.workers()) > 1, 60)
     sick = simulation.cloud.workers()[0]
-    sick.sick = True
+    sick.failing = True
     simulation.run_until(lambda: not sick.alive, 120)
     simulation.run_until(finished(simulation, *range(1, 7)), 180)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_a_job_with_a_mistake_does_not_burn_the_fleet():
@@ -191,7 +196,7 @@
     simulation.submit(job(2, tasks=4, cpus=8.0, same_place=True, team="blue"))
     simulation.submit(job(3, tasks=2, borrowed=False, hall="b"))
     simulation.run_until(finished(simulation, 1, 2, 3), 300)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_an_unanswered_start_is_not_given_elsewhere_until_a_token_passes_it():
@@ -208,11 +213,11 @@
     simulation.run(2.0)
     simulation.heal()
     simulation.run_until(finished(simulation, 1), 120)
-    assert worker.token > 0 and not simulation.broken
+    assert worker.token > 0 and not simulation.violations
 
 
 def running(simulation):
-    return sum(len(w.on_it()) for w in simulation.cloud.workers())
+    return sum(len(w.present_tasks()) for w in simulation.cloud.workers())
 
 
 def test_workers_behind_a_cut_are_reached_over_another_controller():
@@ -231,7 +236,7 @@
     )
     simulation.heal()
     simulation.run_until(finished(simulation, 1), 120)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_a_deaf_machine_gets_no_work_and_is_returned():
@@ -239,19 +244,19 @@
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=1, cpus=1.0, run_s=1.0))
     simulation.run_until(finished(simulation, 1), 90)
-    deaf = simulation.cloud.workers()[0]
-    simulation.deaf.add(deaf.name)
+    unreachable = simulation.cloud.workers()[0]
+    simulation.inbound_blocked.add(unreachable.name)
     leader = simulation.leader()
-    machine = simulation.nodes[leader].schedulers[0].machines[deaf.name]
+    machine = simulation.nodes[leader].schedulers[0].machines[unreachable.name]
     given = []
     for number in range(2, 12):
         simulation.submit(job(number, tasks=2, cpus=4.0, run_s=5.0))
         simulation.run(1.0)
         given.append(sum(p.active for p in machine.tasks.values()))
-    assert machine.unreachable_since is not None or not deaf.alive
-    simulation.run_until(lambda: not deaf.alive, 3 * simulation.lease_s)
+    assert machine.unreachable_since is not None or not unreachable.alive
+    simulation.run_until(lambda: not unreachable.alive, 3 * simulation.lease_s)
     simulation.run_until(finished(simulation, *range(2, 12)), 150)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_a_deaf_machine_that_hears_again_is_used_again():
@@ -260,16 +265,16 @@
     simulation.submit(job(1, tasks=1, cpus=1.0, run_s=1.0))
     simulation.run_until(finished(simulation, 1), 90)
     for worker in simulation.cloud.workers():
-        simulation.deaf.add(worker.name)
+        simulation.inbound_blocked.add(worker.name)
     simulation.submit(job(2, tasks=4, cpus=4.0, run_s=5.0))
     scheduler = simulation.nodes[simulation.leader()].schedulers[0]
     simulation.run_until(lambda: any(m.unreachable_since for m in scheduler.machines.values()), 15)
-    simulation.deaf.clear()
+    simulation.inbound_blocked.clear()
     simulation.run_until(
         lambda: not any(m.unreachable_since for m in scheduler.machines.values()), 10
     )
     simulation.run_until(finished(simulation, 2), 60)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_late_copies_revive_nothing_and_count_for_nothing():
@@ -296,7 +301,7 @@
     revived = [m for n, m in node.schedulers[0].machines.items() if f'"{n}"'.encode() in said]
     assert not any(m.usable(simulation.now, 99.0) for m in revived)
     simulation.run_until(finished(simulation, 1), 150)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_a_copy_does_not_stretch_the_end_of_a_lease():
@@ -304,7 +309,7 @@
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=2, run_s=300.0))
     simulation.run_until(lambda: running(simulation) == 2, 60)
-    worker = next(w for w in simulation.cloud.workers() if w.on_it())
+    worker = next(w for w in simulation.cloud.workers() if w.present_tasks())
     leader = simulation.leader()
     machine = simulation.nodes[leader].schedulers[0].machines[worker.name]
     copy = worker.sent[-1][1]
@@ -337,7 +342,7 @@
     simulation.drain(old)
     assert answers == [421]
     simulation.run_until(finished(simulation, 1), 120)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def new_trouble(simulation, rng):
@@ -349,7 +354,9 @@
         simulation.late_reports = rng.choice([0.0, 0.4])
     elif act < 0.06 and workers:
         zone = rng.choice("abc")
-        simulation.mute = {w.name for w in workers if w.zone == zone or rng.random() < 0.1}
+        simulation.outbound_blocked = {
+            w.name for w in workers if w.zone == zone or rng.random() < 0.1
+        }
     elif act < 0.09 and workers:
         for worker in rng.sample(workers, min(3, len(workers))):
             worker.hang(rng.uniform(1.0, 1.4 * simulation.lease_s))
@@ -420,19 +427,19 @@
                     late = functools.partial(simulation.copy, rng.choice(names), body)
                     simulation.after(rng.uniform(0.5, 2.0 * simulation.lease_s), late)
         elif act < 0.90 and simulation.cloud.workers():
-            simulation.deaf = {rng.choice(simulation.cloud.workers()).name}
+            simulation.inbound_blocked = {rng.choice(simulation.cloud.workers()).name}
         elif act < 0.93:
-            simulation.calm()
+            simulation.end_faults()
         elif act < 0.955:
             simulation.outage(rng.uniform(2, 20))
         elif simulation.cloud.machines:
             simulation.cloud.take(rng.choice(sorted(simulation.cloud.machines)))
-    simulation.calm()
+    simulation.end_faults()
     for _ in range(75):
         simulation.run(1.0)
         simulation.check_starved()
     simulation.check_cancelled()
-    accepted = {j for j, status in simulation.told.items() if j not in simulation.cancelled}
+    accepted = {j for j, status in simulation.acknowledged.items() if j not in simulation.cancelled}
     polls = {j: simulation.poll(j) for j in sorted(accepted)}
     simulation.run(3.0)
     silent = [j for j, poll in polls.items() if poll.status != 200]
@@ -444,5 +451,5 @@
             break
     left = [j for j in accepted if f"d/job/{j}" not in simulation.state.data]
     assert not left, [simulation.specs[j] for j in left]
-    assert not simulation.broken
+    assert not simulation.violations
     assert simulation.starts > 20
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -44,10 +44,10 @@
     simulation.run(0.5)
     simulation.refused.discard(old)
     watch_cancelled(simulation, 1.6 * simulation.cancel_s)
-    assert running(simulation) == 0 and not simulation.broken
+    assert running(simulation) == 0 and not simulation.violations
     simulation.outage_over()
     watch_cancelled(simulation, 20.0)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_an_owner_refused_alone_passes_its_shard_on():
@@ -65,14 +65,14 @@
     for n in range(1, 5):
         assert simulation.cancel(f"req-{n:06d}", other)
     watch_cancelled(simulation, 2.0 * simulation.cancel_s)
-    assert running(simulation) == 0 and simulation.starts == starts and not simulation.broken
+    assert running(simulation) == 0 and simulation.starts == starts and not simulation.violations
 
 
 def stuck_leader_day():
     """The watch of a leader that owns everything hangs while its key is renewed."""
     simulation = started_simulation()
     leader = simulation.leader()
-    simulation.stuck.add(leader)
+    simulation.watches_blocked.add(leader)
     simulation.run(3.0)
     for name in simulation.names:
         if name != leader:
@@ -87,7 +87,7 @@
 
 def test_a_leader_whose_watch_is_stuck_while_its_key_is_renewed_gives_up_in_time():
     simulation = stuck_leader_day()
-    assert running(simulation) == 0 and not simulation.broken
+    assert running(simulation) == 0 and not simulation.violations
 
 
 def test_without_the_bound_on_the_view_that_day_breaks_a_rule(monkeypatch):
@@ -95,29 +95,29 @@
     monkeypatch.setattr(PeerHeartbeats, "is_behind", lambda self, consistent_at: False)
     with pytest.raises(AssertionError):
         simulation = stuck_leader_day()
-        assert not simulation.broken
+        assert not simulation.violations
 
 
 def test_a_leader_whose_watch_is_stuck_hands_over_to_one_that_sees_more():
     simulation = started_simulation()
     leader, starts = simulation.leader(), simulation.starts
-    simulation.stuck.add(leader)
+    simulation.watches_blocked.add(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader), 12)
     simulation.run(15.0)
-    assert running(simulation) == 8 and simulation.starts == starts and not simulation.broken
+    assert running(simulation) == 8 and simulation.starts == starts and not simulation.violations
 
 
 def test_a_view_is_fresh_only_once_its_list_is_whole():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     watch_cache = simulation.nodes["n0"].watch_cache
-    simulation.stuck.add("n0")
+    simulation.watches_blocked.add("n0")
     simulation.run(5.0)
     before = watch_cache.consistent_at
     watch_cache.synced = False
     simulation.run(5.0)
     assert watch_cache.consistent_at == before and not watch_cache.synced
-    simulation.stuck.clear()
+    simulation.watches_blocked.clear()
     simulation.run(5.0)
     assert watch_cache.consistent_at > before + 5.0
 
@@ -128,7 +128,7 @@
         lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
     )
     leader = simulation.leader()
-    simulation.stuck.add(leader)
+    simulation.watches_blocked.add(leader)
     simulation.run(1.0)
     waiting = simulation.submit(job(9, tasks=9, cpus=7.5, run_s=100.0), "n2")
     others = [n for n in simulation.names if n != leader]
@@ -138,7 +138,7 @@
     assert simulation.leader() == leader and running(simulation) == 0
     starts = simulation.starts
     simulation.run(30.0)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_only_members_proven_to_know_it_are_told_of_a_cancellation():
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -9,27 +9,27 @@
 from tests.deployments import TYPE
 from tests.gang_scenarios import (
     attempts,
-    begun,
+    check_invariants,
     count,
     done,
-    fine,
     marks,
+    poll_body,
     present,
     progress,
     runs,
-    told,
+    simulation_with,
 )
 from tests.request_bodies import gang, job
 from tests.simulation import Simulation
 
 
 def test_a_gang_starts_whole_and_is_told_done():
-    simulation = begun(gang(1, cpus=12.0, run_s=15.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=15.0))
     simulation.fetch_s["req-000001/3"] = 6.0
     polls = 0
     while not count(simulation, 1, "running"):
         assert simulation.now < 200.0
-        body = told(simulation, 1)
+        body = poll_body(simulation, 1)
         if not count(simulation, 1, "running"):
             polls += 1
             assert (body["status"], body.get("running", 0)) == ("queued", 0)
@@ -37,14 +37,18 @@
     assert count(simulation, 1, "running") == 4 and simulation.starts == 4
     assert len({w for w, _, _ in marks(simulation, 1)}) == 4
     simulation.run(3)
-    body = told(simulation, 1)
+    body = poll_body(simulation, 1)
     assert (body["status"], body["running"]) == ("running", 4)
     simulation.run_until(done(simulation, 1), 60)
     simulation.run(3)
-    assert told(simulation, 1)["status"] == "done"
-    assert len(attempts(simulation, 1)) == 1 and simulation.starts == 4 and not simulation.alone
-    assert simulation.waited < 3 * 6.5
-    fine(simulation)
+    assert poll_body(simulation, 1)["status"] == "done"
+    assert (
+        len(attempts(simulation, 1)) == 1
+        and simulation.starts == 4
+        and not simulation.gave_up_waiting
+    )
+    assert simulation.gang_wait_s_total < 3 * 6.5
+    check_invariants(simulation)
 
 
 def send(simulation, body, user_api, user):
@@ -52,7 +56,9 @@
 
 
 def test_a_gang_beyond_its_teams_limit_can_never_run():
-    simulation = begun(gang(1, tasks=4, cpus=16.0), gang(2, team="blue", tasks=12, cpus=4.0))
+    simulation = simulation_with(
+        gang(1, tasks=4, cpus=16.0), gang(2, team="blue", tasks=12, cpus=4.0)
+    )
     for spec, status in [
         (gang(3, tasks=5, cpus=16.0), 422),
         (gang(4, team="blue", tasks=13, cpus=4.0), 422),
@@ -73,12 +79,12 @@
             simulation.run(1)
             assert user.status == (200 if again and status == 201 else status), spec["id"]
     simulation.run_until(done(simulation, 1, 2), 200)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("state", ["room", "pulling", "gathering", "running"])
 def test_a_cancelled_gang_is_gone_in_every_state(state):
-    simulation = begun(
+    simulation = simulation_with(
         gang(1, run_s=300.0, cpus=12.0),
         capacity={} if state == "room" else {("a", True): 3, ("a", False): 3},
     )
@@ -102,26 +108,30 @@
     for _ in range(60):
         simulation.run(1)
         assert not present(simulation, 1)
-    assert simulation.starts == starts and not simulation.lost_saves and not simulation.alone
-    assert told(simulation, 1)["status"] == "withdrawn"
-    fine(simulation)
+    assert (
+        simulation.starts == starts
+        and not simulation.lost_progress
+        and not simulation.gave_up_waiting
+    )
+    assert poll_body(simulation, 1)["status"] == "withdrawn"
+    check_invariants(simulation)
 
 
 def test_a_member_lost_before_the_start_is_replaced_under_the_same_attempt():
-    simulation = begun(gang(1, cpus=12.0))
+    simulation = simulation_with(gang(1, cpus=12.0))
     simulation.fetch_s["req-000001/3"] = 20.0
     simulation.run_until(lambda: count(simulation, 1, "gathering") == 3, 60)
     victim = next(w for w, key, m in marks(simulation, 1) if m["state"] == "gathering")
     simulation.cloud.take(victim.name)
     simulation.run_until(runs(simulation, 1), simulation.gang_wait_s)
-    assert len(attempts(simulation, 1)) == 1 and not simulation.alone
+    assert len(attempts(simulation, 1)) == 1 and not simulation.gave_up_waiting
     simulation.run_until(done(simulation, 1), 60)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_a_gang_that_loses_a_member_goes_on_from_its_checkpoint(partitioned):
-    simulation = begun(gang(1, cpus=12.0, run_s=40.0), partitioned=partitioned)
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0), partitioned=partitioned)
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(13.0)
     first = attempts(simulation, 1)
@@ -133,34 +143,34 @@
     # The simulation itself fails the test when the attempts overlap on machines.
     assert simulation.gangs["req-000001", again].progress >= progress(simulation, 1) == 10.0
     simulation.run_until(done(simulation, 1), 90)
-    assert len(attempts(simulation, 1)) == 2 and not simulation.alone
-    fine(simulation)
+    assert len(attempts(simulation, 1)) == 2 and not simulation.gave_up_waiting
+    check_invariants(simulation)
 
 
 def test_a_gang_with_a_machine_that_hangs_begins_again():
-    simulation = begun(gang(1, cpus=12.0, run_s=30.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0))
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(7.0)
     marks(simulation, 1)[0][0].hang(8.0)
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2, 90)
     assert progress(simulation, 1) == 5.0
     simulation.run_until(done(simulation, 1), 120)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 def test_a_gang_that_gave_up_alone_begins_a_new_attempt():
-    simulation = begun(gang(1, cpus=12.0), gang_wait_s=15.0)
+    simulation = simulation_with(gang(1, cpus=12.0), gang_wait_s=15.0)
     simulation.fetch_s["req-000001/3"] = 40.0
-    simulation.run_until(lambda: simulation.alone, 90)
+    simulation.run_until(lambda: simulation.gave_up_waiting, 90)
     simulation.fetch_s.clear()
     simulation.run_until(done(simulation, 1), 120)
     (first, *more) = attempts(simulation, 1)
-    assert simulation.alone == {("req-000001", first)} and more
-    fine(simulation)
+    assert simulation.gave_up_waiting == {("req-000001", first)} and more
+    check_invariants(simulation)
 
 
 def test_a_notice_on_one_machine_saves_the_whole_gang():
-    simulation = begun(gang(1, cpus=12.0, run_s=60.0, proof_s=100.0, flush_s=2.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=60.0, proof_s=100.0, flush_s=2.0))
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(12.0)
     victim = marks(simulation, 1)[0][0]
@@ -169,41 +179,45 @@
     simulation.run_until(lambda: progress(simulation, 1) > 0, 10)
     assert progress(simulation, 1) > 10.0
     simulation.run_until(done(simulation, 1), 150)
-    assert len(attempts(simulation, 1)) == 2 and not simulation.lost_saves
-    fine(simulation)
+    assert len(attempts(simulation, 1)) == 2 and not simulation.lost_progress
+    check_invariants(simulation)
 
 
 def test_a_gang_that_gives_way_to_higher_work_is_saved():
-    simulation = begun(
+    simulation = simulation_with(
         gang(1, team="blue", run_s=200.0, proof_s=500.0, urgency="low"), capacity={("a", True): 3}
     )
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(5.0)
     simulation.submit(job(2, team="blue", tasks=3, cpus=16.0, urgency="production", run_s=10.0))
     simulation.run_until(done(simulation, 2), 60)
-    assert progress(simulation, 1) > 4.0 and not simulation.lost_saves
+    assert progress(simulation, 1) > 4.0 and not simulation.lost_progress
     simulation.run_until(done(simulation, 1), 400)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_two_gangs_for_the_last_room_run_one_after_the_other(partitioned):
-    simulation = begun(
+    simulation = simulation_with(
         gang(1, cpus=8.0),
         gang(2, team="blue", cpus=8.0),
         capacity={("a", True): 3},
         partitioned=partitioned,
     )
     simulation.run_until(done(simulation, 1, 2), 150)
-    assert simulation.waited < 20.0 and not simulation.alone and not simulation.lost_saves
+    assert (
+        simulation.gang_wait_s_total < 20.0
+        and not simulation.gave_up_waiting
+        and not simulation.lost_progress
+    )
     assert len(attempts(simulation, 1) + attempts(simulation, 2)) == 2
-    fine(simulation)
+    check_invariants(simulation)
 
 
 # Guards what is held for a gang: of its team's limit (blue), and of the machines (red).
 @pytest.mark.parametrize("team", ["blue", "red"])
 def test_a_large_gang_and_a_stream_of_small_arrays_starve_neither(team):
-    simulation = begun(job(1, team=team, run_s=5.0), capacity={("a", True): 3})
+    simulation = simulation_with(job(1, team=team, run_s=5.0), capacity={("a", True): 3})
     for number in range(2, 20):
         simulation.submit(job(number, team=team, run_s=5.0))
         simulation.run(1)
@@ -214,12 +228,12 @@
         simulation.run(1)
     assert done(simulation, 20)(), "the large gang starves"
     simulation.run_until(done(simulation, *range(1, 171)), 150)
-    assert not simulation.alone
-    fine(simulation)
+    assert not simulation.gave_up_waiting
+    check_invariants(simulation)
 
 
 def test_an_array_is_not_starved_by_a_stream_of_gangs():
-    simulation = begun(gang(1, team="blue", tasks=6), capacity={("a", True): 3})
+    simulation = simulation_with(gang(1, team="blue", tasks=6), capacity={("a", True): 3})
     for number in range(2, 60):
         simulation.submit(gang(number, team="blue", tasks=6, run_s=8.0))
         if number == 10:
@@ -227,14 +241,14 @@
         simulation.run(3)
     assert done(simulation, 100)(), "the array starves"
     simulation.run_until(done(simulation, *range(1, 60)), 700)
-    assert not simulation.alone
-    fine(simulation)
+    assert not simulation.gave_up_waiting
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("crash", ["leader", "all"])
 @pytest.mark.parametrize("state", ["gathering", "running", "flushing"])
 def test_controllers_crash_in_each_state_of_a_gang(state, crash):
-    simulation = begun(gang(1, cpus=12.0, run_s=30.0, flush_s=3.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
         simulation.fetch_s["req-000001/1"] = 10.0
     simulation.run_until(lambda: count(simulation, 1, state) >= 3 or runs(simulation, 1)(), 60)
@@ -251,12 +265,12 @@
     if state == "running":
         assert simulation.starts == starts and len(attempts(simulation, 1)) == 1
     simulation.run(4)
-    assert told(simulation, 1)["status"] == "done"
-    fine(simulation)
+    assert poll_body(simulation, 1)["status"] == "done"
+    check_invariants(simulation)
 
 
 def test_late_reports_of_an_older_attempt_count_for_nothing():
-    simulation = begun(gang(1, cpus=12.0, run_s=40.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0))
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(6.0)
     workers = [w for w, _, _ in marks(simulation, 1)]
@@ -274,30 +288,30 @@
     assert (
         simulation.starts == starts
         and len(attempts(simulation, 1)) == 2
-        and not simulation.lost_saves
+        and not simulation.lost_progress
     )
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
 def test_a_member_that_is_refused_or_fails_is_replaced(exit_cause):
-    simulation = begun(gang(1, cpus=12.0))
+    simulation = simulation_with(gang(1, cpus=12.0))
     simulation.fetch_s["req-000001/0"] = 5.0
     if exit_cause == "error":
         simulation.run_until(lambda: count(simulation, 1, "pulling", "gathering") == 4, 60)
         sick = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/0")
-        sick.sick = True
+        sick.failing = True
     else:
         simulation.refusals["req-000001/2"] = exit_cause
     simulation.run_until(runs(simulation, 1), 90)
-    assert not simulation.alone and len(attempts(simulation, 1)) <= 2
+    assert not simulation.gave_up_waiting and len(attempts(simulation, 1)) <= 2
     simulation.run_until(done(simulation, 1), 60)
     assert not simulation.refusals
-    fine(simulation)
+    check_invariants(simulation)
 
 
 def test_a_gang_whose_zone_loses_its_machines_starts_in_another():
-    simulation = begun(gang(1, cpus=12.0, run_s=40.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0))
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(7.0)
     (zone,) = {w.zone for w, _, _ in marks(simulation, 1)}
@@ -309,35 +323,35 @@
     (other,) = {w.zone for w, _, _ in marks(simulation, 1)}
     assert other != zone and progress(simulation, 1) == 5.0
     simulation.run_until(done(simulation, 1), 90)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 def test_a_spread_gang_starts_whole_in_several_zones():
-    simulation = begun(gang(1, tasks=5, cpus=12.0, same_place=False, spread=True))
+    simulation = simulation_with(gang(1, tasks=5, cpus=12.0, same_place=False, spread=True))
     simulation.run_until(runs(simulation, 1), 60)
     zones = [w.zone for w, _, _ in marks(simulation, 1)]
     assert max(zones.count(z) for z in zones) <= 3
     simulation.run_until(done(simulation, 1), 60)
     assert len(attempts(simulation, 1)) == 1
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("one_zone", [False, True])
 def test_a_gang_takes_room_in_different_zones_only_if_it_may(one_zone):
-    simulation = begun(
+    simulation = simulation_with(
         gang(1, tasks=3, cpus=14.0, same_place=one_zone), capacity={(z, True): 1 for z in "abc"}
     )
     if one_zone:
         for _ in range(60):
             simulation.run(1)
             assert not present(simulation, 1), "placed whole or not at all"
-        assert told(simulation, 1)["status"] == "queued"
+        assert poll_body(simulation, 1)["status"] == "queued"
         simulation.cloud.capacity["b", False] = 3
     simulation.run_until(runs(simulation, 1), 90)
     assert len({w.zone for w, _, _ in marks(simulation, 1)}) == (1 if one_zone else 3)
     simulation.run_until(done(simulation, 1), 60)
-    assert not simulation.alone and len(attempts(simulation, 1)) == 1
-    fine(simulation)
+    assert not simulation.gave_up_waiting and len(attempts(simulation, 1)) == 1
+    check_invariants(simulation)
 
 
 # Guards what a gang allows: each shape is told by the machines that it asks for and runs on.
@@ -356,7 +370,7 @@
 )
 def test_each_shape_of_gang_runs_where_it_may(shape, zones, spot):
     capacity = {(z, s): 3 for z in "abc" for s in (True, False) if s or not spot}
-    simulation = begun(capacity=capacity)
+    simulation = simulation_with(capacity=capacity)
     # A cheaper type that the gang doesn't name.
     crate = {**TYPE, "name": "crate", "price": 0.5, "low_price": 0.1}
     simulation.cloud.offer = [TYPE, crate] if "racks" in shape else [TYPE]
@@ -375,12 +389,12 @@
     assert {owner.machines[w.name].type.name for w in workers} == {"box"}
     simulation.run_until(done(simulation, 1), 60)
     assert len(attempts(simulation, 1)) == 1
-    fine(simulation)
+    check_invariants(simulation)
 
 
 # Guards the bound on a wait beside room: with gangs of all shapes and single tasks of both teams.
 def test_no_gang_waits_beside_room_for_it():
-    simulation, waits, number = begun(capacity={(z, True): 2 for z in "abc"}), {}, 0
+    simulation, waits, number = simulation_with(capacity={(z, True): 2 for z in "abc"}), {}, 0
     for second in range(240):
         if second < 150 and second % 6 == 0:
             for shape in ({}, {"same_place": False}, {"same_place": False, "spread": True}):
@@ -393,7 +407,7 @@
         simulation.run(1.0)
         simulation.check_gangs_starved(waits, 40.0)
     simulation.run_until(done(simulation, *range(1, number + 1)), 400)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("state", ["gathering", "running"])
@@ -420,8 +434,8 @@
     simulation.run_until(done(simulation, 1, 2), 200)
     if state == "running":
         assert simulation.starts == starts
-    assert not simulation.lost_saves
-    fine(simulation)
+    assert not simulation.lost_progress
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
@@ -436,7 +450,7 @@
     end = simulation.now + 240.0
     while simulation.now < end:
         simulation.run(rng.uniform(0.5, 4.0))
-        fine(simulation)
+        check_invariants(simulation)
         act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
         if act < 0.45 and names:
             number += 1
@@ -474,10 +488,10 @@
     simulation.run_until(
         lambda: all(
             f"d/job/{j}" in simulation.state.data
-            for j in simulation.told
+            for j in simulation.acknowledged
             if j not in simulation.cancelled
         ),
         500,
     )
     assert simulation.starts > 20 and any(g.started for g in simulation.gangs.values())
-    fine(simulation)
+    check_invariants(simulation)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -7,12 +7,22 @@
 from copperpass.core.ports import CallOutcome
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind
-from tests.gang_scenarios import attempts, begun, count, done, fine, marks, present, progress, runs
+from tests.gang_scenarios import (
+    attempts,
+    check_invariants,
+    count,
+    done,
+    marks,
+    present,
+    progress,
+    runs,
+    simulation_with,
+)
 from tests.request_bodies import gang, job
-from tests.test_shard_scheduler import Bench
+from tests.test_shard_scheduler import SchedulerBench
 
 
-class GangBench(Bench):
+class GangBench(SchedulerBench):
     """An owner with one machine on which a gang of three has been started."""
 
     def __init__(self):
@@ -186,7 +196,7 @@
 
 
 def test_nobody_is_replaced_after_the_start():
-    simulation = begun(gang(1, cpus=12.0, run_s=30.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0))
     seen = started_under(simulation)
     simulation.run_until(runs(simulation, 1), 60)
     (first,) = attempts(simulation, 1)
@@ -195,11 +205,11 @@
     simulation.run_until(done(simulation, 1), 150)
     (first, again) = attempts(simulation, 1)
     assert (seen.count(first), seen.count(again)) == (4, 4)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 def test_a_gang_whose_rest_finds_no_room_begins_elsewhere_before_it_gives_up():
-    simulation = begun(gang(1, cpus=12.0), gang_wait_s=60.0)
+    simulation = simulation_with(gang(1, cpus=12.0), gang_wait_s=60.0)
     simulation.fetch_s["req-000001/3"] = 1e3
     simulation.run_until(lambda: count(simulation, 1, "gathering") == 3, 60)
     (zone,) = {w.zone for w, _, _ in marks(simulation, 1)}
@@ -210,15 +220,15 @@
         simulation.cloud.take(worker.name)
     simulation.fetch_s.clear()
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2, 90)
-    assert not simulation.alone
+    assert not simulation.gave_up_waiting
     simulation.run_until(done(simulation, 1), 90)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 # Guards against throwing progress away: a stop that can't save is worse than to run on.
 @pytest.mark.parametrize("trouble", ["too short", "not reached"])
 def test_a_stop_that_cannot_save_is_not_tried(trouble):
-    simulation = begun(gang(1, cpus=12.0, run_s=30.0, proof_s=100.0, flush_s=2.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0, proof_s=100.0, flush_s=2.0))
     simulation.lengths["req-000001"] = 60.0
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(5.0)
@@ -231,15 +241,15 @@
     for _ in range(14):
         simulation.run(0.1)
         assert not count(simulation, 1, "flushing", "exited")
-    assert not simulation.lost_saves
+    assert not simulation.lost_progress
     simulation.heal()
     victim.notice = None
     simulation.run_until(done(simulation, 1), 250)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 def test_a_machine_that_goes_before_the_first_has_saved_costs_the_save_only():
-    simulation = begun(gang(1, cpus=12.0, run_s=40.0, flush_s=4.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0, flush_s=4.0))
     simulation.lengths["req-000001"] = 40.0
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(8.0)
@@ -250,14 +260,14 @@
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 90)
     assert progress(simulation, 1) == 5.0
     simulation.run_until(done(simulation, 1), 90)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 # Guards the overlap of attempts: a task that hangs keeps its machine, its team's part and, with one
 # zone for all, its zone. The simulation notes what breaks a rule.
 @pytest.mark.parametrize("one_zone", [False, True])
 def test_the_next_attempt_waits_for_a_task_that_hangs(one_zone):
-    simulation = begun(
+    simulation = simulation_with(
         gang(1, team="blue", tasks=3, cpus=16.0, run_s=40.0, same_place=one_zone),
         job(2, team="blue", tasks=30, cpus=4.0, run_s=4.0, urgency="low"),
     )
@@ -271,12 +281,12 @@
         simulation.run(0.5)
         assert len(attempts(simulation, 1)) == 1
     simulation.run_until(done(simulation, 1, 2), 250)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 @pytest.mark.parametrize("state", ["flushing", "ending"])
 def test_a_cancelled_gang_that_is_being_stopped_is_gone(state):
-    simulation = begun(gang(1, cpus=12.0, run_s=300.0, flush_s=3.0))
+    simulation = simulation_with(gang(1, cpus=12.0, run_s=300.0, flush_s=3.0))
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(6.0)
     victim = marks(simulation, 1)[0][0]
@@ -293,7 +303,7 @@
     simulation.run_until(lambda: not present(simulation, 1), simulation.cancel_s)
     simulation.run(60)
     assert simulation.starts == starts and not present(simulation, 1)
-    fine(simulation)
+    check_invariants(simulation)
 
 
 # Guards the end of a gang whose other machines are lost with their reports: one result is all.
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -24,7 +24,7 @@
 
 
 def running(simulation, team=None):
-    tasks = [t for w in simulation.cloud.workers() for t in w.on_it()]
+    tasks = [t for w in simulation.cloud.workers() for t in w.present_tasks()]
     return sum(1 for t in tasks if team in (None, simulation.specs[t.split("/")[0]]["desk"]))
 
 
@@ -46,9 +46,9 @@
     )
     started(simulation)
     for worker in simulation.cloud.workers():
-        assert len({simulation.specs[t.split("/")[0]]["desk"] for t in worker.on_it()}) <= 1
+        assert len({simulation.specs[t.split("/")[0]]["desk"] for t in worker.present_tasks()}) <= 1
     simulation.run_until(over(simulation, 1, 2), 300)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_an_owners_crash_costs_its_team_seconds_and_no_task():
@@ -62,7 +62,7 @@
     simulation.run_until(lambda: running(simulation) == 9, 10)
     assert simulation.now - at < simulation.lease_s
     simulation.run_until(over(simulation, 1, 2, 3), 300)
-    assert simulation.starts == starts + 1 and not simulation.broken
+    assert simulation.starts == starts + 1 and not simulation.violations
 
 
 def test_machines_outlive_a_handover_long_after_they_were_rented():
@@ -71,7 +71,7 @@
     simulation = partitioned()
     started(simulation)
     simulation.run(6 * 10.0)
-    before = {w.name for w in simulation.cloud.workers() if w.on_it()}
+    before = {w.name for w in simulation.cloud.workers() if w.present_tasks()}
     simulation.crash(owners(simulation)[0], back_after=8.0)
     simulation.run(12.0)
     assert before <= {w.name for w in simulation.cloud.workers()}
@@ -99,7 +99,7 @@
     assert passed
     simulation.heal()
     simulation.run_until(over(simulation, 1, 2), 300)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 def test_a_leaders_crash_costs_no_task():
@@ -111,7 +111,7 @@
         lambda: simulation.leader() not in (None, old) and len(owners(simulation)) == 2, 12
     )
     simulation.run_until(over(simulation, 1, 2), 300)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_an_owner_back_within_a_fraction_of_a_second_holds_nothing_of_its_earlier_run():
@@ -123,7 +123,7 @@
     assert not simulation.nodes[owner].schedulers
     simulation.run_until(lambda: len(owners(simulation)) == 2, 10)
     simulation.run_until(over(simulation, 1, 2), 300)
-    assert simulation.starts == starts and not simulation.broken
+    assert simulation.starts == starts and not simulation.violations
 
 
 def test_an_idle_machine_moves_to_the_team_that_needs_it():
@@ -135,7 +135,9 @@
     machine = simulation.cloud.workers()[0]
     simulation.submit(job(2, tasks=1, run_s=5.0, team="blue"))
     simulation.run_until(lambda: running(simulation, "blue") == 1, 8)
-    assert [w.name for w in simulation.cloud.workers()] == [machine.name] and not simulation.broken
+    assert [w.name for w in simulation.cloud.workers()] == [
+        machine.name
+    ] and not simulation.violations
 
 
 def test_a_grant_that_a_newer_one_has_overtaken_changes_nothing():
@@ -170,7 +172,7 @@
     simulation.run_until(lambda: running(simulation, "blue") == 5, 25)
     assert simulation.leader() not in owners(simulation).values()
     simulation.run_until(over(simulation, 1, 2, 3), 300)
-    assert simulation.starts == starts + 1 and not simulation.broken
+    assert simulation.starts == starts + 1 and not simulation.violations
 
 
 def test_tables_arrive_whole_over_links_that_lose_delay_and_repeat_frames():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,10 +19,10 @@
 from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
 from copperpass.settings import parse
 from tests.request_bodies import raw_settings
-from tests.test_shard_scheduler import Bench
+from tests.test_shard_scheduler import SchedulerBench
 
 
-def said(name, tasks, token, agent_epoch, sequence):
+def heartbeat_body(name, tasks, token, agent_epoch, sequence):
     return encode(
         WorkerHeartbeat(
             name,
@@ -41,20 +41,20 @@
 
 def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
     # Holds `machine.last_answer_at` at a change of session in `HeartbeatHandler.take`.
-    bench = Bench()
+    bench = SchedulerBench()
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
     bench.now += 11.9
     bench.owner.tick(bench.now)
     for status, token, sequence in ((409, 1, 7), (200, machine.base, 8)):
         (probe,) = bench.take("worker")
-        probe.on_done(bench.now, CallOutcome(status, said("m-9", [], token, 4, sequence)))
+        probe.on_done(bench.now, CallOutcome(status, heartbeat_body("m-9", [], token, 4, sequence)))
         bench.owner.commands.probe(bench.now)
     bench.owner.machines["m-1"].backoff_until = bench.now + 99.0
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
-    call.on_done(bench.now, CallOutcome(200, said("m-9", tasks, machine.base, 4, 9)))
+    call.on_done(bench.now, CallOutcome(200, heartbeat_body("m-9", tasks, machine.base, 4, 9)))
     bench.owner.scan(taken + bench.owner.timing.lease_s + 0.1)
     assert bench.job.placed == {0: "m-9"}
     bench.owner.scan(bench.now + bench.owner.timing.lease_s + 0.1)
@@ -63,7 +63,7 @@
 
 def test_answers_to_commands_do_not_pass_for_reports():
     # Holds `full` in `_take`: a machine that only answers commands loses all it is given.
-    bench = Bench()
+    bench = SchedulerBench()
     machine = bench.owner.machines["m-1"]
     for second in range(1, 4):
         bench.now += 1.0
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("turn", [1, -1])
 def test_an_ended_attempt_that_was_not_cleared_does_not_free_the_one_that_runs(turn):
     # Holds `_alone`. A task was stopped, started again where it was, and the leader changed.
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(version=40)
     bench.worker_heartbeat(
         [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::turn]
@@ -94,7 +94,7 @@
 
 def test_ends_that_an_earlier_owner_stored_are_not_written_over():
     # Holds the loop over `jobs.pages` in `CompletionStore._write`.
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(1, tasks=2)
     bench.add(2, tasks=2)
     key = "c/ends/0.0"
@@ -152,7 +152,7 @@
 
 def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
     # Holds `overlap_s`: the leader restarted at once, and that owner had not seen it.
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(version=40)
     bench.owner.timing.overlap_s = 1.5
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -3,7 +3,14 @@
 import pytest
 
 from tests.request_bodies import job
-from tests.scenarios import make_unreachable, new_leader, over, running, started_simulation, step
+from tests.scenarios import (
+    is_completed,
+    make_unreachable,
+    new_leader,
+    running,
+    started_simulation,
+    step,
+)
 from tests.simulation import Simulation
 
 
@@ -49,21 +56,21 @@
     for n, name in enumerate(names):
         simulation.crash(name, 1.5 * simulation.lease_s + n * back)
     simulation.run(1.5 * simulation.lease_s + 10.0)
-    assert all(not w.on_it() or w.agent_epoch > 1 for w in simulation.cloud.workers())
+    assert all(not w.present_tasks() or w.agent_epoch > 1 for w in simulation.cloud.workers())
     simulation.finish()
 
 
-@pytest.mark.parametrize("trouble", ["unreachable", "deaf", "mute", "hung"])
+@pytest.mark.parametrize("fault", ["unreachable", "inbound_blocked", "outbound_blocked", "hung"])
 @pytest.mark.parametrize("partitioned", [False, True])
-def test_a_leader_ends_while_machines_with_long_tasks_do_not_hear_the_new_one(trouble, partitioned):
+def test_a_leader_ends_while_machines_with_long_tasks_do_not_hear_the_new_one(fault, partitioned):
     # Holds what is unseen in `Demand.is_startable`.
     simulation = started_simulation(
         [job(n, tasks=4, run_s=100.0, slot="slow") for n in (1, 2)], 8, partitioned=partitioned
     )
-    victims = [w for w in simulation.cloud.workers() if w.on_it()][:2]
+    victims = [w for w in simulation.cloud.workers() if w.present_tasks()][:2]
     old = simulation.leader()
     for worker in victims:
-        make_unreachable(simulation, worker, trouble, 0.8 * simulation.lease_s)
+        make_unreachable(simulation, worker, fault, 0.8 * simulation.lease_s)
     simulation.crash(old, 6.0)
     new_leader(simulation, old)
     simulation.cancel("req-000001")
@@ -101,23 +108,21 @@
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
-@pytest.mark.parametrize("trouble", ["cut", "deaf", "hung"])
-def test_a_team_is_at_its_limit_when_the_leader_changes_and_a_job_is_cancelled(
-    partitioned, trouble
-):
+@pytest.mark.parametrize("fault", ["cut", "inbound_blocked", "hung"])
+def test_a_team_is_at_its_limit_when_the_leader_changes_and_a_job_is_cancelled(partitioned, fault):
     specs = [job(n, tasks=3, cpus=4.0, run_s=90.0, team="blue") for n in range(1, 5)]
     # Holds `_usage`'s count of what may run unseen: room is free, and later jobs start at once.
     room = job(8, tasks=12, cpus=4.0, run_s=1.0)
     simulation = started_simulation(
         [room, *specs, job(9, tasks=2, run_s=50.0)], 14, partitioned=partitioned
     )
-    simulation.run_until(lambda: over(simulation, 8), 60)
+    simulation.run_until(lambda: is_completed(simulation, 8), 60)
     for n in range(20, 24):
         simulation.submit(job(n, tasks=3, cpus=4.0, run_s=5.0, team="blue"))
     simulation.run(3.0)
     old = simulation.leader()
-    for worker in [w for w in simulation.cloud.workers() if w.on_it()][::2]:
-        make_unreachable(simulation, worker, trouble, 0.9 * simulation.lease_s)
+    for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
+        make_unreachable(simulation, worker, fault, 0.9 * simulation.lease_s)
     simulation.crash(old, 1.0)
     simulation.run(1.5)
     users = [simulation.cancel("req-000001")]
@@ -225,7 +230,7 @@
     simulation.run(0.1)
     simulation.crash(old, 0.1)
     simulation.run(1.0)
-    for worker in [w for w in simulation.cloud.workers() if w.on_it()][::2]:
+    for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
         for name in simulation.names:
             simulation.cut(name, worker.name)
     step(simulation, 1.5 * simulation.lease_s)
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -62,7 +62,7 @@
     elif draw < 0.17 and workers:
         rng.choice(workers).hang(rng.uniform(1.0, 14.0))
     elif draw < 0.19 and workers:
-        simulation.deaf = {rng.choice(workers).name}
+        simulation.inbound_blocked = {rng.choice(workers).name}
     elif draw < 0.23 and workers:
         for worker in workers:
             if worker.spot and rng.random() < 0.5:
@@ -70,7 +70,7 @@
                 reclaim = functools.partial(simulation.cloud.take, worker.name)
                 simulation.after(5.0, reclaim)
     elif draw < 0.26:
-        simulation.calm()
+        simulation.end_faults()
 
 
 SHAPES = [(32.0, "slow"), (40.0, "slow"), (8.0, "mixed"), (4.0, "quick"), (4.0, "quick")]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -8,12 +8,12 @@
 from copperpass.core.scheduling.task_estimates import preemption_cost, worth_checkpointing
 from copperpass.protocol.workers import TaskState
 from tests.request_bodies import job
-from tests.test_shard_scheduler import Bench
+from tests.test_shard_scheduler import SchedulerBench
 
 URGENT, PATIENT = {"urgency": "high"}, {"urgency": "low", "slot": "slow"}
 
 
-class Crowded(Bench):
+class Crowded(SchedulerBench):
     """A shard whose one machine is full of patient tasks of 4 CPUs."""
 
     def __init__(self, **more):
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -47,7 +47,7 @@
         simulation.run(1.0)
         assert poll.status == 200 and poll.body["status"] == "done"
     assert any(k.startswith("c/fleet/") for k in simulation.state.data)
-    assert not simulation.broken
+    assert not simulation.violations
     simulation.check_sums()
 
 
@@ -220,7 +220,7 @@
         simulation.run(4.0)
     assert all(simulation.running.values())
     simulation.run(10.0)
-    assert any(k.startswith("d/job/") for k in simulation.state.data) and not simulation.broken
+    assert any(k.startswith("d/job/") for k in simulation.state.data) and not simulation.violations
     for name in order:
         turn(simulation, name)
         simulation.run(4.0)
@@ -243,7 +243,7 @@
         simulation.run(4.0)
     settle(simulation, range(1, 6))
     simulation.check_cancelled()
-    assert simulation.told["req-000006"] == "withdrawn" and not simulation.broken
+    assert simulation.acknowledged["req-000006"] == "withdrawn" and not simulation.violations
 
 
 # -- gangs -----------------------------------------------------------------------------
@@ -263,7 +263,7 @@
     def gang_of(job_id, attempt):
         found = make(job_id, attempt)
         if found.started:
-            simulation.broken.append(f"attempt_again: {job_id} {attempt}")
+            simulation.violations.append(f"attempt_again: {job_id} {attempt}")
         return found
 
     simulation.gang = gang_of
@@ -336,10 +336,10 @@
     if state == "cancelled":
         simulation.run_until(lambda: not simulation.gangs or not count(simulation, wanted), 30)
         simulation.check_cancelled()
-        assert len(simulation.gangs) == 1 and simulation.told["req-000001"] == "withdrawn"
+        assert len(simulation.gangs) == 1 and simulation.acknowledged["req-000001"] == "withdrawn"
     else:
         settle(simulation, [1])
     if state == "running":
         assert simulation.starts == starts and len(simulation.gangs) == 1
-    assert not simulation.broken
+    assert not simulation.violations
     simulation.check_sums()
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -7,20 +7,20 @@
 from copperpass.core.ports import CallOutcome
 from tests.request_bodies import gang, job
 from tests.scenarios import (
+    is_completed,
     new_leader,
-    over,
     running,
     started_simulation,
     step,
 )
 from tests.simulation import Simulation
-from tests.test_shard_scheduler import Bench
+from tests.test_shard_scheduler import SchedulerBench
 
 PARTED = pytest.mark.parametrize("partitioned", [False, True])
 
 
 def busy(simulation):
-    return [w for w in simulation.cloud.workers() if w.on_it()]
+    return [w for w in simulation.cloud.workers() if w.present_tasks()]
 
 
 def settle(simulation, answers, allowed):
@@ -64,7 +64,7 @@
             simulation.submit(large)
         step(simulation, 1.0)
     simulation.check_served()
-    assert not simulation.broken
+    assert not simulation.violations
     late = [
         j
         for j, spec in simulation.specs.items()
@@ -88,12 +88,12 @@
             simulation.submit(job(9000, team="blue", tasks=1, cpus=16.0, run_s=10.0, slot="none"))
         step(simulation, 1.0)
     simulation.check_served()
-    assert not simulation.broken and over(simulation, 9000)
+    assert not simulation.violations and is_completed(simulation, 9000)
 
 
 def test_the_check_of_what_is_served_sees_each_group_that_is_not():
     simulation = started_simulation([job(1, tasks=1, run_s=1.0)], 1)
-    simulation.run_until(lambda: over(simulation, 1), 30)
+    simulation.run_until(lambda: is_completed(simulation, 1), 30)
     simulation.cloud.capacity = dict.fromkeys(simulation.cloud.capacity, 0)
     simulation.submit(job(2, team="blue", tasks=1, cpus=16.0, slot="none"))
     for name in list(simulation.cloud.machines):
@@ -102,7 +102,7 @@
     shares = simulation.check_served()
     assert shares["class", "quick"] == shares["team", "red"] == 1.0
     assert shares["class", "none"] == shares["team", "blue"] == shares["largest of", "none"] == 0
-    assert len(simulation.broken) == 1 and simulation.broken[0].startswith("unserved")
+    assert len(simulation.violations) == 1 and simulation.violations[0].startswith("unserved")
 
 
 def test_one_task_jobs_come_four_a_second_for_minutes_and_a_quarter_is_cancelled():
@@ -144,7 +144,7 @@
         simulation.cancel(f"req-{n:06d}")
         step(simulation, 0.5)
     assert len(simulation.cancelled) == 40
-    assert not [late for late in simulation.late_starts if late > 2.0 * simulation.lag[1]]
+    assert not [late for late in simulation.late_starts if late > 2.0 * simulation.latency[1]]
     simulation.finish()
 
 
@@ -246,7 +246,7 @@
             user = simulation.cancel(job_id)
             simulation.run_until(lambda user=user: user.status is not None, 5)
         else:
-            simulation.run_until(lambda n=n: over(simulation, n), 90)
+            simulation.run_until(lambda n=n: is_completed(simulation, n), 90)
         look()
     settle(simulation, users, {200})
     simulation.finish()
@@ -307,7 +307,7 @@
     simulation = started_simulation(specs, 12, partitioned=partitioned)
     simulation.late_reports = 0.5
     for turn in range(3):
-        simulation.deaf = {w.name for w in busy(simulation)[turn::3]}
+        simulation.inbound_blocked = {w.name for w in busy(simulation)[turn::3]}
         simulation.run(simulation.rng.uniform(0.0, 3.0))
         old = simulation.leader()
         if old is not None:
@@ -420,7 +420,7 @@
         if n % 9 == 0:
             simulation.crash(simulation.rng.choice(["n1", "n2"]), 0.3)
         step(simulation, 1.5)
-        if simulation.told.get(f"req-{n:06d}") is None:
+        if simulation.acknowledged.get(f"req-{n:06d}") is None:
             simulation.submit(spec)
     simulation.finish()
 
@@ -442,7 +442,7 @@
             more = {"cpus": 8.0 if number % 5 == 0 else 2.0, "run_s": 6.0 + number % 11}
             simulation.submit(make(number, team=team, tasks=2, **more))
         if second % 20 == 0:
-            simulation.calm()
+            simulation.end_faults()
             simulation.late_commands, simulation.late_reports = 0.3 * rng(), 0.3 * rng()
             simulation.lost_answers, simulation.late_writes = 0.2 * rng(), 0.2 * rng()
             simulation.slow_state = 0.3 * rng()
@@ -454,9 +454,9 @@
                 elif trouble == 1:
                     worker.hang(rng() * 1.3 * simulation.lease_s)
                 elif trouble == 2:
-                    simulation.deaf.add(worker.name)
+                    simulation.inbound_blocked.add(worker.name)
                 else:
-                    simulation.mute.add(worker.name)
+                    simulation.outbound_blocked.add(worker.name)
         if second % 25 == 10 and simulation.leader():
             if rng() < 0.4:
                 simulation.isolate(simulation.leader())
@@ -467,7 +467,7 @@
         step(simulation, 1.0)
     simulation.finish()
     simulation.check_served(age_s=0.0)
-    assert not simulation.broken
+    assert not simulation.violations
 
 
 # -- guards, by hand
@@ -475,7 +475,7 @@
 
 def test_nothing_starts_on_a_machine_that_the_fleets_record_does_not_know_as_up():
     # The next leader would not know to ask it. Holds `recorded` in `Machine.usable`.
-    bench = Bench()
+    bench = SchedulerBench()
     machine = bench.owner.machines["m-1"]
     machine.recorded = False
     bench.add()
@@ -489,7 +489,7 @@
 def test_a_start_without_an_answer_is_settled_by_a_restart_of_its_machine():
     # Holds `_session_over` in `ShardScheduler._take`: a later session can't carry it out, although
     # the new process has seen no token that passes it.
-    bench = Bench()
+    bench = SchedulerBench()
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
     bench.worker_heartbeat([])
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -20,7 +20,7 @@
 from tests.request_bodies import job, raw_settings
 
 
-class Bench:
+class SchedulerBench:
     """A leader with one machine, driven by hand."""
 
     def __init__(self):
@@ -121,7 +121,7 @@
 
 
 def test_an_unanswered_start_stays_possible_until_a_higher_token_is_seen():
-    bench = Bench()
+    bench = SchedulerBench()
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
     answer = bench.worker_heartbeat([])
@@ -133,7 +133,7 @@
 
 
 def test_a_refused_start_is_free_at_once():
-    bench = Bench()
+    bench = SchedulerBench()
     call, _ = bench.start()
     call.on_done(
         bench.now, CallOutcome(409, encode(bench.message([], sequence=bench.sequence + 1)))
@@ -142,7 +142,7 @@
 
 
 def test_a_start_sent_with_an_answer_is_judged_by_the_next_report_only():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add()
     machine = bench.owner.machines["m-1"]
     machine.command_backoff_until = bench.now + 100
@@ -159,7 +159,7 @@
 
 
 def test_an_old_report_changes_nothing():
-    bench = Bench()
+    bench = SchedulerBench()
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     late = bench.worker_heartbeat([], sequence=1)
@@ -167,7 +167,7 @@
 
 
 def test_done_is_cleared_only_when_stored_and_past_repeats_of_its_start():
-    bench = Bench()
+    bench = SchedulerBench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
@@ -195,7 +195,7 @@
 
 
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
-    bench = Bench()
+    bench = SchedulerBench()
     call, attempt = bench.start()
     running = [("req-000001/0", attempt, "running", None)]
     call.on_done(
@@ -213,7 +213,7 @@
 
 
 def test_the_machine_is_deleted_before_its_tasks_are_free():
-    bench = Bench()
+    bench = SchedulerBench()
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     bench.owner.machines["m-1"].deletion_requested = True
@@ -225,7 +225,7 @@
 
 
 def test_work_of_the_lease_ends_with_the_lease_not_before():
-    bench = Bench()
+    bench = SchedulerBench()
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     at = bench.now
@@ -237,7 +237,7 @@
 
 def test_work_without_an_aim_asks_for_machines_before_its_wait_is_over():
     # Never due, it counted on room that others keep taking: less than half of a class was served.
-    bench = Bench()
+    bench = SchedulerBench()
     running = job(1, tasks=4, slot="none", run_s=100.0)
     bench.jobs.saw(bench.now, "c/live/req-000001", json.dumps({"spec": running}).encode(), 70)
     bench.owner.dispatch_round(bench.now)
@@ -270,7 +270,7 @@
 
 def test_a_zone_that_falls_silent_is_not_deleted_while_a_few_lost_machines_are():
     # A zone's machines were deleted early in a cut and rented anew where nobody hears them.
-    bench = Bench()
+    bench = SchedulerBench()
     machines = fleet_of(bench, "aaaabbbbcccc")
     owner, at = bench.owner, bench.now
     bench.now = at + owner.timing.lost_s + 0.1
@@ -293,7 +293,7 @@
 
 
 def test_a_late_write_does_not_make_an_old_job_look_new():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.take_over("m-9")
     young = json.dumps({"spec": job(1, tasks=2)}).encode()
     old = json.dumps({"spec": job(2, tasks=2), "done": "AQ=="}).encode()
@@ -305,7 +305,7 @@
 
 
 def test_what_is_unseen_holds_up_only_jobs_that_may_be_there():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.take_over("m-9")
     for number, zone in ((1, None), (2, "b"), (3, "a")):
         record = json.dumps({"spec": job(number, hall=zone)}).encode()
@@ -317,7 +317,7 @@
 
 
 def test_a_machine_taken_over_is_asked_at_once_and_its_answer_settles_it():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(version=40)
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.owner.tick(bench.now)
@@ -344,7 +344,7 @@
 
 
 def test_an_unanswered_probe_proves_nothing_and_is_sent_again_later():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(version=40)
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     for _ in range(3):
@@ -359,13 +359,13 @@
 
 
 def test_a_higher_authority_is_not_talked_over():
-    bench = Bench()
+    bench = SchedulerBench()
     assert bench.worker_heartbeat([], token=base_token(1, 2)) is None
 
 
 @pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
 def test_a_refused_or_failed_attempt_is_tried_again_under_another_number(exit_cause):
-    bench = Bench()
+    bench = SchedulerBench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", exit_cause)]
     call.on_done(
@@ -380,7 +380,7 @@
 
 
 def test_ends_of_many_jobs_are_stored_in_one_record_and_then_cleared():
-    bench = Bench()
+    bench = SchedulerBench()
     for number in (1, 2):
         bench.add(number, tasks=2)
     bench.owner.dispatch_round(bench.now)
@@ -404,7 +404,7 @@
 
 
 def test_an_applied_write_without_an_answer_is_learned_from_the_watch():
-    bench = Bench()
+    bench = SchedulerBench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
@@ -420,7 +420,7 @@
 
 def test_a_job_whose_ends_were_all_stored_by_an_earlier_authority_still_ends():
     # The record of ends was written with the last end in it, and then that leader was gone.
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(tasks=2)
     bench.jobs.saw_completions("c/ends/0", b'{"req-000001":"Aw=="}')
     assert bench.job.done_count == 2
@@ -430,7 +430,7 @@
 
 
 def test_an_owner_that_has_not_begun_does_not_keep_alive_what_may_be_cancelled():
-    bench = Bench()
+    bench = SchedulerBench()
     bench.owner.state.ready = False
     task = [("req-000009/0", 7, "running", None)]
     bench.consistent_at = bench.now
@@ -444,7 +444,7 @@
 
 
 def test_a_job_left_out_for_long_gets_room_that_is_kept_for_others():
-    bench = Bench()
+    bench = SchedulerBench()
     machine = bench.owner.machines["m-1"]
     bench.add(tasks=3)
     machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
@@ -462,7 +462,7 @@
 def test_a_task_that_is_done_while_another_attempt_of_it_is_placed_counts_once():
     # Guards the tasks beside it: counted twice, it hides one that waits, for as long as the other
     # attempt runs, although there is room.
-    bench = Bench()
+    bench = SchedulerBench()
     bench.add(tasks=2)
     # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
     bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
@@ -487,7 +487,7 @@
 def test_a_job_that_has_begun_and_is_left_out_for_long_gets_room_that_is_kept_too():
     # Its first task had ended, so it didn't count as left out, and waited beside idle machines
     # that were kept for others until they were given back.
-    bench = Bench()
+    bench = SchedulerBench()
     machine = bench.owner.machines["m-1"]
     bench.add(tasks=3)
     bench.job.mark_done(0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -33,7 +33,7 @@
 from tests.storage_harness import StorageHarness
 from tests.test_machine_inventory import fill
 from tests.test_order import made
-from tests.test_shard_scheduler import Bench
+from tests.test_shard_scheduler import SchedulerBench
 
 MACHINES = 4200
 
@@ -154,7 +154,7 @@
 
 def lines_of_a_heartbeat(machines):
     """How many lines run for a report that says nothing new, in a shard of so many machines."""
-    bench = Bench()
+    bench = SchedulerBench()
     for number in range(2, machines + 1):
         name = f"m-{number}"
         bench.owner.on_route(
@@ -201,4 +201,4 @@
     simulation.cancel("req-000081")
     simulation.finish(240.0)
     simulation.check_served()
-    assert len(simulation.told) == 90 and not simulation.broken
+    assert len(simulation.acknowledged) == 90 and not simulation.violations
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -58,4 +58,4 @@
     )
     simulation.run(20.0)
     assert "c/types" not in simulation.state.data and calls.count("/machine_types") <= 6
-    assert not simulation.broken
+    assert not simulation.violations
