--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -12,7 +12,7 @@
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION, ClusterManagerContext, ClusterState
 from copperpass.core.kvstore.keys import INVENTORY_KEY
 from copperpass.core.shards.grants import ShardGrants
-from copperpass.core.storage.machine_inventory import CachedInventory, page_number
+from copperpass.core.storage.cached_inventory import CachedInventory, page_number
 from copperpass.log_events import LogEvent, LogLevel, StepDownReason
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -14,13 +14,17 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
-from copperpass.core.storage.machine_inventory import CachedInventory, MachineInventory
+from copperpass.core.storage.cached_inventory import CachedInventory
+from copperpass.core.storage.inventory_writer import InventoryContext
+from copperpass.core.storage.machine_inventory import MachineInventory
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import MachineRoute, MachineStatus
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
 # The revision of a shard whose new owner has to wait until one has been read.
+# The inventory takes at most one write in so many that the key-value store allows.
+INVENTORY_WRITE_PERIODS = 4
 UNKNOWN_REVISION = (1 << 62) - 1
 
 
@@ -171,15 +175,17 @@
         self.on_demand_excess = True
         state = context.cluster.state
         self.inventory = MachineInventory(
-            context.transactions,
-            self.token_version,
-            state.value_kb * 1024,
-            4 / state.least_write_rps,
-            context.cluster.workers.lease_s,
-            state.least_value_bytes,
-            state.least_txn_ops,
-            context.all_upgraded,
-            state.next is not None,
+            InventoryContext(
+                transactions=context.transactions,
+                token_version=self.token_version,
+                record_bytes=state.value_kb * 1024,
+                least_value_bytes=state.least_value_bytes,
+                max_writes=state.least_txn_ops,
+                write_gap_s=INVENTORY_WRITE_PERIODS / state.least_write_rps,
+                deadline_s=context.cluster.workers.lease_s,
+                all_upgraded=context.all_upgraded,
+                limits_announced=state.next is not None,
+            )
         )
 
     def token_version(self) -> int:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -28,7 +28,7 @@
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.grant_client import GrantClient
 from copperpass.core.shards.relay import HeartbeatRelay
-from copperpass.core.storage.machine_inventory import CachedInventory
+from copperpass.core.storage.cached_inventory import CachedInventory
 from copperpass.protocol.frames.messages import MAX_SHARDS, Frame, ShardAssignment
 from copperpass.settings import Cluster, Settings
 from copperpass.tuning import Tuning
--- a/src/copperpass/core/node/watch_router.py
+++ b/src/copperpass/core/node/watch_router.py
@@ -21,7 +21,7 @@
 )
 from copperpass.core.node.leadership import Leadership
 from copperpass.core.shards.grant_client import GrantClient
-from copperpass.core.storage.machine_inventory import CachedInventory
+from copperpass.core.storage.cached_inventory import CachedInventory
 
 Handler = Callable[[float, str, bytes | None, int], None]
 
--- /dev/null
+++ b/src/copperpass/core/storage/cached_inventory.py
@@ -0,0 +1,55 @@
+"""The records of the machine inventory as the watch cache last brought them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from copperpass.core.kvstore.keys import INVENTORY_KEY, INVENTORY_PAGES_PREFIX
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.records import InventoryRecord
+
+
+def page_key(number: int) -> str:
+    """Where a page of the inventory is stored."""
+    return f"{INVENTORY_PAGES_PREFIX}{number}"
+
+
+def page_number(key: str) -> int | None:
+    """The number of a page of the inventory, or None for any other key."""
+    number = key[len(INVENTORY_PAGES_PREFIX) :]
+    is_page = key.startswith(INVENTORY_PAGES_PREFIX) and number.isdecimal()
+    return int(number) if is_page else None
+
+
+class CachedPage(NamedTuple):
+    """A stored page; its record is None if it can't be read."""
+
+    record: InventoryRecord | None
+    version: int
+
+
+@dataclass(slots=True)
+class CachedInventory:
+    """Both forms of the inventory, as they are stored; either or both may exist.
+
+    `record` and `version` are those of the single record; version 0: it does not exist.
+    """
+
+    record: InventoryRecord | None = None
+    version: int = 0
+    pages: dict[int, CachedPage] = field(default_factory=dict)
+
+    def on_watch_event(self, key: str, raw: bytes | None, version: int) -> bool:
+        """Apply a change of a key; returns whether the key is one of the inventory."""
+        number = page_number(key)
+        if key != INVENTORY_KEY and number is None:
+            return False
+        record = decode(raw, InventoryRecord) if raw is not None else None
+        if number is None:
+            self.record, self.version = record, version if raw is not None else 0
+        elif raw is None:
+            self.pages.pop(number, None)
+        else:
+            self.pages[number] = CachedPage(record, version)
+        return True
--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -5,7 +5,9 @@
 
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
-from copperpass.core.storage.machine_inventory import CachedInventory, MachineInventory
+from copperpass.core.storage.cached_inventory import CachedInventory
+from copperpass.core.storage.inventory_writer import InventoryContext
+from copperpass.core.storage.machine_inventory import MachineInventory
 from tests.fakes.state import State
 
 # Limits that the settings announce under `state.next`.
@@ -54,22 +56,22 @@
             held.on_watch_event(key, json.dumps(value).encode(), version)
         return held
 
-    def inventory(self, all_upgraded=True, limits_drop=True, rate=15.0, least=2048.0):
+    def inventory(self, all_upgraded=True, limits_announced=True, rate=15.0, least=2048.0):
         token = self.win()
-        held = self.stored()
-        transactions = TransactionQueue(self.out, rate, 5, 1.0)
-        made = MachineInventory(
-            transactions,
-            lambda: token,
-            32768.0,
-            4 / rate,
-            12.0,
-            least,
-            5,
-            lambda: all_upgraded,
-            limits_drop,
+        cached = self.stored()
+        context = InventoryContext(
+            transactions=TransactionQueue(self.out, rate, 5, 1.0),
+            token_version=lambda: token,
+            record_bytes=32768.0,
+            least_value_bytes=least,
+            max_writes=5,
+            write_gap_s=4 / rate,
+            deadline_s=12.0,
+            all_upgraded=lambda: all_upgraded,
+            limits_announced=limits_announced,
         )
-        made.load(held.record, held.version, held.pages)
+        made = MachineInventory(context)
+        made.load(cached.record, cached.version, cached.pages)
         made.begin(self.now)
         return made
 
@@ -89,7 +91,7 @@
             inventory.on_page_event(number, version, number in held.pages)
         self.seen = dict(held.pages)
         self.now += 0.05
-        inventory.transactions.pump(self.now)
+        inventory.context.transactions.pump(self.now)
         inventory.tick(self.now)
 
     def run(self, inventory, seconds):
@@ -99,8 +101,15 @@
     def truth(self):
         """What a successor would know: bookings, machines, and which of them are up."""
         held = self.stored()
-        reader = MachineInventory(
-            TransactionQueue(Outbox(), 15.0, 5, 1.0), lambda: 0, 32768.0, 1.0, 1.0, 2048.0, 5
+        context = InventoryContext(
+            transactions=TransactionQueue(Outbox(), 15.0, 5, 1.0),
+            token_version=lambda: 0,
+            record_bytes=32768.0,
+            least_value_bytes=2048.0,
+            max_writes=5,
+            write_gap_s=1.0,
+            deadline_s=1.0,
         )
+        reader = MachineInventory(context)
         reader.load(held.record, held.version, held.pages)
         return (dict(reader.pending_requests), dict(reader.machines), set(reader.up))
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -5,10 +5,12 @@
 
 import pytest
 
+from copperpass.core.autoscaling.machine_groups import MachineGroup
+from copperpass.core.storage.inventory_migration import InventoryForm
 from tests.storage_harness import COMING, StorageHarness
 
 GROUPS = [
-    ("caja-grande", zone, spot)
+    MachineGroup("caja-grande", zone, spot)
     for zone in ("monterrey", "guadalajara", "queretaro")
     for spot in (True, False)
 ]
@@ -119,7 +121,7 @@
         assert "c/fleet" not in service.state.data and successor.paged
         assert service.truth() == truth
         # Nothing is left of what the dead one has written.
-        assert set(service.stored().pages) == set(successor.pages) and not successor.leftover_pages
+        assert set(service.stored().pages) == set(successor.pages) and not successor.layout.leftover
 
 
 def test_pages_of_an_interrupted_move_do_not_count_and_go():
@@ -150,20 +152,20 @@
     assert len(service.stored().pages) == len(inventory.pages) < 9
 
 
-@pytest.mark.parametrize("limits_drop", [True, False])
-def test_a_refused_record_is_proof_of_the_upgrade_only_if_limits_were_announced(limits_drop):
+@pytest.mark.parametrize("limits_announced", [True, False])
+def test_a_refused_record_is_proof_of_the_upgrade_only_if_limits_were_announced(limits_announced):
     service = StorageHarness()
     old_form(service)
-    inventory = service.inventory(all_upgraded=False, limits_drop=limits_drop)
+    inventory = service.inventory(all_upgraded=False, limits_announced=limits_announced)
     service.state.drop(**COMING)
     sent, marked = [], set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
     inventory.record_request(service.now, "b-9-1", GROUPS[1], 2, lambda now, ok: sent.append(ok))
     inventory.mark_up(service.now, "m-new", GROUPS[0])
     service.run(inventory, 12.0)
-    assert ("c/fleet" not in service.state.data) == limits_drop
-    assert sent[0] is limits_drop and ("m-new" in marked) == limits_drop
-    assert ("m-new" in service.truth()[2]) == limits_drop
+    assert ("c/fleet" not in service.state.data) == limits_announced
+    assert sent[0] is limits_announced and ("m-new" in marked) == limits_announced
+    assert ("m-new" in service.truth()[2]) == limits_announced
 
 
 def test_a_creation_without_an_answer_holds_the_move_up_until_a_new_term():
@@ -171,7 +173,8 @@
     service = StorageHarness()
     proof = []
     inventory = service.inventory()
-    inventory.all_upgraded, inventory.paged = lambda: bool(proof), False
+    inventory.single_record.all_upgraded = lambda: bool(proof)
+    inventory.single_record.form = InventoryForm.SINGLE_RECORD
     service.fate = lambda body: "late"
     inventory.mark_up(service.now, "m-1", GROUPS[0])
     service.step(inventory)
@@ -195,7 +198,7 @@
     service.put("c/fleet/1", {"places": [{**place, "up": ["m-1"], "fresh": ["m-3"]}]})
     truth = service.truth()
     inventory = service.inventory()
-    inventory.txn_ops = 1
+    inventory.writer.max_writes = 1
     for _ in range(100):
         service.step(inventory)
         assert service.truth() == truth and truth[2] == {"m-1"}
@@ -239,8 +242,8 @@
         least = 1024 * self.service.state.limits["value_kb"]
         self.inventory = service.inventory(all_upgraded=False, rate=60.0, least=min(least, 2048.0))
         # What one transaction would cover must hold when it takes several as well.
-        self.inventory.txn_ops = rng.choice([1, 2, 5])
-        self.inventory.all_upgraded = lambda: self.proof
+        self.inventory.writer.max_writes = rng.choice([1, 2, 5])
+        self.inventory.single_record.all_upgraded = lambda: self.proof
         self.inventory.on_marks_stored = lambda now, names: self.marked.update(names)
         self.open = {}
         for request in list(self.inventory.pending_requests):
@@ -258,7 +261,7 @@
         kind = rng.random()
         if kind < 0.25 and len(inventory.machines) < 250:
             request, place = (
-                f"b-{next(self.numbers)}-{inventory.token_version()}",
+                f"b-{next(self.numbers)}-{inventory.context.token_version()}",
                 rng.choice(GROUPS),
             )
 
@@ -339,13 +342,13 @@
     # Guards a fleet whose pages were filled when values could be larger: without `state.next` only
     # refusals say so, and a page that is refused for ever stores neither bookings nor marks.
     service = StorageHarness()
-    inventory = service.inventory(limits_drop=False, least=32768.0)
+    inventory = service.inventory(limits_announced=False, least=32768.0)
     fill(service, inventory, 400)
     service.run(inventory, 8.0)
     assert service.state.largest > 4096
     service.state.drop(value_kb=2.0, txn_ops=5)
     refused, sent, marked = service.state.too_large, [], set()
-    inventory.txn_ops = 16
+    inventory.writer.max_writes = 16
     inventory.on_marks_stored = lambda now, names: marked.update(names)
     for number, place in enumerate(GROUPS):
         inventory.record_request(
@@ -365,7 +368,7 @@
     assert service.truth() == (inventory.pending_requests, inventory.machines, inventory.up)
     assert service.state.too_large - refused <= 12
     # A successor starts from the settings and goes on with the pages as they are.
-    successor = service.inventory(limits_drop=False, least=32768.0)
+    successor = service.inventory(limits_announced=False, least=32768.0)
     successor.mark_up(service.now, "m-10", GROUPS[0])
     service.run(successor, 20.0)
     assert "m-10" in service.truth()[2]
@@ -373,7 +376,7 @@
 
 def test_a_page_of_one_item_that_no_value_can_hold_is_not_moved_around_for_ever():
     service = StorageHarness()
-    inventory = service.inventory(limits_drop=False, least=32768.0)
+    inventory = service.inventory(limits_announced=False, least=32768.0)
     service.state.drop(value_kb=0.5)
     sent, pages, request = [], len(inventory.pages), "b" * 600
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -2,10 +2,12 @@
 
 import json
 
+from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.kvstore.operations import Operation, Priority
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.core.storage.inventory_writer import InventoryContext
 from copperpass.core.storage.machine_inventory import MachineInventory
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import PutKey
@@ -43,14 +45,23 @@
 def inventory(version=0, record=None):
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
-    made = MachineInventory(transactions, lambda: 7, 32768.0, 0.1, 10.0)
+    context = InventoryContext(
+        transactions=transactions,
+        token_version=lambda: 7,
+        record_bytes=32768.0,
+        least_value_bytes=32768.0,
+        max_writes=4,
+        write_gap_s=0.1,
+        deadline_s=10.0,
+    )
+    made = MachineInventory(context)
     made.load(record, version)
     return made, out
 
 
 def test_a_booking_is_stored_before_it_is_sent_and_names_its_machines_after():
     made, out = inventory()
-    sent, place = [], ("box", "a", True)
+    sent, place = [], MachineGroup("box", "a", True)
     made.record_request(0.0, "b-1-1", place, 2, lambda now, ok: sent.append(ok))
     (write,) = out.calls
     body = json.loads(write.body)
@@ -70,8 +81,8 @@
     made, out = inventory()
     marked = []
     made.on_marks_stored = lambda now, names: marked.extend(names)
-    made.mark_up(0.0, "m-1", ("box", "a", True))
-    made.mark_up(0.0, "m-2", ("box", "a", True))
+    made.mark_up(0.0, "m-1", MachineGroup("box", "a", True))
+    made.mark_up(0.0, "m-2", MachineGroup("box", "a", True))
     (first,) = out.calls
     out.calls.clear()
     first.on_done(0.1, CallOutcome(0))
