--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -7,7 +7,8 @@
 
 from copperpass import __version__
 from copperpass.core.election.timings import election_timings
-from copperpass.settings import SettingsError, load
+from copperpass.errors import SettingsError
+from copperpass.settings import load
 from copperpass.tuning import Tuning, load_tuning
 
 
--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -13,6 +13,7 @@
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Call, CallOutcome, Outbox, Reply
 from copperpass.core.scheduling.bin_packing.feasibility import feasible_on_type, fits_within
+from copperpass.errors import RejectedJobError
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode, error_body
 from copperpass.protocol.kvstore import DeleteKey, KeyValue, PutKey, key_path
@@ -36,20 +37,12 @@
 Found = Callable[[float, "JobRecord | None", int], None]
 
 
-class Rejection(Exception):
-    """A submission that is refused: the status and why."""
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status, self.reason = status, reason
-
-
 def check(spec: JobSpec, cluster: Cluster, types: dict[str, MachineType]) -> None:
-    """Raise a Rejection when the job is malformed or can never run."""
+    """Raise a `RejectedJobError` when the job is malformed or can never run."""
     if not JOB_ID_PATTERN.match(spec.id):
-        raise Rejection(400, "id: not of the form req-000000")
+        raise RejectedJobError(400, "id: not of the form req-000000")
     if not 1 <= spec.tasks <= MAX_TASKS:
-        raise Rejection(400, "pages: outside 1..100000")
+        raise RejectedJobError(400, "pages: outside 1..100000")
     amounts = {
         "cpus": spec.cpus,
         "cards": spec.gpus,
@@ -62,14 +55,14 @@
     }
     for name, amount in amounts.items():
         if not math.isfinite(amount) or amount < 0:
-            raise Rejection(400, f"{name}: not an amount")
+            raise RejectedJobError(400, f"{name}: not an amount")
     if not spec.job_class or not spec.image:
-        raise Rejection(400, "slot, master: must not be empty")
+        raise RejectedJobError(400, "slot, master: must not be empty")
     team = next((t for t in cluster.teams if t.name == spec.team), None)
     if team is None:
-        raise Rejection(422, "desk: unknown team")
+        raise RejectedJobError(422, "desk: unknown team")
     if not fits_within(spec.cpus, team.cpus_limit) or not fits_within(spec.gpus, team.gpus_limit):
-        raise Rejection(422, "a task needs more than the team's limit")
+        raise RejectedJobError(422, "a task needs more than the team's limit")
     zones = {
         zone
         for machine_type in types.values()
@@ -79,19 +72,19 @@
         and feasible_on_type(spec, machine_type)
     }
     if not zones:
-        raise Rejection(422, "a task fits no allowed machine type")
+        raise RejectedJobError(422, "a task fits no allowed machine type")
     if spec.gang:
         _check_gang(spec, team, zones)
 
 
 def _check_gang(spec: JobSpec, team: Team, zones: set[str]) -> None:
-    """Raise a Rejection when a gang, whose tasks all run at once, can never run."""
+    """Raise a `RejectedJobError` when a gang, whose tasks all run at once, can never run."""
     if not fits_within(spec.cpus * spec.tasks, team.cpus_limit) or not fits_within(
         spec.gpus * spec.tasks, team.gpus_limit
     ):
-        raise Rejection(422, "the gang needs more than the team's limit")
+        raise RejectedJobError(422, "the gang needs more than the team's limit")
     if spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
-        raise Rejection(422, "a gang can't be both in one zone and spread")
+        raise RejectedJobError(422, "a gang can't be both in one zone and spread")
 
 
 def _read(outcome: CallOutcome) -> tuple[JobRecord, int] | None:
@@ -137,7 +130,7 @@
             spec = decode_spec(body)
         except DECODE_ERRORS as error:
             known = decode(body, JobReference)
-            refusal = Rejection(400, str(error))
+            refusal = RejectedJobError(400, str(error))
             if known is None or not JOB_ID_PATTERN.match(known.id):
                 self._answer(request, 400, error_body(refusal.reason))
             else:
@@ -147,11 +140,13 @@
             self._answer(request, 400, error_body("id: not of the form req-000000"))
             return
         if not self.types:
-            self._refuse(now, request, spec.id, Rejection(503, "machine types not known yet"))
+            self._refuse(
+                now, request, spec.id, RejectedJobError(503, "machine types not known yet")
+            )
             return
         try:
             check(spec, self.cluster, self.types)
-        except Rejection as rejection:
+        except RejectedJobError as rejection:
             self._refuse(now, request, spec.id, rejection)
             return
         record = submitted_job_value(spec, round(now + self.day, 1))
@@ -162,13 +157,17 @@
             record["spec"] = msgspec.to_builtins(spec)
         size = len(encode(record))
         if size > room:
-            self._refuse(now, request, spec.id, Rejection(422, "can never be stored: too large"))
+            self._refuse(
+                now, request, spec.id, RejectedJobError(422, "can never be stored: too large")
+            )
             return
 
         def stored(n: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.INVALID and size > 0.8 * room:
                 # The service counts a value's bytes in a longer notation than ours.
-                self._refuse(n, request, spec.id, Rejection(422, "can never be stored: too large"))
+                self._refuse(
+                    n, request, spec.id, RejectedJobError(422, "can never be stored: too large")
+                )
             else:
                 self._submitted(n, outcome, request, spec.id)
 
@@ -303,7 +302,9 @@
         else:
             self._unavailable(request, "not stored")
 
-    def _refuse(self, now: float, request: object, job_id: str, rejection: Rejection) -> None:
+    def _refuse(
+        self, now: float, request: object, job_id: str, rejection: RejectedJobError
+    ) -> None:
         """Refuse, unless the id is that of a job which was accepted before."""
 
         def found(n: float, record: JobRecord | None, version: int) -> None:
--- a/src/copperpass/core/election/timings.py
+++ b/src/copperpass/core/election/timings.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from copperpass.settings import Cluster, SettingsError
+from copperpass.errors import SettingsError
+from copperpass.settings import Cluster
 
 # The greatest relative drift of a steady clock.
 CLOCK_DRIFT = 0.0005
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -9,9 +9,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from copperpass.errors import FrameError
 from copperpass.log import write
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
-from copperpass.protocol.frames.codec import FrameError, encode_frame
+from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import Frame, Hello, UnknownFrame
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import split_address
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -8,6 +8,7 @@
 from enum import IntEnum
 from typing import Any
 
+from copperpass.errors import FrameError, NewerFrameError
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
     Frame,
@@ -62,14 +63,6 @@
     ZONE_AFFINITIES = 14
 
 
-class FrameError(Exception):
-    """Bytes that no controller of this version or a later one would send."""
-
-
-class NewerFrameError(Exception):
-    """A frame that is whole, but of a kind or with fields that this version doesn't know."""
-
-
 @dataclass(frozen=True, slots=True)
 class FrameCodec:
     """How the payload of one kind of frame is written and read."""
--- a/src/copperpass/protocol/frames/stream.py
+++ b/src/copperpass/protocol/frames/stream.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
+from copperpass.errors import FrameError, NewerFrameError
 from copperpass.protocol.frames.codec import (
     FRAME_VERSION,
     HEADER,
     MAGIC,
     MAX_PAYLOAD_BYTES,
-    FrameError,
-    NewerFrameError,
     decode_payload,
 )
 from copperpass.protocol.frames.messages import Frame, UnknownFrame
--- a/src/copperpass/settings.py
+++ b/src/copperpass/settings.py
@@ -12,9 +12,7 @@
 
 import msgspec
 
-
-class SettingsError(Exception):
-    """A settings file that can't be used; the message names the field."""
+from copperpass.errors import SettingsError
 
 
 class Member(msgspec.Struct, rename={"name": "member", "zone": "domain"}):
@@ -238,7 +236,7 @@
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
-        raise SettingsError(str(error)) from None
+        raise SettingsError(str(error)) from error
     _check(settings)
     return settings
 
@@ -249,7 +247,7 @@
         with open(path, "rb") as file:
             raw = tomllib.load(file)
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: not TOML: {error}") from None
+        raise SettingsError(f"{path}: not TOML: {error}") from error
     return parse(raw)
--- a/src/copperpass/tuning.py
+++ b/src/copperpass/tuning.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, fields
 
-from copperpass.settings import SettingsError
+from copperpass.errors import SettingsError
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,9 +45,9 @@
         with open(path, encoding="utf-8") as file:
             message = text_format.Parse(file.read(), Operator())
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     except (text_format.ParseError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: {error}") from error
     given = {f.name: getattr(message, f.name) for f in fields(Tuning) if message.HasField(f.name)}
     for name, (low, high) in BOUNDS.items():
         value = given.get(name)
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -13,9 +13,9 @@
 from copperpass.core.election.timings import ElectionTimings, election_timings
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome, Outbox
+from copperpass.errors import SettingsError
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
 from copperpass.protocol.kvstore import DeleteKey, PutKey, transaction_body
-from copperpass.settings import SettingsError
 from tests.fakes.state import State
 from tests.request_bodies import raw_settings
 
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -6,12 +6,12 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
+from copperpass.errors import FrameError
 from copperpass.net import peers
 from copperpass.protocol.frames.codec import (
     FRAME_VERSION,
     HEADER,
     MAGIC,
-    FrameError,
     FrameKind,
     encode_frame,
 )
