--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -17,6 +17,7 @@
     satisfies_constraints,
 )
 from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.quota import ResourceUsage
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_order import task_order
@@ -93,21 +94,28 @@
             count = int(min(count, under))
         return count
 
-    def usage(self) -> dict[str, tuple[float, float]]:
-        """CPUs and GPUs that each team's tasks take or may take."""
+    def usage(self) -> dict[str, ResourceUsage]:
+        """What each team's tasks use, or may use: all that could run unseen counts for every team.
+
+        That is the free capacity of machines whose tasks are not all identified, and the whole of
+        machines of other shards that may hold tasks of this one.
+        """
         state, types = self.state, self.types
-        unidentified = [0.0, 0.0]
+        unidentified_cpus = unidentified_gpus = 0.0
         for name in state.unsettled | state.tally.unidentified:
-            # What is there is not known: count all that could be, against every team.
             cpus, gpus, _ = self.machines[name].free_capacity()
-            unidentified[0] += max(0.0, cpus)
-            unidentified[1] += max(0.0, gpus)
-        for kind, _, _ in state.elsewhere.values():
-            if kind in types:
-                unidentified[0] += types[kind].cpus
-                unidentified[1] += types[kind].gpus
-        used = {team.name: state.tally.of(team.name) for team in state.teams}
-        return {name: (u[0] + unidentified[0], u[1] + unidentified[1]) for name, u in used.items()}
+            unidentified_cpus += max(0.0, cpus)
+            unidentified_gpus += max(0.0, gpus)
+        for type_name, _, _ in state.elsewhere.values():
+            if type_name in types:
+                unidentified_cpus += types[type_name].cpus
+                unidentified_gpus += types[type_name].gpus
+        return {
+            team.name: ResourceUsage(*state.tally.of(team.name)).plus(
+                unidentified_cpus, unidentified_gpus
+            )
+            for team in state.teams
+        }
 
     def is_startable(
         self, job: Job, now: float, unreported_kinds: set[MachineKind] | None = None
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job_table import Job
-from copperpass.core.scheduling.bin_packing.feasibility import fits_within
 from copperpass.core.scheduling.bin_packing.gang_placement import plan_gang
 from copperpass.core.scheduling.bin_packing.ranking import Ranking
 from copperpass.core.scheduling.machines import Machine, StopReason
+from copperpass.core.scheduling.quota import ResourceUsage, exceeds_limit
 from copperpass.core.scheduling.reservation_planning import plan_gang_reservation
 from copperpass.core.scheduling.reservations import Reservations, reserve_machine
 from copperpass.core.scheduling.state import ShardState
@@ -25,7 +25,7 @@
         now: float,
         job: Job,
         candidates: list[Machine],
-        used: tuple[float, float],
+        used: ResourceUsage,
         started_on: list[Machine],
     ) -> list[Machine] | None:
         """Start all missing tasks of a gang or none; returns the machines they start on.
@@ -35,9 +35,7 @@
         """
         spec, count = job.spec, len(job.missing())
         team = self.state.by_team[spec.team]
-        if not fits_within(used[0] + count * spec.cpus, team.cpus_limit) or not fits_within(
-            used[1] + count * spec.gpus, team.gpus_limit
-        ):
+        if exceeds_limit(team, used, count * spec.cpus, count * spec.gpus):
             return None
         if self._has_earlier_attempt(job):
             return None
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -10,6 +10,7 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import NO_PRIORITY, Machine, Placement, StopReason
+from copperpass.core.scheduling.quota import ResourceUsage
 from copperpass.core.scheduling.reservations import reserve_machine
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_estimates import worth_checkpointing
@@ -48,20 +49,20 @@
         now: float,
         unplaced: list[Job],
         usable: list[Machine],
-        used: dict[str, tuple[float, float]],
+        used: dict[str, ResourceUsage],
     ) -> None:
         """Free capacity for jobs without a placement that would miss their start deadline.
 
-        `used` holds the CPUs and GPUs of each team's tasks. Tasks that are stopping already count
+        `used` is what each team's tasks use. Tasks that are stopping already count
         against each job's budget, whichever job they are preempted for.
         """
         over_guarantee = {
-            team.name for team in self.state.teams if used[team.name][0] > team.cpus + 1e-6
+            team.name for team in self.state.teams if used[team.name].cpus > team.cpus + 1e-6
         }
         stopping: int | None = None
         lowest = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
         for job in unplaced:
-            preemptor = self._preemptor(now, job, used[job.spec.team][0], over_guarantee)
+            preemptor = self._preemptor(now, job, used[job.spec.team].cpus, over_guarantee)
             if preemptor is None or (
                 lowest >= preemptor.priority and not preemptor.under_guarantee
             ):
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -10,7 +10,8 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
-from copperpass.core.scheduling.dispatch_round import Dispatcher
+from copperpass.core.scheduling.dispatch_round import PlacementParts
+from copperpass.core.scheduling.dispatcher import Dispatcher, DispatchParts
 from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.gang_placer import GangPlacer
 from copperpass.core.scheduling.heartbeat_timeouts import HeartbeatTimeoutScan
@@ -48,17 +49,20 @@
         self.silence_scan = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
-        self.dispatcher = Dispatcher(
-            context,
-            state,
-            self.commands,
-            tasks,
-            reservations,
-            self.demand,
-            GangPlacer(state, tasks, reservations),
-            Preemption(context, state, self.commands, tasks),
-            now,
+        placement = PlacementParts(
+            state=state,
+            tuning=context.tuning,
+            tasks=tasks,
+            reservations=reservations,
+            gangs=GangPlacer(state, tasks, reservations),
         )
+        parts = DispatchParts(
+            placement=placement,
+            commands=self.commands,
+            demand=self.demand,
+            preemption=Preemption(context, state, self.commands, tasks),
+        )
+        self.dispatcher = Dispatcher(parts, now)
         self.next_scan = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
         self.shard, self.generation, self.has_authority = (
--- /dev/null
+++ b/src/copperpass/core/scheduling/team_queues.py
@@ -0,0 +1,102 @@
+"""The queues of a dispatch round: jobs that may start, by team, and whose turn it is."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from copperpass.core.jobs.job_table import Job
+from copperpass.core.scheduling.demand import Demand
+from copperpass.core.scheduling.guarantees import assess_guarantees
+from copperpass.core.scheduling.quota import ResourceUsage
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
+
+# A team without an allocation comes after all that have one.
+NO_ALLOCATION = 1e3
+# The share of a shard's CPUs that work past its deadline gets before work that can be in time.
+PAST_DEADLINE_SHARE = 0.5
+
+
+class TeamQueues:
+    """Each team's startable jobs by deadline, with what its tasks use.
+
+    Teams take turns: the next is the one that has used least of its allocation. `allocated` holds
+    tasks by team, `capacity_cpus` the CPUs of all usable machines.
+    """
+
+    def __init__(
+        self,
+        now: float,
+        state: ShardState,
+        demand: Demand,
+        allocated: Mapping[str, float],
+        capacity_cpus: float,
+    ) -> None:
+        self.now, self.state, self.slos = now, state, state.slos
+        self.allocated = allocated
+        # By team: CPUs and GPUs, and the number of placed tasks.
+        self.used: dict[str, ResourceUsage] = demand.usage()
+        self.placed = {team.name: 0 for team in state.teams}
+        self.queues: dict[str, list[Job]] = {team.name: [] for team in state.teams}
+        # The number of queued jobs at the beginning of the round.
+        self.backlog = 0
+        # CPUs of work past its deadline.
+        self.past_deadline_quota = PAST_DEADLINE_SHARE * capacity_cpus
+        self.past_deadline_cpus = 0.0
+
+    def fill(self, jobs: list[Job], demand: Demand) -> None:
+        """Queue the jobs that may start, and count the placed tasks of all."""
+        now, slos, teams = self.now, self.slos, self.state.teams
+        assess_guarantees(jobs, {team.name: team.cpus for team in teams})
+        unreported_kinds = demand.unreported_kinds()
+        for job in jobs:
+            team = job.spec.team
+            self.placed[team] = self.placed.get(team, 0) + len(job.placed)
+            if job.waiting() > 0 and demand.is_startable(job, now, unreported_kinds):
+                self.queues.setdefault(team, []).append(job)
+        self.backlog = sum(len(queue) for queue in self.queues.values())
+        bonus_s = self.state.timing.boot_s / 2
+        self.queues = {
+            team: task_order(queue, slos, now, bonus_s) for team, queue in self.queues.items()
+        }
+        self.past_deadline_cpus = sum(
+            len(job.placed) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
+        )
+        for queue in self.queues.values():
+            self._limit_past_deadline(queue)
+
+    def next_job(self) -> Job | None:
+        """The first job of the team whose turn it is; None when all queues are empty."""
+        teams = [team for team, queue in self.queues.items() if queue]
+        if not teams:
+            return None
+        return self.queues[min(teams, key=lambda team: (self._allocation_used(team), team))][0]
+
+    def _allocation_used(self, team: str) -> float:
+        """How much of its allocation a team's tasks take."""
+        allocated = self.allocated.get(team, 0.0)
+        placed = self.placed[team]
+        return placed / allocated if allocated > 0 else float(placed) + NO_ALLOCATION
+
+    def dequeue(self, job: Job) -> None:
+        """Remove a job that `next_job` has returned: no more of its tasks start in this round."""
+        self.queues[job.spec.team].pop(0)
+
+    def on_started(self, job: Job, tasks: int) -> None:
+        """Count started tasks against their team."""
+        spec = job.spec
+        self.used[spec.team] = self.used[spec.team].plus(tasks * spec.cpus, tasks * spec.gpus)
+        self.placed[spec.team] += tasks
+
+    def count_past_deadline(self, job: Job) -> None:
+        """Count a task that was started if its job is past its deadline."""
+        if self.past_deadline_cpus < self.past_deadline_quota and self.slos.is_past_deadline(
+            job, self.now
+        ):
+            self.past_deadline_cpus += job.spec.cpus
+            self._limit_past_deadline(self.queues[job.spec.team])
+
+    def _limit_past_deadline(self, queue: list[Job]) -> None:
+        limit_past_deadline_share(
+            queue, self.slos, self.now, self.past_deadline_cpus, self.past_deadline_quota
+        )
