--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -4,8 +4,10 @@
 
 import heapq
 
+from tests.simulation.state import SimulationState
 
-class Clock:
+
+class Clock(SimulationState):
     """Simulated time; what is due at the same moment happens in the order it was scheduled."""
 
     def after(self, delay, action):
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -11,6 +11,11 @@
 from copperpass.protocol.frames.stream import FrameDecoder
 from tests.fakes.worker import WorkerRequest
 from tests.request_bodies import raw_settings
+from tests.simulation.invariants import Invariants
+
+
+def no_answer(status, body):
+    """Nobody gets the answer."""
 
 
 class CurrentFrames:
@@ -20,7 +25,7 @@
     frame_decoder = FrameDecoder
 
 
-class Controllers:
+class Controllers(Invariants):
     """Processes of this or an earlier version, one for each member at a time."""
 
     def boot(self, name):
@@ -162,49 +167,36 @@
 
         def arrive():
             if call.service == "state":
-                if name in self.refused:
-                    reply(503, b"{}")
-                elif (
-                    call.path == "/multi"
-                    and self.late_writes
-                    and (self.rng.random() < self.late_writes)
-                ):
-                    # No answer, and carried out late, after newer ones.
-                    self.after(
-                        self.rng.uniform(2.0, 12.0),
-                        lambda: self.state.handle(
-                            call.method, call.path, call.body, lambda status, body: None
-                        ),
-                    )
-                elif (
-                    call.path == "/multi"
-                    and self.lost_answers
-                    and (self.rng.random() < self.lost_answers)
-                ):
-                    # Carried out at once, and only the answer is lost.
-                    self.state.handle(call.method, call.path, call.body, lambda status, body: None)
-                elif self.slow_state:
-                    self.after(
-                        self.rng.uniform(0.0, self.slow_state),
-                        lambda: self.state.handle(call.method, call.path, call.body, reply),
-                    )
-                else:
-                    if name in self.watches_blocked and call.path.startswith(("/follow", "/kv?")):
-                        return
-                    self.state.handle(call.method, call.path, call.body, reply, name)
+                self.serve_state(name, call, reply)
             elif call.service == "cloud":
                 self.cloud.handle(call.method, call.path, call.body, reply)
             elif self.late_commands and self.rng.random() < self.late_commands:
-                self.after(
-                    self.rng.uniform(2.0, 16.0),
-                    lambda: self.command(call, lambda status, body: None),
-                )
+                self.after(self.rng.uniform(2.0, 16.0), lambda: self.command(call, no_answer))
             else:
                 self.command(call, reply)
 
         self.carry(name, call.address or call.service, arrive)
         self.after(call.timeout, lambda: finish(0, b""))
 
+    def serve_state(self, name, call, reply):
+        """Have the state service carry a request out, as the failures of the moment let it."""
+        request = (call.method, call.path, call.body)
+        is_transaction = call.path == "/multi"
+        if name in self.refused:
+            reply(503, b"{}")
+        elif is_transaction and self.late_writes and self.rng.random() < self.late_writes:
+            # No answer, and carried out late, after newer ones.
+            self.after(self.rng.uniform(2.0, 12.0), lambda: self.state.handle(*request, no_answer))
+        elif is_transaction and self.lost_answers and self.rng.random() < self.lost_answers:
+            # Carried out at once, and only the answer is lost.
+            self.state.handle(*request, no_answer)
+        elif self.slow_state:
+            self.after(
+                self.rng.uniform(0.0, self.slow_state), lambda: self.state.handle(*request, reply)
+            )
+        elif not (name in self.watches_blocked and call.path.startswith(("/follow", "/kv?"))):
+            self.state.handle(*request, reply, name)
+
     def command(self, call, reply):
         machine = self.cloud.machines.get(call.address)
         if machine and machine["worker"]:
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from tests.simulation.network import Network
 
-class Faults:
+
+class Faults(Network):
     """Partitions and outages of the state service, and the end of all failures."""
 
     def isolate(self, name):
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -5,9 +5,10 @@
 from copperpass.core.scheduling.machines import UNIDENTIFIED
 from copperpass.protocol.users import JobState
 from tests.earlier_versions import shard_of
+from tests.simulation.faults import Faults
 
 
-class Invariants:
+class Invariants(Faults):
     """A rule that is broken adds a line to `broken`, or fails the test at once."""
 
     def check_answer(self, user, name):
@@ -102,13 +103,6 @@
         ]
         assert len({shard for shard, _ in owned}) == len(owned), f"two owners: {owned}"
 
-    def check_known(self):
-        """Every accepted uncancelled job is answered for, and none is forgotten or called less."""
-        accepted = sorted(j for j in self.acknowledged if j not in self.cancelled)
-        polls = {j: self.poll(j) for j in accepted}
-        self.run(3.0)
-        self.violations += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
-
     def check_cancelled(self):
         for job_id, cancelled_at in self.cancelled.items():
             if self.now - cancelled_at > self.cancel_s:
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from tests.simulation.clock import Clock
 
-class Network:
+
+class Network(Clock):
     """Messages take time, and can be held, dropped or delivered late."""
 
     def cut(self, a, b):
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from tests.simulation.users import Users
 
-class ServiceChecks:
+
+class ServiceChecks(Users):
     """No job waits beside capacity that fits it, and every accepted job is completed."""
 
     def check_starved(self, bound=90.0):
@@ -38,6 +40,13 @@
             elif self.now - self.waits.setdefault(job_id, self.now) > bound:
                 self.violations.append(f"starved: {job_id}")
 
+    def check_known(self):
+        """Every accepted uncancelled job is answered for, and none is forgotten or called less."""
+        accepted = sorted(j for j in self.acknowledged if j not in self.cancelled)
+        polls = {j: self.poll(j) for j in accepted}
+        self.run(3.0)
+        self.violations += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
+
     def finish(self, seconds=300.0, known_after=75.0):
         """End all troubles, and see that every accepted job that wasn't cancelled is done."""
         self.end_faults()
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -6,6 +6,7 @@
 
 from copperpass.protocol.users import JobState
 from tests.fakes.gang import Gang
+from tests.simulation.controllers import Controllers
 
 
 class User:
@@ -19,7 +20,7 @@
         self.known = None
 
 
-class Users:
+class Users(Controllers):
     """Submit, poll and cancel jobs at any controller."""
 
     def ask(self, action, name=None, job_id=None):
