--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -9,7 +9,7 @@
 from copperpass.core.scheduling.machines import StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.storage.completions import CompletionStore
+from copperpass.core.storage.completions import CompletionContext, CompletionStore
 from copperpass.protocol.kvstore import DeleteKey, PutKey, Write
 from copperpass.protocol.records import completed_job_value
 from copperpass.protocol.users import JobState
@@ -27,15 +27,17 @@
         self.context, self.state, self.tasks = context, state, tasks
         cluster, limits = context.cluster, context.cluster.state
         self.completions = CompletionStore(
-            context.jobs,
-            context.transactions,
-            context.token_version,
-            context.versions,
-            context.shard,
-            USED_PART * limits.least_value_bytes,
-            max(state.timing.report_s / 2, GATHERED_WRITES / limits.least_write_rps),
-            cluster.workers.lease_s,
-            USED_PART * limits.value_kb * 1024,
+            CompletionContext(
+                job_table=context.jobs,
+                transactions=context.transactions,
+                token_version=context.token_version,
+                versions=context.versions,
+                shard=context.shard,
+                page_bytes=USED_PART * limits.least_value_bytes,
+                interval_s=max(state.timing.report_s / 2, GATHERED_WRITES / limits.least_write_rps),
+                deadline_s=cluster.workers.lease_s,
+                max_page_bytes=USED_PART * limits.value_kb * 1024,
+            )
         )
 
     def store(self, now: float, job: Job) -> None:
@@ -44,7 +46,7 @@
             return
         if not job.ended():
             if job.finished:
-                self.completions.note(now, job)
+                self.completions.record(now, job)
             return
         job.storing = True
         key = LIVE_JOBS_PREFIX + job.spec.id
@@ -75,7 +77,7 @@
         """The job's record is gone: nothing of it may start, and all of it must go."""
         if not self.context.is_mine(job.spec.team):
             return
-        self.completions.over(job)
+        self.completions.remove(job)
         self.tasks.stop_all(now, job, StopReason.JOB_OVER)
         self.state.where.pop(job.spec.id, None)
         self.state.dirty = True
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -1,272 +1,202 @@
-"""Ends of tasks of jobs that are not over yet: many jobs in one record of the state service.
+"""Completed tasks of live jobs: many jobs in one record of the key-value store.
 
-A record a job would cost a write for each few ends, and the budget of writes is the tightest limit
-of a large deployment. Ends wait on their machines until they are stored, so they can be gathered:
-a record holds the done tasks of many jobs and is written at most once per `gather_s`.
-
-Where values may be smaller than those that older versions have stored:
-
-- Jobs of a page that has become too large move to other pages. Ends are facts, which only add up,
-  so a job is first stored on its new page, and only then is the old one written without it. Until
-  then the new page says of it what the old one says, so it doesn't matter which of them counts.
-- A job that is too large for a page has one of its own, as older versions would store it, until
-  the state service refuses that for its size. Then the limits have dropped, which they do only
-  after an upgrade, and the job is cut into segments with a page each, which older versions ignore.
+A record a job would cost a write for each few completions, and the budget of writes is the tightest
+limit of a large deployment. Completions wait on their machines until they are stored, so they can
+be batched: a page holds the completed tasks of many jobs and is written at most once an interval.
 """
 
 from __future__ import annotations
 
-import itertools
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from copperpass.core.jobs.job_table import Job, JobTable, pack_done, segment_key, split_segment
+from copperpass.core.jobs.job_table import Job, JobTable, pack_done, segment_key
 from copperpass.core.kvstore.keys import COMPLETIONS_PREFIX, FENCING_TOKEN_KEY
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
+from copperpass.core.storage.completion_pages import (
+    EMPTY_PAGE_BYTES,
+    CompletionPage,
+    CompletionPages,
+    stored_bytes,
+)
+from copperpass.core.storage.completion_segments import SEGMENT_MARK, CompletionSegments
 from copperpass.protocol.kvstore import PutKey
 
-# What marks the key of a page that holds a segment.
-SEGMENT = "s"
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class CompletionContext:
+    """What a shard's owner gives to the writer of its completions.
 
-def _size(job: Job) -> int:
-    """What a job may take of a record at most."""
-    return len(job.spec.id) + 8 + (job.spec.tasks + 5) // 6 + 4
+    A page is written at most once in `interval_s` seconds, and must be sent within `deadline_s`.
+    """
 
+    job_table: JobTable
+    transactions: TransactionQueue
+    # The version of the fencing token under which the owner writes.
+    token_version: Callable[[], int]
+    # Versions of the pages as the watch brought them; the node keeps them up.
+    versions: dict[str, int]
+    shard: int
+    # To what size pages are filled, and what one may hold until the store says otherwise.
+    page_bytes: float
+    max_page_bytes: float
+    interval_s: float
+    deadline_s: float
 
-class CompletionPage:
-    """One record of ends."""
 
-    def __init__(self, key: str) -> None:
-        self.key = key
-        self.jobs: dict[str, Job] = {}
-        self.size = 2
-        self.version = 0
-        self.since: float | None = None
-        self.writing = False
-        # Jobs that are stored here but belong to other pages by now, and which of those are not
-        # stored yet: until they are, this page is not written.
-        self.leaving: dict[str, set[str]] = {}
-        # Where such jobs have gone, until this page is written without them.
-        self.gone: dict[str, list[CompletionPage]] = {}
-        # Jobs that are on their way here: only what is stored elsewhere may be said of them.
-        self.coming: set[str] = set()
-        # The part of the mask, if it holds a segment.
-        self.part: slice | None = None
+class JobCompletions(NamedTuple):
+    """Tasks of a job whose completion a write of a page makes certain."""
 
+    job: Job
+    indexes: set[int]
 
-class CompletionStore:
-    """The writer of the records of ends; one an owner."""
-
-    def __init__(
-        self,
-        jobs: JobTable,
-        transactions: TransactionQueue,
-        token_version: Callable[[], int],
-        versions: dict[str, int],
-        shard: int,
-        room: float,
-        gather_s: float,
-        deadline_s: float,
-        most_room: float | None = None,
-    ) -> None:
-        self.jobs, self.transactions, self.token_version = jobs, transactions, token_version
-        self.room, self.gather_s, self.deadline_s = room, gather_s, deadline_s
-        # What a page may hold at most until the service says otherwise.
-        self.most_room = room if most_room is None else max(room, most_room)
-        self.pages: dict[str, CompletionPage] = {}
-        self.page_of: dict[str, CompletionPage] = {}
-        # Pages of segments, by job; those that were found, by job and offset; those whose job is
-        # over.
-        self.segments: dict[str, list[CompletionPage]] = {}
-        self.found: dict[str, dict[int, str]] = {}
-        self.free: list[str] = []
-        # Versions as the watch saw them; shared with the node, which keeps them up.
-        self.versions = versions
-        self.prefix = f"{COMPLETIONS_PREFIX}{shard}."
-        self._load()
 
-    def _load(self) -> None:
-        """Take over the pages that are stored, and break up those that are too large."""
-        twice: list[tuple[str, CompletionPage]] = []
-        for key, held in sorted(self.jobs.pages.items()):
-            if not key.startswith(self.prefix):
+class CompletionStore:
+    """Reads and writes the completions of one shard; one an owner.
+
+    Every write is guarded by the fencing token and by the version of its page. A page is written
+    only if that forgets no completion that is stored there.
+    """
+
+    def __init__(self, context: CompletionContext) -> None:
+        self.context, self.job_table = context, context.job_table
+        # Reduced to `page_bytes` when the store refuses a larger page.
+        self.max_page_bytes = max(context.page_bytes, context.max_page_bytes)
+        prefix = f"{COMPLETIONS_PREFIX}{context.shard}."
+        self.layout = CompletionPages(prefix, context.page_bytes)
+        self.segments = CompletionSegments(prefix, context.page_bytes, context.job_table)
+        self._load(prefix)
+
+    def _load(self, prefix: str) -> None:
+        """Take over the pages that are stored, and split those that are too large."""
+        layout = self.layout
+        duplicates: list[tuple[str, CompletionPage]] = []
+        for key, entries in sorted(self.job_table.pages.items()):
+            if not key.startswith(prefix):
                 continue
-            if key.startswith(self.prefix + SEGMENT):
-                self._load_segment(key, held)
+            if key.startswith(prefix + SEGMENT_MARK):
+                self.segments.load(key, entries)
                 continue
-            for job_id in held:
-                job = self.jobs.jobs.get(job_id)
+            for job_id in entries:
+                job = self.job_table.jobs.get(job_id)
                 if job is None:
                     continue
-                page = self._page(key)
-                if job_id in self.page_of:
-                    twice.append((job_id, page))
+                page = layout.page(key)
+                if job_id in layout.page_of:
+                    duplicates.append((job_id, page))
                 else:
-                    self._put(job, page)
-        for job_id, page in twice:
-            # A move was interrupted: what only this page says goes to the other before it is
-            # written without.
-            self._leave(job_id, page, [self.page_of[job_id]])
-        for page in list(self.pages.values()):
-            self._relieve(page)
-
-    def _load_segment(self, key: str, held: Iterable[str]) -> None:
-        # Taken up when there is something to write: a cut may have been interrupted.
-        for entry in held:
-            job_id, offset = split_segment(entry)
-            if job_id in self.jobs.jobs:
-                self.found.setdefault(job_id, {})[offset] = key
-                return
-        self.free.append(key)
-
-    def _relieve(self, page: CompletionPage) -> None:
-        """Move jobs away until the page has a size that will always be allowed."""
-        for job_id, job in list(page.jobs.items()):
-            if page.size <= self.room or len(page.jobs) == 1:
-                return
-            self._take_off(job, page)
-            target = self._choose(job)
-            self._put(job, target)
-            self._leave(job_id, page, [target])
-
-    def _take_off(self, job: Job, page: CompletionPage) -> None:
-        del page.jobs[job.spec.id]
-        del self.page_of[job.spec.id]
-        page.size -= _size(job)
-
-    def _leave(self, job_id: str, page: CompletionPage, targets: list[CompletionPage]) -> None:
-        """A page's job belongs to others from here on, and so does what was on its way here."""
-        page.coming.discard(job_id)
-        for other in [page, *self.pages.values()]:
-            if other is page or page in other.gone.get(job_id, ()):
-                other.leaving[job_id] = {target.key for target in targets}
-                other.gone[job_id] = targets
-                other.since = 0.0
-        for target in targets:
-            target.coming.add(job_id)
-            target.since = 0.0
-
-    def _page(self, key: str) -> CompletionPage:
-        page = self.pages.get(key)
-        if page is None:
-            page = self.pages[key] = CompletionPage(key)
-        return page
-
-    def _choose(self, job: Job) -> CompletionPage:
-        """A page with room for a job, or a new one."""
-        for page in self.pages.values():
-            if page.size + _size(job) <= self.room and not page.leaving:
-                return page
-        number = 0
-        while f"{self.prefix}{number}" in self.pages:
-            number += 1
-        return self._page(f"{self.prefix}{number}")
-
-    def _put(self, job: Job, page: CompletionPage) -> None:
-        page.jobs[job.spec.id] = job
-        page.size += _size(job)
-        self.page_of[job.spec.id] = page
-
-    def note(self, now: float, job: Job) -> None:
-        """A job has ends that are not stored."""
-        job_id = job.spec.id
-        page = self.page_of.get(job_id)
-        if page is None and job_id not in self.segments:
-            if job_id in self.found or _size(job) + 2 > self.most_room:
-                self._cut(job)
+                    layout.put(job, page)
+        for job_id, page in duplicates:
+            # A migration was interrupted: what only this page says is stored on the other before
+            # this one is written without it.
+            layout.migrate(job_id, page, [layout.page_of[job_id]])
+        for page in list(layout.pages.values()):
+            layout.split(page)
+
+    # -- changes ---------------------------------------------------------------------
+
+    def record(self, now: float, job: Job) -> None:
+        """A job has completed tasks that are not stored."""
+        job_id, layout = job.spec.id, self.layout
+        page = layout.page_of.get(job_id)
+        if page is None and job_id not in self.segments.pages_of:
+            too_large = stored_bytes(job) + EMPTY_PAGE_BYTES > self.max_page_bytes
+            if job_id in self.segments.stored_keys or too_large:
+                self.segments.cut(job)
             else:
-                page = self._choose(job)
-                self._put(job, page)
-        if page is not None and page.since is None:
-            page.since = now
-        changed = {index >> 3 for index in job.finished}
-        for segment in self.segments.get(job_id, ()):
-            part = segment.part or slice(0, 0)
-            if segment.since is None and any(part.start <= byte < part.stop for byte in changed):
-                segment.since = now
+                page = layout.choose(job)
+                layout.put(job, page)
+        if page is not None and page.changed_at is None:
+            page.changed_at = now
+        self.segments.touch(now, job)
 
-    def over(self, job: Job) -> None:
-        """A job is over: its ends need no record any more."""
-        job_id = job.spec.id
-        page = self.page_of.pop(job_id, None)
-        if page is not None:
-            page.jobs.pop(job_id, None)
-            page.size -= _size(job)
-            page.coming.discard(job_id)
-        for other in self.pages.values():
-            other.leaving.pop(job_id, None)
-            other.gone.pop(job_id, None)
-        self.free.extend(p.key for p in self.segments.pop(job_id, ()))
+    def remove(self, job: Job) -> None:
+        """A job is completed: its tasks' completions need not be stored any more."""
+        self.layout.remove(job)
+        self.segments.remove(job.spec.id)
 
     def tick(self, now: float) -> None:
-        """Write what has waited for long enough."""
-        segments = (page for pages in self.segments.values() for page in pages)
-        for page in [*self.pages.values(), *segments]:
-            due = page.since is not None and now >= page.since + self.gather_s
-            if due and not page.writing and not page.leaving:
+        """Write the pages that have waited for the interval."""
+        for page in [*self.layout.pages.values(), *self.segments.pages()]:
+            due = page.changed_at is not None and now >= page.changed_at + self.context.interval_s
+            if due and not page.in_flight and not page.migrating:
                 self._write(now, page)
 
-    # -- segments ------------------------------------------------------------------------
+    # -- writing ---------------------------------------------------------------------
 
-    def _segment_bytes(self) -> int:
-        """How much of a mask goes into one page."""
-        return max(3, int((self.room - 64) / 4) * 3)
+    def _write(self, now: float, page: CompletionPage) -> None:
+        self._include_late(now, page)
+        if page.migrating:
+            return
+        page.in_flight, page.changed_at = True, None
+        certain = self._made_certain(page)
+        job_ids, migrated = set(page.jobs), dict(page.migrated_to)
+        version = max(page.version, self.context.versions.get(page.key, 0))
 
-    def _cut(self, job: Job) -> None:
-        """Give a job that no page can hold a page for each part of its mask."""
-        job_id, step = job.spec.id, self._segment_bytes()
-        # A page that holds another cut's part of this job is left alone: its facts count.
-        found = self.found.get(job_id, {})
-        pages = self.segments[job_id] = []
-        for offset in range(0, len(job.done), step):
-            page = CompletionPage(
-                found.get(offset) or (self.free.pop() if self.free else self._new_key())
-            )
-            page.jobs[job_id] = job
-            page.part = slice(offset, offset + step)
-            if any(job.done[page.part]):
-                page.since = 0.0
-            pages.append(page)
+        def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
+            page.in_flight = False
+            if outcome is TransactionOutcome.APPLIED:
+                page.version = max(page.version, revision)
+                self._on_completions_stored(certain)
+                self.layout.on_stored(page, job_ids)
+                self.layout.on_migrated(done_at, page, migrated)
+                return
+            if outcome is TransactionOutcome.INVALID:
+                self._shrink(page)
+            if page.changed_at is None:
+                # Not stored, or not known to be: the watch brings the page's version.
+                page.changed_at = done_at
+
+        operation = Operation(
+            {FENCING_TOKEN_KEY: self.context.token_version(), page.key: version},
+            [PutKey(page.key, self._value(page))],
+            on_done,
+            now + self.context.deadline_s,
+            Priority.BATCHED,
+        )
+        self.context.transactions.submit(now, operation)
 
-    def _new_key(self) -> str:
-        """A key for a segment that holds no other."""
-        taken = {key for held in self.found.values() for key in held.values()}
-        taken |= {p.key for held in self.segments.values() for p in held} | set(self.free)
-        keys = (f"{self.prefix}{SEGMENT}{n}" for n in itertools.count())
-        return next(key for key in keys if key not in taken and key not in self.jobs.pages)
+    def _include_late(self, now: float, page: CompletionPage) -> None:
+        """Keep completions that an earlier owner stored here and that were watched only later.
 
-    def _avoid(self, page: CompletionPage) -> None:
-        """Give a segment another key if an earlier owner has stored another job's part there."""
-        for entry in self.jobs.pages.get(page.key, ()):
-            job_id, offset = split_segment(entry)
-            if job_id in self.jobs.jobs and job_id not in page.jobs:
-                self.found.setdefault(job_id, {})[offset] = page.key
-                page.key, page.version = self._new_key(), 0
-                return
+        A page written without them would lose them, although their machines may have forgotten
+        them already. What belongs to other pages is stored there first.
+        """
+        if page.byte_range is not None:
+            self.segments.avoid_overwriting(page)
+            return
+        layout = self.layout
+        for job_id in self.job_table.pages.get(page.key, ()):
+            job = self.job_table.jobs.get(job_id)
+            if job is None or job_id in page.migrated_to or job_id in page.jobs:
+                continue
+            known = job_id in layout.page_of or job_id in self.segments.pages_of
+            if not known and page.size + stored_bytes(job) <= self.context.page_bytes:
+                layout.put(job, page)
+                continue
+            if not known:
+                self.record(now, job)
+            targets = self.segments.pages_of.get(job_id) or [layout.page_of[job_id]]
+            layout.migrate(job_id, page, targets)
 
-    def _resize(self, page: CompletionPage) -> None:
+    def _shrink(self, page: CompletionPage) -> None:
         """A page was refused for its size."""
-        self.most_room = self.room
-        self._relieve(page)
+        self.max_page_bytes = self.context.page_bytes
+        self.layout.split(page)
         for job_id, job in list(page.jobs.items()):
-            if page.part is None and page.size > self.room:
-                # Segments first; the page goes without the job once they are all stored.
-                self._take_off(job, page)
-                self._cut(job)
-                self._leave(job_id, page, self.segments[job_id])
-
-    # -- writing ---------------------------------------------------------------------------
-
-    def _mask(self, page: CompletionPage, job: Job) -> bytearray:
-        """What a page says of a job."""
-        mask = bytearray(job.done) if job.spec.id in page.coming else job.mask()
-        return mask if page.part is None else mask[page.part]
+            if page.byte_range is None and page.size > self.context.page_bytes:
+                # The segments first: the page is written without the job once all are stored.
+                self.layout.detach(job, page)
+                self.layout.migrate(job_id, page, self.segments.cut(job))
 
     def _value(self, page: CompletionPage) -> dict[str, str]:
-        if page.part is not None:
+        """What is written of a page."""
+        part = page.byte_range
+        if part is not None:
             return {
-                segment_key(job_id, page.part.start): pack_done(self._mask(page, job))
+                segment_key(job_id, part.start): pack_done(self._mask(page, job))
                 for job_id, job in page.jobs.items()
             }
         return {
@@ -275,91 +205,25 @@
             if job.done_count or job.finished
         }
 
-    def _noted(self, page: CompletionPage) -> dict[str, tuple[Job, set[int]]]:
-        """The ends that a write of a page makes certain."""
-        noted: dict[str, tuple[Job, set[int]]] = {}
-        for job_id, job in page.jobs.items():
-            if job_id in page.coming:
-                continue
-            ends = set(job.finished)
-            if page.part is not None:
-                ends = {i for i in ends if page.part.start <= i >> 3 < page.part.stop}
-            noted[job_id] = (job, ends)
-        return noted
-
-    def _take_late(self, now: float, page: CompletionPage) -> None:
-        """Keep ends that an earlier owner stored here and the view brought after our beginning.
+    def _mask(self, page: CompletionPage, job: Job) -> bytearray:
+        """What a page says of a job."""
+        mask = bytearray(job.done) if job.spec.id in page.arriving else job.mask()
+        return mask if page.byte_range is None else mask[page.byte_range]
 
-        A record written without them would lose them, although their machines may have been told
-        to forget them. What belongs to other pages is stored there first.
-        """
-        if page.part is not None:
-            self._avoid(page)
-            return
-        for job_id in self.jobs.pages.get(page.key, ()):
-            job = self.jobs.jobs.get(job_id)
-            if job is None or job_id in page.gone or job_id in page.jobs:
-                continue
-            known = job_id in self.page_of or job_id in self.segments
-            if not known and page.size + _size(job) <= self.room:
-                self._put(job, page)
+    def _made_certain(self, page: CompletionPage) -> list[JobCompletions]:
+        """The completions that a write of a page makes certain."""
+        certain: list[JobCompletions] = []
+        part = page.byte_range
+        for job_id, job in page.jobs.items():
+            if job_id in page.arriving:
                 continue
-            if not known:
-                self.note(now, job)
-            segments = self.segments.get(job_id)
-            self._leave(job_id, page, segments or [self.page_of[job_id]])
-
-    def _write(self, now: float, page: CompletionPage) -> None:
-        self._take_late(now, page)
-        if page.leaving:
-            return
-        page.writing, page.since = True, None
-        noted = self._noted(page)
-        jobs, gone = set(page.jobs), dict(page.gone)
-        version = max(page.version, self.versions.get(page.key, 0))
-
-        def on_done(n: float, outcome: TransactionOutcome, revision: int) -> None:
-            page.writing = False
-            if outcome is TransactionOutcome.APPLIED:
-                page.version = max(page.version, revision)
-                for job_id, (job, ends) in noted.items():
-                    if self.jobs.jobs.get(job_id) is job:
-                        job.stored(ends)
-                self._arrived(page, jobs)
-                self._left(n, page, gone)
-                return
-            if outcome is TransactionOutcome.INVALID:
-                self._resize(page)
-            if page.since is None:
-                # Not stored, or not known to be: the watch brings the record's version.
-                page.since = n
-
-        self.transactions.submit(
-            now,
-            Operation(
-                {FENCING_TOKEN_KEY: self.token_version(), page.key: version},
-                [PutKey(page.key, self._value(page))],
-                on_done,
-                now + self.deadline_s,
-                Priority.BATCHED,
-            ),
-        )
-
-    def _arrived(self, page: CompletionPage, jobs: set[str]) -> None:
-        """A page with these jobs is stored: where they were before may be written without them."""
-        for other in self.pages.values():
-            for job_id in jobs & set(other.leaving):
-                other.leaving[job_id].discard(page.key)
-                if not other.leaving[job_id]:
-                    del other.leaving[job_id]
-
-    def _left(
-        self, now: float, page: CompletionPage, gone: dict[str, list[CompletionPage]]
-    ) -> None:
-        """A page is stored without these jobs: their new pages may say all that is known."""
-        for job_id, targets in gone.items():
-            page.gone.pop(job_id, None)
-            for target in targets:
-                if not any(target in p.gone.get(job_id, ()) for p in self.pages.values()):
-                    target.coming.discard(job_id)
-                    target.since = target.since or now
+            indexes = set(job.finished)
+            if part is not None:
+                indexes = {index for index in indexes if part.start <= index >> 3 < part.stop}
+            certain.append(JobCompletions(job, indexes))
+        return certain
+
+    def _on_completions_stored(self, certain: list[JobCompletions]) -> None:
+        for job, indexes in certain:
+            if self.job_table.jobs.get(job.spec.id) is job:
+                job.stored(indexes)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -93,16 +93,16 @@
 
 
 def test_ends_that_an_earlier_owner_stored_are_not_written_over():
-    # Holds the loop over `jobs.pages` in `CompletionStore._write`.
+    # Holds the loop over `jobs.pages` in `CompletionStore._include_late`.
     bench = SchedulerBench()
     bench.add(1, tasks=2)
     bench.add(2, tasks=2)
     key = "c/ends/0.0"
     bench.jobs.saw_completions(key, b'{"req-000001":"AQ=="}')
-    bench.owner.completions.versions[key] = 66
+    bench.owner.completions.context.versions[key] = 66
     bench.jobs.jobs["req-000002"].finished.add(1)
     bench.owner.scan(bench.now)
-    bench.now += bench.owner.completions.gather_s
+    bench.now += bench.owner.completions.context.interval_s
     bench.owner.completions.tick(bench.now)
     (write,) = bench.take("state")
     body = json.loads(write.body)
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -391,7 +391,7 @@
         bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
-    bench.now += bench.owner.completions.gather_s
+    bench.now += bench.owner.completions.context.interval_s
     bench.owner.completions.tick(bench.now)
     (write,) = bench.take("state")
     (put,) = json.loads(write.body)["writes"]
