--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("settles", ["lease ended", "token moved"])
-def test_a_member_whose_campaign_may_yet_be_carried_out_promises_nothing(settles):
+def test_a_member_whose_campaign_may_yet_be_carried_out_does_not_vote(settles):
     # Holds `Campaign.unresolved_leases` in `LeaderElection._may_vote`: the late win would make this
     # member, restarted, take its votes for its own, while the leader that it gave them to relies on
     # them.
@@ -136,18 +136,18 @@
     out.calls.clear()
     win.on_done(51.0, CallOutcome(0))
 
-    def promised():
+    def votes():
         out.frames.clear()
         core.on_frame(51.1, "n1", LeaseExtensionRequest(0, 3))
         return out.frames[0][1].granted
 
-    assert not promised()
+    assert not votes()
     if settles == "lease ended":
         (drop,) = out.calls
         drop.on_done(51.1, CallOutcome(200))
     else:
         core.on_watch_event(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
-    assert promised()
+    assert votes()
 
 
 def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -1,4 +1,4 @@
-"""A seeded model of the election: never two authorities at once, whatever fails."""
+"""A seeded model of the election: never two leaders with authority at once, whatever fails."""
 
 import dataclasses
 import json
@@ -30,17 +30,17 @@
         self.timings = timings or election_timings(settings_module.parse(raw_settings()).cluster)
         self.own_timings = own_timings or {}
         self.state = State(self)
-        self.nodes, self.rate, self.hung = {}, {}, {}
+        self.nodes, self.clock_rate, self.hung_until = {}, {}, {}
         self.refused, self.cuts = set(), set()
-        self.most, self.led, self.bridges = 0, set(), 0
-        self.seen = {}
+        self.most_leaders, self.past_leaders, self.extended_ticks = 0, set(), 0
+        self.watched_revision = {}
         for name in self.names:
-            self.rate[name] = 1 + self.rng.uniform(0, 0.0005)
-            self.hung[name] = 0.0
+            self.clock_rate[name] = 1 + self.rng.uniform(0, 0.0005)
+            self.hung_until[name] = 0.0
             self.boot(name)
 
     def clock(self, name):
-        return self.now * self.rate[name]
+        return self.now * self.clock_rate[name]
 
     def after(self, delay, action):
         self.queue.append((self.now + delay, self.rng.random(), action))
@@ -63,7 +63,7 @@
             on_change=lambda now, is_leader, continued: None,
         )
         self.nodes[name] = LeaderElection(context, self.clock(name))
-        self.seen[name] = 0
+        self.watched_revision[name] = 0
 
     def step(self, seconds=0.05):
         self.now += seconds
@@ -73,26 +73,28 @@
         for _, _, action in sorted(due, key=lambda q: q[:2]):
             action()
         for name in self.names:
-            if self.now >= self.hung[name]:
+            if self.now >= self.hung_until[name]:
                 self.watch(name)
                 node = self.nodes[name]
                 node.tick(self.clock(name))
                 node.context.transactions.pump(self.clock(name))
                 self.drain(name)
-        entitled = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
-        self.most = max(self.most, len(entitled))
-        self.led.update(entitled)
-        self.bridges += sum(1 for n in entitled if self.nodes[n].is_on_extension(self.clock(n)))
+        leaders = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
+        self.most_leaders = max(self.most_leaders, len(leaders))
+        self.past_leaders.update(leaders)
+        self.extended_ticks += sum(
+            1 for n in leaders if self.nodes[n].is_on_extension(self.clock(n))
+        )
 
     def watch(self, name):
         if self.state.down or name in self.refused:
             return
         node, at = self.nodes[name], self.clock(name)
         for revision, key, value in self.state.log:
-            if revision > self.seen[name]:
+            if revision > self.watched_revision[name]:
                 raw = None if value is None else json.dumps(value).encode()
                 node.on_watch_event(at, key, raw, revision)
-        self.seen[name] = self.state.revision
+        self.watched_revision[name] = self.state.revision
         node.records_synced = True
 
     def drain(self, name):
@@ -108,8 +110,10 @@
             self.call(name, node, call)
 
     def deliver(self, sender, member, frame):
-        if self.now < self.hung[member]:
-            self.after(self.hung[member] - self.now, lambda: self.deliver(sender, member, frame))
+        if self.now < self.hung_until[member]:
+            self.after(
+                self.hung_until[member] - self.now, lambda: self.deliver(sender, member, frame)
+            )
             return
         self.nodes[member].on_frame(self.clock(member), sender, frame)
         self.drain(member)
@@ -118,8 +122,8 @@
         over = []
 
         def finish(status, body):
-            if self.now < self.hung[name]:
-                self.after(self.hung[name] - self.now, lambda: finish(status, body))
+            if self.now < self.hung_until[name]:
+                self.after(self.hung_until[name] - self.now, lambda: finish(status, body))
             elif not over and self.nodes[name] is node:
                 over.append(True)
                 call.on_done(self.clock(name), CallOutcome(status, body))
@@ -140,13 +144,13 @@
         self.after(self.rng.uniform(1.0, 8.0) if late else self.rng.uniform(0, 0.1), arrive)
         self.after(call.timeout, lambda: finish(0, b""))
 
-    def trouble(self):
+    def inject_fault(self):
         act = self.rng.random()
         name = self.rng.choice(self.names)
         if act < 0.25:
             self.boot(name)
         elif act < 0.45:
-            self.hung[name] = self.now + self.rng.uniform(0.2, 8.0)
+            self.hung_until[name] = self.now + self.rng.uniform(0.2, 8.0)
         elif act < 0.65:
             self.refused = {name} if self.rng.random() < 0.7 else set()
         elif act < 0.8:
@@ -159,48 +163,48 @@
     def play(self, steps=2500):
         for step in range(steps):
             if step % 60 == 59:
-                self.trouble()
+                self.inject_fault()
             self.step()
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_never_two_authorities(seed):
+def test_never_two_leaders_with_authority(seed):
     model = Model(seed)
     model.play()
-    assert model.most == 1
+    assert model.most_leaders == 1
 
 
-def test_changes_and_bridges_are_played_at_all():
-    bridges = moved = 0
+def test_leader_changes_and_extensions_occur_in_the_model():
+    extended_ticks = leader_changes = 0
     for seed in range(12):
         model = Model(seed)
         model.play(1500)
-        bridges += model.bridges
-        moved += len(model.led) - 1
-    assert bridges > 50 and moved > 6
+        extended_ticks += model.extended_ticks
+        leader_changes += len(model.past_leaders) - 1
+    assert extended_ticks > 50 and leader_changes > 6
 
 
-def test_the_model_bites_when_members_keep_promises_for_too_short():
-    # Members that keep a promise for a tenth of what the leader counts on: the inequality that
-    # ElectionTimings can't express, since one figure serves both sides, broken on purpose.
-    twice = 0
+def test_the_model_finds_votes_that_expire_too_soon():
+    # Voters bound for a tenth of what the leader counts on: the inequality that `ElectionTimings`
+    # can't express, since one figure serves both sides, broken on purpose.
+    split_brains = 0
     for seed in range(12):
         short = election_timings(settings_module.parse(raw_settings()).cluster)
         short = dataclasses.replace(short, vote_s=short.vote_s / 10)
         model = Model(seed, own_timings={"b": short, "c": short})
         model.play()
-        twice += model.most > 1
-    assert twice > 0
+        split_brains += model.most_leaders > 1
+    assert split_brains > 0
 
 
-def test_the_model_bites_when_campaigns_ignore_promises(monkeypatch):
+def test_the_model_finds_campaigns_that_ignore_votes(monkeypatch):
     monkeypatch.setattr(ExtensionVoter, "may_campaign", lambda self, now: True)
-    twice = 0
+    split_brains = 0
     for seed in range(12):
         model = Model(seed)
         model.play()
-        twice += model.most > 1
-    assert twice > 0
+        split_brains += model.most_leaders > 1
+    assert split_brains > 0
 
 
 @pytest.mark.parametrize(
@@ -211,7 +215,7 @@
         ({"max_extension_s": 39.0}, "cancel_s"),
     ],
 )
-def test_lengths_that_break_the_argument_are_refused(change, word):
+def test_timings_that_break_the_safety_argument_are_refused(change, word):
     good = ElectionTimings(
         leader_ttl_s=3.0,
         vote_s=1.0,
@@ -224,11 +228,11 @@
         dataclasses.replace(good, **change).check()
 
 
-def test_an_earlier_run_of_the_same_member_is_ended_at_once():
+def test_the_lease_of_an_earlier_run_of_the_same_member_is_revoked_at_once():
     model = Model(3)
     for _ in range(200):
         model.step()
-    (leader,) = model.led
+    (leader,) = model.past_leaders
     before = model.nodes[leader].token
     model.boot(leader)
     for _ in range(20):
@@ -239,7 +243,7 @@
     assert model.nodes[leader].token > before
 
 
-def campaign_on_its_way():
+def campaign_in_flight():
     """A model, a member whose campaign is sent and not carried out, its time and that call."""
     model = Model(5)
     node = model.nodes["a"]
@@ -266,7 +270,7 @@
 def test_a_late_campaign_does_not_set_the_counter_back():
     # Guards the token in the campaign's conditions: the key's absence alone lets it in after others
     # have led, and the next winner would command under a token that was used before.
-    model, _, _, sent = campaign_on_its_way()
+    model, _, _, sent = campaign_in_flight()
     for token in (1, 2):
         won = [PutKey("c/lead", {"member": "b", "token": token, "lease": 77})]
         won.append(PutKey("c/token", {"token": token, "member": "b"}))
@@ -278,19 +282,20 @@
     assert statuses == [409] and model.state.data["c/token"][0]["token"] == 2
 
 
-@pytest.mark.parametrize("over", ["lease ended", "lease gone", "token seen"])
-def test_a_campaign_without_an_answer_keeps_its_member_from_promising_until_it_is_over(over):
-    # Guards whoever holds the vote_s: the late win would be this member's, which after a restart
-    # keeps no promise. It is over once the lease is certainly gone or another token is stored.
-    _, node, now, sent = campaign_on_its_way()
+@pytest.mark.parametrize("settled_by", ["lease ended", "lease gone", "token stored"])
+def test_a_member_with_an_unresolved_campaign_does_not_vote(settled_by):
+    # Guards the leader that relies on the vote: the late win would be this member's, which after a
+    # restart is not bound by its votes. The campaign is resolved once its lease is certainly gone
+    # or another token is stored.
+    _, node, now, sent = campaign_in_flight()
     sent.on_done(now, CallOutcome(0))
     (drop,) = node.context.out.calls
     assert (drop.method, node.campaign.in_progress) == ("DELETE", False)
     assert not votes(node, now)
-    if over == "token seen":
+    if settled_by == "token stored":
         node.on_watch_event(now, "c/token", b'{"token":1,"member":"b"}', 50)
     else:
         drop.on_done(now, CallOutcome(503))
         assert not votes(node, now)
-        drop.on_done(now, CallOutcome(200 if over == "lease ended" else 404))
+        drop.on_done(now, CallOutcome(200 if settled_by == "lease ended" else 404))
     assert votes(node, now)
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("length", [1.0, 1.2, 2.0])
 def test_a_leader_is_refused_alone_for_about_the_life_of_its_key(length):
-    """Its key ends while promises carry it, it wins again: members must get grants again."""
+    """Its key expires while votes extend it, it wins again: members must get grants again."""
     specs = [job(n, tasks=4, run_s=40.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=True)
     old = simulation.leader()
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_leader_on_a_bridge_wins_again_while_the_others_cannot_see_it(seed):
+def test_a_leader_on_extension_wins_again_while_the_others_cannot_see_it(seed):
     specs = [job(n, tasks=4, run_s=40.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=True, seed=seed)
     old, life = simulation.leader(), 0.22 * simulation.lease_s
--- a/tests/test_freshness.py
+++ b/tests/test_watch_cache_age.py
@@ -1,4 +1,4 @@
-"""Stories of controllers that command on a view of the records that is too old."""
+"""Controllers whose watch cache is too old to command workers."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     return simulation
 
 
-def watch_cancelled(simulation, seconds):
+def check_cancelled_for(simulation, seconds):
     """Pass time, looking at the rules as it goes."""
     end = simulation.now + seconds
     while simulation.now < end:
@@ -43,14 +43,14 @@
     simulation.state.down = True
     simulation.run(0.5)
     simulation.refused.discard(old)
-    watch_cancelled(simulation, 1.6 * simulation.cancel_s)
+    check_cancelled_for(simulation, 1.6 * simulation.cancel_s)
     assert running(simulation) == 0 and not simulation.violations
     simulation.outage_over()
-    watch_cancelled(simulation, 20.0)
+    check_cancelled_for(simulation, 20.0)
     assert not simulation.violations
 
 
-def test_an_owner_refused_alone_passes_its_shard_on():
+def test_an_owner_that_the_store_refuses_alone_loses_its_shard():
     simulation = started_simulation(partitioned=True)
     leader = simulation.leader()
     shares = simulation.nodes[leader].cluster_manager.shards.values()
@@ -64,11 +64,11 @@
     other = next(n for n in simulation.names if n not in (owner, leader))
     for n in range(1, 5):
         assert simulation.cancel(f"req-{n:06d}", other)
-    watch_cancelled(simulation, 2.0 * simulation.cancel_s)
+    check_cancelled_for(simulation, 2.0 * simulation.cancel_s)
     assert running(simulation) == 0 and simulation.starts == starts and not simulation.violations
 
 
-def stuck_leader_day():
+def leader_with_hung_watch():
     """The watch of a leader that owns everything hangs while its key is renewed."""
     simulation = started_simulation()
     leader = simulation.leader()
@@ -81,24 +81,24 @@
     other = next(n for n in simulation.names if n != leader)
     for n in range(1, 5):
         simulation.cancel(f"req-{n:06d}", other)
-    watch_cancelled(simulation, 1.5 * simulation.cancel_s)
+    check_cancelled_for(simulation, 1.5 * simulation.cancel_s)
     return simulation
 
 
-def test_a_leader_whose_watch_is_stuck_while_its_key_is_renewed_gives_up_in_time():
-    simulation = stuck_leader_day()
+def test_a_leader_whose_watch_hangs_while_its_key_is_renewed_steps_down_in_time():
+    simulation = leader_with_hung_watch()
     assert running(simulation) == 0 and not simulation.violations
 
 
-def test_without_the_bound_on_the_view_that_day_breaks_a_rule(monkeypatch):
+def test_without_the_bound_on_the_watch_cache_that_day_breaks_a_rule(monkeypatch):
     monkeypatch.setattr(LeaderElection, "watch_cache_valid_until", lambda self: float("inf"))
     monkeypatch.setattr(PeerHeartbeats, "is_behind", lambda self, consistent_at: False)
     with pytest.raises(AssertionError):
-        simulation = stuck_leader_day()
+        simulation = leader_with_hung_watch()
         assert not simulation.violations
 
 
-def test_a_leader_whose_watch_is_stuck_hands_over_to_one_that_sees_more():
+def test_a_leader_whose_watch_hangs_is_replaced_by_an_up_to_date_member():
     simulation = started_simulation()
     leader, starts = simulation.leader(), simulation.starts
     simulation.watches_blocked.add(leader)
@@ -107,7 +107,7 @@
     assert running(simulation) == 8 and simulation.starts == starts and not simulation.violations
 
 
-def test_a_view_is_fresh_only_once_its_list_is_whole():
+def test_a_watch_cache_is_consistent_only_once_its_list_is_complete():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     watch_cache = simulation.nodes["n0"].watch_cache
@@ -122,7 +122,7 @@
     assert watch_cache.consistent_at > before + 5.0
 
 
-def test_a_cancellation_is_heard_of_before_the_view_shows_it():
+def test_a_cancellation_is_announced_before_the_watch_delivers_it():
     simulation = started_simulation()
     simulation.run_until(
         lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
@@ -141,7 +141,7 @@
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_only_members_proven_to_know_it_are_told_of_a_cancellation():
+def test_a_cancellation_is_announced_only_to_upgraded_members():
     simulation = started_simulation()
     simulation.run_until(
         lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
