--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -27,26 +27,14 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.grant_client import GrantClient
+from copperpass.core.shards.partitioning import shards_of
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.storage.cached_inventory import CachedInventory
-from copperpass.protocol.frames.messages import MAX_SHARDS, Frame, ShardAssignment
-from copperpass.settings import Cluster, Settings
+from copperpass.protocol.frames.messages import Frame, ShardAssignment
+from copperpass.settings import Settings
 from copperpass.tuning import Tuning
 
 
-def shards_of(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
-    """The shard of each team: one each, or one for all where a controller can carry them.
-
-    Partitioning costs capacity, since a machine serves one shard at a time; it pays where the
-    teams' guarantees are more than one controller's processor should command.
-    """
-    guaranteed = sum(team.cpus for team in cluster.teams)
-    partitioned = guaranteed > tuning.part_cpus_per_core * cluster.resources.cores
-    if not partitioned:
-        return {team.name: 0 for team in cluster.teams}
-    return {team.name: number % MAX_SHARDS for number, team in enumerate(cluster.teams)}
-
-
 class Node:
     """The state machine that the reactor side feeds and drains.
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,8 +7,8 @@
 from copperpass.core.autoscaling.bin_packing import pack_tasks, without_exhausted
 from copperpass.core.autoscaling.free_capacity import FreeCapacity
 from copperpass.core.autoscaling.scale_out_plan import MAX_MACHINES_PER_CALL, max_machines_per_plan
-from copperpass.core.node.node import shards_of
 from copperpass.core.ports import Outbox
+from copperpass.core.shards.partitioning import shards_of
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
 from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME, encode_frame
