--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -27,7 +27,7 @@
 from copperpass.core.election.token_counter import FencingTokenCounter
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, LEADER_KEY
 from copperpass.log_events import LogEvent, LogLevel, StepDownReason
-from copperpass.protocol.frames.messages import Frame, LeaseExtensionRequest, LeaseExtensionVote
+from copperpass.protocol.frames.messages import LeaseExtensionRequest, LeaseExtensionVote
 from copperpass.protocol.records import LeaderRecord
 
 
@@ -148,12 +148,14 @@
             # An earlier run of this member still holds the key: that process is gone.
             self.lease.release(now, leader.lease)
 
-    def on_frame(self, now: float, sender: str, frame: Frame) -> None:
-        """A frame of the election from another member."""
-        if isinstance(frame, LeaseExtensionRequest):
-            self.voter.on_request(now, sender, frame, self._may_vote())
-        elif isinstance(frame, LeaseExtensionVote) and self.is_leader and frame.token == self.token:
-            self.extension.on_vote(sender, frame)
+    def on_extension_request(self, now: float, sender: str, request: LeaseExtensionRequest) -> None:
+        """A leader requests this member's vote."""
+        self.voter.on_request(now, sender, request, self._may_vote())
+
+    def on_extension_vote(self, now: float, sender: str, vote: LeaseExtensionVote) -> None:
+        """A peer has voted; votes for an earlier term don't count."""
+        if self.is_leader and vote.token == self.token:
+            self.extension.on_vote(sender, vote)
 
     def _may_vote(self) -> bool:
         # Until the counter is known, a higher token may have been won, by this very member too. A
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -138,7 +138,7 @@
 
     def votes():
         out.frames.clear()
-        core.on_frame(51.1, "n1", LeaseExtensionRequest(0, 3))
+        core.on_extension_request(51.1, "n1", LeaseExtensionRequest(0, 3))
         return out.frames[0][1].granted
 
     assert not votes()
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -115,7 +115,11 @@
                 self.hung_until[member] - self.now, lambda: self.deliver(sender, member, frame)
             )
             return
-        self.nodes[member].on_frame(self.clock(member), sender, frame)
+        node = self.nodes[member]
+        if isinstance(frame, LeaseExtensionRequest):
+            node.on_extension_request(self.clock(member), sender, frame)
+        else:
+            node.on_extension_vote(self.clock(member), sender, frame)
         self.drain(member)
 
     def call(self, name, node, call):
@@ -262,7 +266,7 @@
 
 def votes(node, now, token=9):
     node.context.out.frames.clear()
-    node.on_frame(now, "b", LeaseExtensionRequest(token, 1))
+    node.on_extension_request(now, "b", LeaseExtensionRequest(token, 1))
     ((_, answer),) = node.context.out.frames
     return answer.granted
 
