--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -11,7 +11,7 @@
 from copperpass.core.scheduling.context import Images
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
-from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME
+from copperpass.protocol.frames.format import MAX_REQUESTS_PER_FRAME
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
     Grant,
--- /dev/null
+++ b/src/copperpass/protocol/frames/member_codecs.py
@@ -0,0 +1,135 @@
+"""The payloads of what members exchange as such: election, display, relayed heartbeats."""
+
+from __future__ import annotations
+
+import struct
+from typing import Any
+
+from copperpass.errors import FrameError
+from copperpass.protocol.frames.format import MAX_PAYLOAD_BYTES, FrameKind
+from copperpass.protocol.frames.messages import (
+    Hello,
+    JobCancelled,
+    LeaseExtensionRequest,
+    LeaseExtensionVote,
+    MemberHeartbeat,
+    RelayedAnswer,
+    RelayedHeartbeat,
+    RunningCounts,
+)
+from copperpass.protocol.frames.payload import (
+    FrameCodec,
+    PayloadReader,
+)
+
+_MEMBER_HEARTBEAT = struct.Struct("!QI")
+_LEASE_EXTENSION_REQUEST = struct.Struct("!QQ")
+_LEASE_EXTENSION_VOTE = struct.Struct("!QQB")
+_RUNNING_COUNT = struct.Struct("!BI")
+_RELAYED_HEARTBEAT = struct.Struct("!I")
+_RELAYED_ANSWER = struct.Struct("!IH")
+
+
+def _encode_member_heartbeat(frame: MemberHeartbeat) -> bytes:
+    return _MEMBER_HEARTBEAT.pack(frame.token, frame.state_age_ms)
+
+
+def _encode_lease_extension_request(frame: LeaseExtensionRequest) -> bytes:
+    return _LEASE_EXTENSION_REQUEST.pack(frame.token, frame.number)
+
+
+def _encode_lease_extension_vote(frame: LeaseExtensionVote) -> bytes:
+    return _LEASE_EXTENSION_VOTE.pack(frame.token, frame.number, frame.granted)
+
+
+def _decode_lease_extension_vote(reader: PayloadReader) -> LeaseExtensionVote:
+    token, number, granted = reader.unpack(_LEASE_EXTENSION_VOTE)
+    reader.finish()
+    if granted > 1:
+        raise FrameError("a vote is neither 0 nor 1")
+    return LeaseExtensionVote(token, number, bool(granted))
+
+
+def _encode_running_counts(frame: RunningCounts) -> bytes:
+    """As many counts as one payload holds: they only serve display."""
+    parts: list[bytes] = []
+    size = 0
+    for job_id, count in frame.running.items():
+        name = job_id.encode()
+        size += _RUNNING_COUNT.size + len(name)
+        if size > MAX_PAYLOAD_BYTES:
+            break
+        parts.append(_RUNNING_COUNT.pack(len(name), count) + name)
+    return b"".join(parts)
+
+
+def _decode_running_counts(reader: PayloadReader) -> RunningCounts:
+    running: dict[str, int] = {}
+    while not reader.at_end():
+        size, count = reader.unpack(_RUNNING_COUNT)
+        running[reader.take(size).decode()] = count
+    return RunningCounts(running)
+
+
+def _encode_relayed_heartbeat(frame: RelayedHeartbeat) -> bytes:
+    return _RELAYED_HEARTBEAT.pack(frame.number) + frame.body
+
+
+def _decode_relayed_heartbeat(reader: PayloadReader) -> RelayedHeartbeat:
+    (number,) = reader.unpack(_RELAYED_HEARTBEAT)
+    return RelayedHeartbeat(number, reader.rest())
+
+
+def _encode_relayed_answer(frame: RelayedAnswer) -> bytes:
+    return _RELAYED_ANSWER.pack(frame.number, frame.status) + frame.body
+
+
+def _decode_relayed_answer(reader: PayloadReader) -> RelayedAnswer:
+    number, status = reader.unpack(_RELAYED_ANSWER)
+    return RelayedAnswer(number, status, reader.rest())
+
+
+MEMBER_CODECS: tuple[FrameCodec[Any], ...] = (
+    FrameCodec(
+        FrameKind.HELLO,
+        Hello,
+        lambda frame: frame.member.encode(),
+        lambda reader: Hello(reader.rest().decode()),
+    ),
+    FrameCodec(
+        FrameKind.MEMBER_HEARTBEAT,
+        MemberHeartbeat,
+        _encode_member_heartbeat,
+        lambda reader: MemberHeartbeat(*reader.unpack(_MEMBER_HEARTBEAT)),
+    ),
+    FrameCodec(
+        FrameKind.LEASE_EXTENSION_REQUEST,
+        LeaseExtensionRequest,
+        _encode_lease_extension_request,
+        lambda reader: LeaseExtensionRequest(*reader.unpack(_LEASE_EXTENSION_REQUEST)),
+    ),
+    FrameCodec(
+        FrameKind.LEASE_EXTENSION_VOTE,
+        LeaseExtensionVote,
+        _encode_lease_extension_vote,
+        _decode_lease_extension_vote,
+    ),
+    FrameCodec(
+        FrameKind.RUNNING_COUNTS, RunningCounts, _encode_running_counts, _decode_running_counts
+    ),
+    FrameCodec(
+        FrameKind.RELAYED_HEARTBEAT,
+        RelayedHeartbeat,
+        _encode_relayed_heartbeat,
+        _decode_relayed_heartbeat,
+    ),
+    FrameCodec(
+        FrameKind.RELAYED_ANSWER, RelayedAnswer, _encode_relayed_answer, _decode_relayed_answer
+    ),
+    FrameCodec(
+        FrameKind.JOB_CANCELLED,
+        JobCancelled,
+        lambda frame: frame.job.encode(),
+        lambda reader: JobCancelled(reader.rest().decode()),
+    ),
+)
--- a/src/copperpass/protocol/frames/stream.py
+++ b/src/copperpass/protocol/frames/stream.py
@@ -3,13 +3,8 @@
 from __future__ import annotations
 
 from copperpass.errors import FrameError, NewerFrameError
-from copperpass.protocol.frames.codec import (
-    FRAME_VERSION,
-    HEADER,
-    MAGIC,
-    MAX_PAYLOAD_BYTES,
-    decode_payload,
-)
+from copperpass.protocol.frames.codec import decode_payload
+from copperpass.protocol.frames.format import FRAME_VERSION, HEADER, MAGIC, MAX_PAYLOAD_BYTES
 from copperpass.protocol.frames.messages import Frame, UnknownFrame
 
 
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -8,13 +8,8 @@
 
 from copperpass.errors import FrameError
 from copperpass.net import peers
-from copperpass.protocol.frames.codec import (
-    FRAME_VERSION,
-    HEADER,
-    MAGIC,
-    FrameKind,
-    encode_frame,
-)
+from copperpass.protocol.frames.codec import encode_frame
+from copperpass.protocol.frames.format import FRAME_VERSION, HEADER, MAGIC, FrameKind
 from copperpass.protocol.frames.messages import (
     NEVER_ANSWERED,
     CapacityRequests,
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,7 +11,8 @@
 from copperpass.core.shards.partitioning import shards_of
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
-from copperpass.protocol.frames.codec import MAX_REQUESTS_PER_FRAME, encode_frame
+from copperpass.protocol.frames.codec import encode_frame
+from copperpass.protocol.frames.format import MAX_REQUESTS_PER_FRAME
 from copperpass.protocol.frames.messages import (
     MAX_SHARDS,
     NO_SHARD,
