--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """Fixtures of several test modules."""
 
 import threading
+from typing import Any
 
 import pytest
 
@@ -15,8 +16,10 @@
     """A running twisted reactor: one a process, since it can't be started again."""
     from twisted.internet import reactor
 
-    thread = threading.Thread(target=lambda: reactor.run(installSignalHandlers=False), daemon=True)
+    # Twisted's module is typed as the interfaces of what it holds.
+    running: Any = reactor
+    thread = threading.Thread(target=lambda: running.run(installSignalHandlers=False), daemon=True)
     thread.start()
-    yield reactor
-    reactor.callFromThread(reactor.stop)
+    yield running
+    running.callFromThread(running.stop)
     thread.join(10)
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -69,7 +69,7 @@
             self.peer = importlib.import_module(f"{PACKAGE}.peer")
             self.wire = importlib.import_module(f"{PACKAGE}.wire")
             self.settings = importlib.import_module(f"{PACKAGE}.settings")
-            assert Path(self.core.__file__).is_relative_to(source)
+            assert Path(str(self.core.__file__)).is_relative_to(source)
             self._resolve_messages()
         finally:
             sys.path.remove(str(source))
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -4,6 +4,7 @@
 
 import itertools
 import json
+from typing import Any
 
 from tests.fakes.worker import Worker
 
@@ -13,7 +14,9 @@
 
     def __init__(self, simulation):
         self.simulation = simulation
-        self.bookings, self.machines, self.names = {}, {}, itertools.count(1)
+        self.bookings: dict[str, list[str]] = {}
+        self.machines: dict[str, dict[str, Any]] = {}
+        self.names = itertools.count(1)
         self.offer = list(simulation.deployment.offer)
         self.capacity = dict(simulation.deployment.capacity)
         # Between what bounds the time lies that a machine takes to boot.
@@ -80,7 +83,8 @@
     def boot(self, name):
         machine = self.machines.get(name)
         if machine:
-            machine["worker"] = Worker(self.simulation, name, *machine["place"], machine["kind"])
+            zone, spot = machine["place"]
+            machine["worker"] = Worker(self.simulation, name, zone, spot, machine["kind"])
 
     def take(self, name):
         machine = self.machines.pop(name, None)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -4,6 +4,7 @@
 
 import json
 import random
+from typing import Any
 
 from tests.deployments import TYPE
 
@@ -15,7 +16,8 @@
         self.simulation, self.name, self.zone, self.spot = simulation, name, zone, spot
         self.kind = kind
         self.agent_epoch, self.sequence, self.token = 1, 0, 0
-        self.tasks = {}
+        # By task and attempt: the state, and what more there is to know of it.
+        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.renewed = simulation.now
         self.alive = True
         self.failing = False
@@ -212,14 +214,13 @@
                 "saved": False,
             }
             return
-        self.tasks[key] = {"state": "pulling", "cpus": spec["cpus"]}
-        mark = self.tasks[key]
+        mark = self.tasks[key] = {"state": "pulling", "cpus": spec["cpus"]}
         if spec["form"] == "ensemble":
             mark["gang"] = self.simulation.gang(task.split("/")[0], key[1])
         fetch_s = self.simulation.fetch_s.get(task, 0.3)
         self.simulation.after(fetch_s, lambda: self.begin(key, mark, spec))
 
-    def begin(self, key, mark, spec):
+    def begin(self, key, mark: dict[str, Any], spec):
         if not self.alive or self.tasks.get(key) is not mark or mark["state"] != "pulling":
             return
         if self.held_up(mark, lambda: self.begin(key, mark, spec)):
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -21,6 +21,7 @@
     for n, tasks in enumerate(sizes, 1):
         record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), JobSpec))
         made = make_job(record, 1, service.now)
+        assert made is not None
         table.jobs[made.spec.id] = made
     return table
 
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -105,7 +105,7 @@
         truth = service.truth()
         inventory = service.inventory()
         left = iter(["served"] * steps)
-        service.fate = lambda body, left=left: next(left, fate)
+        service.fate = lambda body, left=left: next(left, fate)  # type: ignore[misc]
         for _ in range(200):
             service.step(inventory)
             assert service.truth() == truth
--- a/tests/test_odd_submissions.py
+++ b/tests/test_odd_submissions.py
@@ -1,11 +1,12 @@
 """Submissions that are malformed, can never run, or only look odd."""
 
 import json
+from typing import Any
 
 from tests.request_bodies import job
 from tests.simulation import Simulation
 
-ODD = [
+ODD: list[tuple[int, dict[str, Any]]] = [
     (400, {"cpus": True}),
     (400, {"cpus": "4.0"}),
     (400, {"pages": True}),
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -145,7 +145,9 @@
             looks.append(spec.id)
             return super().reserve(spec, limit, horizon)
 
-    capacities = [Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)]
+    capacities: list[FreeCapacity] = [
+        Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)
+    ]
     waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
         assert pack_tasks(capacities, each.spec, 2, 0.0, set()) == 2
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -3,6 +3,7 @@
 import pytest
 
 from copperpass import settings as settings_module
+from copperpass.errors import SettingsError
 from copperpass.protocol.json_codec import encode
 from tests.request_bodies import job, raw_settings
 from tests.simulation import Simulation
@@ -17,7 +18,7 @@
     higher = settings_module.parse(raw_settings(coming={**COMING, "value_kb": 64.0}))
     assert higher.cluster.state.least_value_bytes == 32768
     for field, value in (("write_rps", 0), ("value_kb", -1.0), ("txn_ops", 3), ("txn_ops", "x")):
-        with pytest.raises(settings_module.SettingsError, match=f"next.{field}"):
+        with pytest.raises(SettingsError, match=f"next.{field}"):
             settings_module.parse(raw_settings(coming={**COMING, field: value}))
 
 
