--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -19,7 +19,7 @@
     simulation_with,
 )
 from tests.request_bodies import gang, job
-from tests.test_shard_scheduler import SchedulerBench
+from tests.scheduler_bench import SchedulerBench
 
 
 class GangBench(SchedulerBench):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,7 +19,7 @@
 from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
 from copperpass.settings import parse
 from tests.request_bodies import raw_settings
-from tests.test_shard_scheduler import SchedulerBench
+from tests.scheduler_bench import SchedulerBench
 
 
 def heartbeat_body(name, tasks, token, agent_epoch, sequence):
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -8,7 +8,7 @@
 from copperpass.core.scheduling.task_estimates import preemption_cost, worth_checkpointing
 from copperpass.protocol.workers import TaskState
 from tests.request_bodies import job
-from tests.test_shard_scheduler import SchedulerBench
+from tests.scheduler_bench import SchedulerBench
 
 URGENT, PATIENT = {"urgency": "high"}, {"urgency": "low", "slot": "slow"}
 
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -5,119 +5,14 @@
 
 import pytest
 
-from copperpass import settings as settings_module
-from copperpass.core.jobs.job_table import JobTable
-from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import CallOutcome, Outbox
-from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.ports import CallOutcome
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.routing import base_token
-from copperpass.protocol.frames.messages import MachineContact, MachineRoute, Occupancy
+from copperpass.protocol.frames.messages import MachineContact
 from copperpass.protocol.json_codec import encode
-from copperpass.protocol.workers import CommandKind, ExitCause, TaskStatus, WorkerHeartbeat
-from tests.deployments import TYPE, machine_types
-from tests.request_bodies import job, raw_settings
-
-
-class SchedulerBench:
-    """A leader with one machine, driven by hand."""
-
-    def __init__(self):
-        cluster = settings_module.parse(raw_settings()).cluster
-        self.out, self.jobs, self.now = Outbox(), JobTable(), 10.0
-        self.consistent_at = float("-inf")
-        transactions = TransactionQueue(self.out, 60.0, 16, 1.0)
-        types = machine_types(TYPE)
-        self.token = base_token(1, 1)
-        context = SchedulerContext(
-            cluster,
-            self.out,
-            transactions,
-            self.jobs,
-            types,
-            {},
-            shard=0,
-            shards={t.name: 0 for t in cluster.teams},
-            epoch=1,
-            generation=1,
-            token_version=lambda: 50,
-            has_authority=lambda now: True,
-            consistent_at=lambda: self.consistent_at,
-        )
-        self.owner = ShardScheduler(context, revision=50, now=self.now)
-        self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
-        self.owner.on_route(self.now, self.entry)
-        self.owner.begin(self.now)
-        self.sequence = 0
-        self.worker_heartbeat([], token=0)
-        self.worker_heartbeat([])
-
-    def take_over(self, name, **more):
-        """Learn of a machine that an earlier commander may have used."""
-        self.owner.on_route(
-            self.now,
-            MachineRoute(
-                name,
-                "box",
-                "a",
-                True,
-                0,
-                base_token(1, 9),
-                Occupancy.ANY_SHARD,
-                recorded=True,
-                **more,
-            ),
-        )
-        return self.owner.machines[name]
-
-    def worker_heartbeat(self, tasks, token=None, agent_epoch=1, sequence=None):
-        self.now += 1.0
-        if sequence is None:
-            self.sequence += 1
-            sequence = self.sequence
-        return self.owner.worker_heartbeat(
-            self.now, self.message(tasks, token, agent_epoch, sequence)
-        )
-
-    def message(self, tasks, token=None, agent_epoch=1, sequence=0):
-        return WorkerHeartbeat(
-            "m-1",
-            "10.0.0.9:1",
-            "box",
-            "a",
-            True,
-            agent_epoch,
-            sequence,
-            self.token if token is None else token,
-            None,
-            [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
-        )
-
-    def answer_state(self, status=200):
-        for call in self.take("state"):
-            call.on_done(self.now, CallOutcome(status, b'{"issue":60}'))
-
-    def take(self, service):
-        found = [c for c in self.out.calls if c.service == service]
-        self.out.calls[:] = [c for c in self.out.calls if c.service != service]
-        return found
-
-    def add(self, number=1, tasks=1, version=70):
-        record = json.dumps({"spec": job(number, tasks=tasks)}).encode()
-        self.jobs.saw(self.now, f"c/live/req-{number:06d}", record, version)
-
-    def start(self, tasks=1):
-        self.add(tasks=tasks)
-        self.owner.dispatch_round(self.now)
-        (call,) = self.take("worker")
-        orders = json.loads(call.body)["orders"]
-        assert [o["verb"] for o in orders] == ["run"] * tasks
-        return call, orders[0]["take"]
-
-    @property
-    def job(self):
-        return self.jobs.jobs["req-000001"]
+from copperpass.protocol.workers import CommandKind, TaskStatus, WorkerHeartbeat
+from tests.request_bodies import job
+from tests.scheduler_bench import SchedulerBench
 
 
 def test_an_unanswered_start_stays_possible_until_a_higher_token_is_seen():
@@ -166,34 +61,6 @@
     assert late.commands == [] and bench.job.placed == {0: "m-1"}
 
 
-def test_done_is_cleared_only_when_stored_and_past_repeats_of_its_start():
-    bench = SchedulerBench()
-    call, attempt = bench.start()
-    ended = [("req-000001/0", attempt, "exited", "done")]
-    call.on_done(
-        bench.now,
-        CallOutcome(
-            200,
-            encode(
-                bench.message(
-                    [("req-000001/0", attempt, "running", None)], sequence=bench.sequence + 1
-                )
-            ),
-        ),
-    )
-    bench.sequence += 1
-    answer = bench.worker_heartbeat(ended)
-    assert answer.commands == []
-    bench.answer_state(0)
-    assert bench.worker_heartbeat(ended).commands == [], "no answer: it may not be stored"
-    bench.owner.results.store(bench.now, bench.job)
-    bench.answer_state(200)
-    answer = bench.worker_heartbeat(ended)
-    assert answer.commands == [] and answer.token > bench.token
-    bench.token = answer.token
-    assert [c.op for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
-
-
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
     bench = SchedulerBench()
     call, attempt = bench.start()
@@ -379,56 +246,6 @@
     assert json.loads(again.body)["orders"][0]["take"] > attempt
 
 
-def test_ends_of_many_jobs_are_stored_in_one_record_and_then_cleared():
-    bench = SchedulerBench()
-    for number in (1, 2):
-        bench.add(number, tasks=2)
-    bench.owner.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
-    takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
-    ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
-    call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
-    )
-    bench.sequence += 1
-    bench.now += bench.owner.completions.context.interval_s
-    bench.owner.completions.tick(bench.now)
-    (write,) = bench.take("state")
-    (put,) = json.loads(write.body)["writes"]
-    assert put["put"].startswith("c/ends/") and set(put["value"]) == {"req-000001", "req-000002"}
-    job = bench.jobs.jobs["req-000001"]
-    assert not any(p.stored for p in bench.owner.machines["m-1"].tasks.values())
-    write.on_done(bench.now, CallOutcome(200, b'{"issue":90}'))
-    assert job.is_done(0) and job.waiting() == 0
-    assert sum(p.stored for p in bench.owner.machines["m-1"].tasks.values()) == 2
-
-
-def test_an_applied_write_without_an_answer_is_learned_from_the_watch():
-    bench = SchedulerBench()
-    call, attempt = bench.start(tasks=2)
-    ended = [("req-000001/0", attempt, "exited", "done")]
-    call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
-    )
-    bench.owner.completions.tick(bench.now + 5)
-    (write,) = bench.take("state")
-    put = json.loads(write.body)["writes"][0]
-    write.on_done(bench.now, CallOutcome(0))
-    bench.jobs.saw_completions(put["put"], json.dumps(put["value"]).encode())
-    assert bench.job.is_done(0) and not bench.job.finished and not bench.job.results
-
-
-def test_a_job_whose_ends_were_all_stored_by_an_earlier_authority_still_ends():
-    # The record of ends was written with the last end in it, and then that leader was gone.
-    bench = SchedulerBench()
-    bench.add(tasks=2)
-    bench.jobs.saw_completions("c/ends/0", b'{"req-000001":"Aw=="}')
-    assert bench.job.done_count == 2
-    bench.owner.scan(bench.now)
-    (write,) = bench.take("state")
-    assert [w.get("put") for w in json.loads(write.body)["writes"]] == [None, "d/job/req-000001"]
-
-
 def test_an_owner_that_has_not_begun_does_not_keep_alive_what_may_be_cancelled():
     bench = SchedulerBench()
     bench.owner.state.ready = False
@@ -459,31 +276,6 @@
     assert not bench.take("worker"), "the rest of the room is still held"
 
 
-def test_a_task_that_is_done_while_another_attempt_of_it_is_placed_counts_once():
-    # Guards the tasks beside it: counted twice, it hides one that waits, for as long as the other
-    # attempt runs, although there is room.
-    bench = SchedulerBench()
-    bench.add(tasks=2)
-    # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
-    bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
-    assert bench.job.placed == {0: "m-1"}
-    bench.jobs.saw_completions("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
-    assert bench.job.is_done(0) and 0 in bench.job.placed
-    assert bench.job.waiting() == 1
-    bench.owner.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
-    assert [(o["verb"], o["page"]) for o in json.loads(call.body)["orders"]] == [
-        ("run", "req-000001/1")
-    ]
-    # The same with an end that is reported and not stored, and with one that is stored by us.
-    bench.job.finished.add(1)
-    assert bench.job.waiting() == 0 and bench.job.ended()
-    bench.job.stored([1])
-    assert bench.job.waiting() == 0 and bench.job.placed == {0: "m-1", 1: "m-1"}
-    bench.worker_heartbeat([("req-000001/0", 5, "exited", ExitCause.DONE)])
-    assert bench.job.waiting() == 0 and 0 not in bench.job.placed
-
-
 def test_a_job_that_has_begun_and_is_left_out_for_long_gets_room_that_is_kept_too():
     # Its first task had ended, so it didn't count as left out, and waited beside idle machines
     # that were kept for others until they were given back.
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -30,11 +30,11 @@
 from copperpass.tuning import Tuning
 from tests.deployments import LARGE, TYPE, machine_types
 from tests.request_bodies import job, raw_settings
+from tests.scheduler_bench import SchedulerBench
 from tests.simulation import Simulation
 from tests.storage_harness import StorageHarness
 from tests.test_machine_inventory import fill
 from tests.test_order import made
-from tests.test_shard_scheduler import SchedulerBench
 
 MACHINES = 4200
 
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -6,8 +6,8 @@
 from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
 from copperpass.protocol.frames.messages import JobCancelled
 from tests.request_bodies import job
+from tests.scenarios import running
 from tests.simulation import Simulation
-from tests.test_end_to_end import running
 
 
 def started_simulation(partitioned=False, **more):
