--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -229,12 +229,12 @@
     ) -> None:
         """Plan new machines for the tasks that are still unplaced."""
         state, spec = self.state, search.spec
-        any_or_spot = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
+        purchase_option = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
         while search.unplaced > 0 and not plan.full and not self.inventory.full():
             query = GroupQuery(
                 spec=spec,
                 tasks=search.unplaced,
-                purchase_option=any_or_spot,
+                purchase_option=purchase_option,
                 excluded_types=search.excluded_types,
                 zone=search.zone,
                 machines_by_zone=plan.machines_by_zone,
