--- a/src/copperpass/protocol/kvstore.py
+++ b/src/copperpass/protocol/kvstore.py
@@ -13,7 +13,7 @@
 
 
 class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
-    """A key of the state service."""
+    """A key, its value, and the revision of its last write."""
 
     key: str
     value: msgspec.Raw
@@ -21,7 +21,7 @@
 
 
 class KeyPage(msgspec.Struct, rename={"more": "truncated", "revision": "issue"}):
-    """A page of keys."""
+    """Part of a listing, at a revision; `more` keys follow."""
 
     items: list[KeyValue]
     revision: int
@@ -29,7 +29,7 @@
 
 
 class WatchEvent(msgspec.Struct, rename={"delete": "remove", "version": "stamp"}):
-    """A change that a watch saw."""
+    """A change of one key: either its new value or its deletion."""
 
     version: int
     put: str | None = None
@@ -38,27 +38,27 @@
 
 
 class WatchAnswer(msgspec.Struct, rename={"events": "news", "revision": "issue"}):
-    """What a watch answers."""
+    """The changes that ended a wait, up to a revision."""
 
     events: list[WatchEvent]
     revision: int
 
 
 class TransactionApplied(msgspec.Struct, rename={"revision": "issue"}):
-    """An applied transaction."""
+    """A transaction that was applied, at a revision."""
 
     revision: int
 
 
 class TransactionConflict(msgspec.Struct, rename={"revision": "issue"}):
-    """A transaction whose conditions failed."""
+    """A transaction of which these guarded keys had other versions."""
 
     failed: list[str]
     revision: int = 0
 
 
 class LeaseCreated(msgspec.Struct, rename={"lease": "permit"}):
-    """A new lease of the state service."""
+    """A new lease, to which keys can be attached."""
 
     lease: int
 
--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -11,8 +11,6 @@
 from tests.fakes.state import State
 
 # Limits that the settings announce under `state.next`.
-
-
 COMING = {"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}
 
 
@@ -51,10 +49,10 @@
         return answers[0]
 
     def stored(self):
-        held = CachedInventory()
+        cached = CachedInventory()
         for key, (value, version, _) in self.state.data.items():
-            held.on_watch_event(key, json.dumps(value).encode(), version)
-        return held
+            cached.on_watch_event(key, json.dumps(value).encode(), version)
+        return cached
 
     def inventory(self, all_upgraded=True, limits_announced=True, rate=15.0, least=2048.0):
         token = self.win()
@@ -76,7 +74,7 @@
         return made
 
     def step(self, inventory):
-        """Serve what was asked, bring the watch's news, let a moment pass."""
+        """Serve what was asked, bring the events of the watch, let a moment pass."""
         calls, self.out.calls = self.out.calls, []
         for call in calls:
             fate = self.fate(json.loads(call.body))
@@ -84,12 +82,14 @@
             if fate == "late":
                 self.late.append(call)
             call.on_done(self.now, CallOutcome(*answer) if fate == "served" else CallOutcome(0))
-        before, held = getattr(self, "seen", {}), self.stored()
-        inventory.on_record_event(held.version)
-        for number in {*held.pages, *before}:
-            version = held.pages[number][1] if number in held.pages else self.state.revision
-            inventory.on_page_event(number, version, number in held.pages)
-        self.seen = dict(held.pages)
+        former, cached = getattr(self, "events", {}), self.stored()
+        inventory.on_record_event(cached.version)
+        for number in {*cached.pages, *former}:
+            version = (
+                cached.pages[number].version if number in cached.pages else self.state.revision
+            )
+            inventory.on_page_event(number, version, number in cached.pages)
+        self.events = dict(cached.pages)
         self.now += 0.05
         inventory.context.transactions.pump(self.now)
         inventory.tick(self.now)
@@ -99,8 +99,8 @@
             self.step(inventory)
 
     def truth(self):
-        """What a successor would know: bookings, machines, and which of them are up."""
-        held = self.stored()
+        """What a successor would know: pending requests, machines, and which of them are up."""
+        cached = self.stored()
         context = InventoryContext(
             transactions=TransactionQueue(Outbox(), 15.0, 5, 1.0),
             token_version=lambda: 0,
@@ -111,5 +111,5 @@
             deadline_s=1.0,
         )
         reader = MachineInventory(context)
-        reader.load(held.record, held.version, held.pages)
+        reader.load(cached.record, cached.version, cached.pages)
         return (dict(reader.pending_requests), dict(reader.machines), set(reader.up))
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -1,4 +1,4 @@
-"""The records of ends: pages that become too large, and masks that fit no page."""
+"""Pages of completed tasks: those that become too large, and masks that fit no page."""
 
 import json
 
@@ -15,32 +15,32 @@
 from tests.storage_harness import COMING, StorageHarness
 
 
-def ended_jobs(service, sizes):
+def live_jobs(harness, sizes):
     """Live jobs, by their numbers of tasks."""
     table = JobTable()
     for n, tasks in enumerate(sizes, 1):
         record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), JobSpec))
-        made = make_job(record, 1, service.now)
+        made = make_job(record, 1, harness.now)
         assert made is not None
         table.jobs[made.spec.id] = made
     return table
 
 
-def see_ends(service, table, versions):
-    for key, (value, version, _) in service.state.data.items():
+def watch_completions(harness, table, versions):
+    for key, (value, version, _) in harness.state.data.items():
         if key.startswith("c/ends/"):
             table.saw_completions(key, json.dumps(value).encode())
             versions[key] = version
 
 
-def writer(service, table):
+def make_store(harness, table):
     versions = {}
-    see_ends(service, table, versions)
-    service.out.calls.clear()
-    token = service.state.data["c/token"][1]
+    watch_completions(harness, table, versions)
+    harness.out.calls.clear()
+    token = harness.state.data["c/token"][1]
     context = CompletionContext(
         job_table=table,
-        transactions=TransactionQueue(service.out, 60.0, 5, 1.0),
+        transactions=TransactionQueue(harness.out, 60.0, 5, 1.0),
         token_version=lambda: token,
         versions=versions,
         shard=0,
@@ -52,78 +52,78 @@
     return CompletionStore(context)
 
 
-def gather(service, store, seconds=3.0):
-    """Let the writer of ends write; no end that is stored may be forgotten on the way."""
+def run_store(harness, store, seconds=3.0):
+    """Let the store write; no completion that is stored may be forgotten on the way."""
     for _ in range(int(seconds / 0.05)):
-        calls, service.out.calls = service.out.calls, []
+        calls, harness.out.calls = harness.out.calls, []
         for call in calls:
-            before = ends_stored(service, store.job_table.jobs)
-            call.on_done(service.now, CallOutcome(*service.serve(call)))
-            after = ends_stored(service, store.job_table.jobs)
+            before = stored_completions(harness, store.job_table.jobs)
+            call.on_done(harness.now, CallOutcome(*harness.serve(call)))
+            after = stored_completions(harness, store.job_table.jobs)
             assert all(before[i] <= after[i] for i in before)
-        service.now += 0.05
-        store.context.transactions.pump(service.now)
-        store.tick(service.now)
+        harness.now += 0.05
+        store.context.transactions.pump(harness.now)
+        store.tick(harness.now)
 
 
-def ends_stored(service, jobs):
-    """What a successor would know of each job's ends."""
-    table = ended_jobs(service, [j.spec.tasks for j in jobs.values()])
-    see_ends(service, table, {})
+def stored_completions(harness, jobs):
+    """What a successor would know of each job's completed tasks."""
+    table = live_jobs(harness, [j.spec.tasks for j in jobs.values()])
+    watch_completions(harness, table, {})
     return {i: {n for n in range(j.spec.tasks) if j.is_done(n)} for i, j in table.jobs.items()}
 
 
-def test_pages_of_ends_that_are_too_large_are_broken_up_and_no_end_is_lost():
-    service = StorageHarness()
-    service.win()
-    table = ended_jobs(service, [900] * 30)
-    service.put("c/ends/0.0", {i: pack_done(bytearray(b"\xff" * 112)) for i in table.jobs})
-    store = writer(service, table)
+def test_pages_that_are_too_large_are_split_and_no_completion_is_lost():
+    harness = StorageHarness()
+    harness.win()
+    table = live_jobs(harness, [900] * 30)
+    harness.put("c/ends/0.0", {i: pack_done(bytearray(b"\xff" * 112)) for i in table.jobs})
+    store = make_store(harness, table)
     first = table.jobs["req-000001"]
     for some in table.jobs.values():
         some.finished.add(899)
-        store.record(service.now, some)
-    gather(service, store)
-    stored = ends_stored(service, table.jobs)
+        store.record(harness.now, some)
+    run_store(harness, store)
+    stored = stored_completions(harness, table.jobs)
     assert all(899 in ends and len(ends) == 897 for ends in stored.values())
     assert not first.finished
-    pages = {k: v[0] for k, v in service.state.data.items() if k.startswith("c/ends/")}
+    pages = {k: v[0] for k, v in harness.state.data.items() if k.startswith("c/ends/")}
     assert max(len(json.dumps(v)) for v in pages.values()) <= 2048
     assert sorted(i for v in pages.values() for i in v) == sorted(table.jobs)
 
 
 def test_a_mask_that_fits_no_page_is_cut_once_the_limits_have_dropped():
-    service = StorageHarness()
-    service.win()
-    table = ended_jobs(service, [100_000, 40])
+    harness = StorageHarness()
+    harness.win()
+    table = live_jobs(harness, [100_000, 40])
     big, small = table.jobs.values()
     big.finished.update(range(0, 100_000, 7))
     small.finished.add(3)
-    store = writer(service, table)
+    store = make_store(harness, table)
     for some in table.jobs.values():
-        store.record(service.now, some)
-    gather(service, store)
+        store.record(harness.now, some)
+    run_store(harness, store)
     # Until then it is stored as older versions do, which read it so.
-    assert big.spec.id in str(service.state.data["c/ends/0.0"][0]) and not big.finished
-    service.state.drop(**COMING)
-    store = writer(service, table)
+    assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.finished
+    harness.state.drop(**COMING)
+    store = make_store(harness, table)
     big.finished.add(99_999)
-    store.record(service.now, big)
-    gather(service, store, 6.0)
+    store.record(harness.now, big)
+    run_store(harness, store, 6.0)
     expected = {*range(0, 100_000, 7), 99_999}
-    assert ends_stored(service, table.jobs) == {big.spec.id: expected, small.spec.id: {3}}
-    pages = {k: v[0] for k, v in service.state.data.items() if k.startswith("c/ends/")}
+    assert stored_completions(harness, table.jobs) == {big.spec.id: expected, small.spec.id: {3}}
+    pages = {k: v[0] for k, v in harness.state.data.items() if k.startswith("c/ends/")}
     assert max(len(json.dumps(v)) for v in pages.values()) <= 2048
-    # A successor goes on with the parts as they are; one more end is one more write.
-    table = ended_jobs(service, [100_000, 40])
-    store = writer(service, table)
-    gather(service, store, 1.0)
-    big, writes = table.jobs["req-000001"], service.state.writes
+    # A successor goes on with the parts as they are; one more completion is one more write.
+    table = live_jobs(harness, [100_000, 40])
+    store = make_store(harness, table)
+    run_store(harness, store, 1.0)
+    big, writes = table.jobs["req-000001"], harness.state.writes
     big.finished.add(50_001)
-    store.record(service.now, big)
-    gather(service, store, 6.0)
-    assert ends_stored(service, table.jobs)[big.spec.id] == {*expected, 50_001}
-    assert service.state.writes - writes <= len(pages) and not big.finished
+    store.record(harness.now, big)
+    run_store(harness, store, 6.0)
+    assert stored_completions(harness, table.jobs)[big.spec.id] == {*expected, 50_001}
+    assert harness.state.writes - writes <= len(pages) and not big.finished
     # An older version takes no harm from the parts: it knows no such jobs, and keeps the pages.
     old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
     theirs = old.core.JobTable()
@@ -132,79 +132,81 @@
     assert not theirs.jobs
 
 
-def late_segments(service, same_term):
+def late_segments(harness, same_term):
     """An earlier owner's segments of job 1 arrive while a new owner cuts job 2 into segments.
 
     Returns the new owner's jobs once it has written all it knows.
     """
-    service.state.drop(**COMING)
+    harness.state.drop(**COMING)
     tasks = [40_000, 40_000]
-    before = ended_jobs(service, tasks)
-    earlier = writer(service, before)
+    before = live_jobs(harness, tasks)
+    earlier = make_store(harness, before)
     earlier.max_page_bytes = earlier.context.page_bytes
     first = before.jobs["req-000001"]
     first.finished.update(range(0, 20_000, 3))
-    earlier.record(service.now, first)
-    earlier.tick(service.now + 1.0)
-    late, service.out.calls = service.out.calls, []
+    earlier.record(harness.now, first)
+    earlier.tick(harness.now + 1.0)
+    late, harness.out.calls = harness.out.calls, []
     assert late
     if not same_term:
-        service.win()
-    table = ended_jobs(service, tasks)
-    owner = writer(service, table)
+        harness.win()
+    table = live_jobs(harness, tasks)
+    owner = make_store(harness, table)
     owner.max_page_bytes = owner.context.page_bytes
     second = table.jobs["req-000002"]
     second.finished.update(range(0, 40_000, 5))
-    owner.record(service.now, second)
-    refused = [service.serve(call)[0] for call in late]
-    see_ends(service, table, owner.context.versions)
-    gather(service, owner, 6.0)
+    owner.record(harness.now, second)
+    refused = [harness.serve(call)[0] for call in late]
+    watch_completions(harness, table, owner.context.versions)
+    run_store(harness, owner, 6.0)
     return table, refused
 
 
 def test_segments_that_an_earlier_owner_writes_late_are_not_overwritten():
-    # An owner may follow another under the same token, which then refuses nothing: the ends that
-    # the watch shows as stored must not go, or a later owner would run those tasks again.
-    service = StorageHarness()
-    service.win()
-    table, refused = late_segments(service, same_term=True)
+    # An owner may follow another under the same token, which then refuses nothing: the completions
+    # that the watch shows as stored must not be lost, or a later owner would run those tasks again.
+    harness = StorageHarness()
+    harness.win()
+    table, refused = late_segments(harness, same_term=True)
     assert 200 in refused
     seen = {i: {n for n in range(40_000) if j.is_done(n)} for i, j in table.jobs.items()}
     assert seen["req-000001"] and len(seen["req-000002"]) == 8000
-    assert ends_stored(service, table.jobs) == seen
+    assert stored_completions(harness, table.jobs) == seen
 
 
-def test_ends_of_an_earlier_term_are_refused_when_they_come_late():
-    # Guards the token in the records of ends. Their keys' versions alone would let such a write in
-    # wherever the new owner has not written yet.
-    service = StorageHarness()
-    service.win()
-    table, refused = late_segments(service, same_term=False)
+def test_completions_of_an_earlier_term_are_refused_when_they_come_late():
+    # Guards the token in pages of completions. The versions of their keys alone would let such a
+    # write in wherever the new owner has not written yet.
+    harness = StorageHarness()
+    harness.win()
+    table, refused = late_segments(harness, same_term=False)
     assert set(refused) == {409}
-    assert not ends_stored(service, table.jobs)["req-000001"]
+    assert not stored_completions(harness, table.jobs)["req-000001"]
 
 
-def test_a_page_that_an_earlier_owner_writes_late_goes_only_when_its_ends_are_stored_elsewhere():
+def test_a_page_that_an_earlier_owner_writes_late_goes_only_when_it_is_stored_elsewhere():
     # As above, with whole masks: the late page says more of a job than the page it has by now.
-    service = StorageHarness()
-    service.win()
-    table = ended_jobs(service, [40, 40])
-    owner = writer(service, table)
+    harness = StorageHarness()
+    harness.win()
+    table = live_jobs(harness, [40, 40])
+    owner = make_store(harness, table)
     first, second = table.jobs.values()
     first.finished.add(1)
-    owner.record(service.now, first)
-    gather(service, owner, 1.0)
-    service.put("c/ends/0.1", {first.spec.id: "IA=="})
-    see_ends(service, table, owner.context.versions)
+    owner.record(harness.now, first)
+    run_store(harness, owner, 1.0)
+    harness.put("c/ends/0.1", {first.spec.id: "IA=="})
+    watch_completions(harness, table, owner.context.versions)
     assert first.is_done(5)
     page = owner.layout.page("c/ends/0.1")
     owner.layout.put(second, page)
     second.finished.add(2)
-    owner.record(service.now, second)
-    gather(service, owner, 3.0)
-    assert ends_stored(service, table.jobs) == {first.spec.id: {1, 5}, second.spec.id: {2}}
-    # Nothing waits for anything any more: further ends are stored as ever.
+    owner.record(harness.now, second)
+    run_store(harness, owner, 3.0)
+    assert stored_completions(harness, table.jobs) == {first.spec.id: {1, 5}, second.spec.id: {2}}
+    # Nothing waits for anything any more: further completions are stored as ever.
     first.finished.add(7)
-    owner.record(service.now, first)
-    gather(service, owner, 2.0)
-    assert ends_stored(service, table.jobs)[first.spec.id] == {1, 5, 7} and not first.finished
+    owner.record(harness.now, first)
+    run_store(harness, owner, 2.0)
+    assert (
+        stored_completions(harness, table.jobs)[first.spec.id] == {1, 5, 7} and not first.finished
+    )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records in the state service: the fleet's, the view of them, and whose writes go first."""
+"""The inventory's single record, the watch cache, and the priorities of writes."""
 
 import json
 
@@ -14,7 +14,7 @@
 from copperpass.protocol.records import InventoryRecord
 
 
-def test_users_writes_do_not_queue_behind_gathered_ones():
+def test_urgent_operations_do_not_queue_behind_batched_ones():
     out, order = Outbox(), []
     transactions = TransactionQueue(out, write_rps=10.0, max_writes=4, timeout=1.0)
     for n in range(30):
@@ -42,7 +42,7 @@
     assert "user" in order and now < 0.5 and len(order) < 20
 
 
-def inventory(version=0, record=None):
+def make_inventory(version=0, record=None):
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
     context = InventoryContext(
@@ -59,26 +59,26 @@
     return made, out
 
 
-def test_a_booking_is_stored_before_it_is_sent_and_names_its_machines_after():
-    made, out = inventory()
-    sent, place = [], MachineGroup("box", "a", True)
-    made.record_request(0.0, "b-1-1", place, 2, lambda now, ok: sent.append(ok))
+def test_a_request_is_stored_before_it_is_sent_and_its_machines_after():
+    made, out = make_inventory()
+    sent, group = [], MachineGroup("box", "a", True)
+    made.record_request(0.0, "b-1-1", group, 2, lambda now, ok: sent.append(ok))
     (write,) = out.calls
     body = json.loads(write.body)
     assert not sent and body["writes"][0]["value"]["places"][0]["booked"] == {"b-1-1": 2}
     assert {g["path"] for g in body["guards"]} == {"c/token", "c/fleet"}
     write.on_done(0.1, CallOutcome(200, b'{"issue":5}'))
     assert sent == [True]
-    # A successor that finds the booking repeats it; one that finds the names needn't.
+    # A successor that finds the request repeats it; one that finds the machines need not.
     value = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
-    successor, _ = inventory(5, value)
-    assert successor.pending_requests == {"b-1-1": (place, 2)}
+    successor, _ = make_inventory(5, value)
+    assert successor.pending_requests == {"b-1-1": (group, 2)}
     successor.record_answer(0.2, "b-1-1", ["m-1", "m-2"])
     assert not successor.pending_requests and set(successor.machines) == {"m-1", "m-2"}
 
 
 def test_a_machine_counts_as_stored_only_when_the_write_that_marks_it_has_been_applied():
-    made, out = inventory()
+    made, out = make_inventory()
     marked = []
     made.on_marks_stored = lambda now, names: marked.extend(names)
     made.mark_up(0.0, "m-1", MachineGroup("box", "a", True))
@@ -96,7 +96,7 @@
     assert sorted(marked) == ["m-1", "m-2"]
 
 
-def test_a_replayed_removal_does_not_take_a_newer_key():
+def test_a_replayed_deletion_does_not_delete_a_newer_key():
     # The listing read the key at 10; the watch then starts from an older revision and replays the
     # removal of the key's earlier life.
     out, seen = Outbox(), {}
