--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState, ManagedMachine
-from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
+from copperpass.core.shards.fencing_tokens import MAX_HANDOVERS, base_token
 from copperpass.protocol.frames.messages import (
     NO_SHARD,
     MachineContact,
@@ -38,7 +38,7 @@
 
     def handovers_exhausted(self) -> bool:
         """Whether there are hardly more tokens left than machines to disown."""
-        return self.handover >= MOST_HANDOVERS - len(self.state.machines) - HANDOVERS_KEPT
+        return self.handover >= MAX_HANDOVERS - len(self.state.machines) - HANDOVERS_KEPT
 
     def update(self, machine: ManagedMachine, **changes: object) -> None:
         """Change fields of a machine's route."""
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -13,7 +13,11 @@
 from copperpass.core.jobs.job_table import Job, JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
-from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
+from copperpass.core.shards.replication import (
+    ReplicationLog,
+    ReplicationReceiver,
+    ReplicationSender,
+)
 from copperpass.core.storage.cached_inventory import CachedInventory
 from copperpass.core.storage.inventory_writer import InventoryContext
 from copperpass.core.storage.machine_inventory import MachineInventory
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -12,7 +12,7 @@
 from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
-from copperpass.core.shards.routing import HANDOVER_SHIFT
+from copperpass.core.shards.fencing_tokens import HANDOVER_SHIFT
 from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.users import PRIORITY_LEVELS
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -10,7 +10,11 @@
 from copperpass.core.ports import Outbox
 from copperpass.core.scheduling.context import Images
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
-from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
+from copperpass.core.shards.replication import (
+    ReplicationLog,
+    ReplicationReceiver,
+    ReplicationSender,
+)
 from copperpass.protocol.frames.format import MAX_REQUESTS_PER_FRAME
 from copperpass.protocol.frames.messages import (
     CapacityRequests,
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -13,7 +13,7 @@
 from copperpass.core.election.timings import CLOCK_DRIFT
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
 from copperpass.core.ports import Call, CallOutcome
-from copperpass.core.shards.routing import ReplicationReceiver, ReplicationSender
+from copperpass.core.shards.replication import ReplicationReceiver, ReplicationSender
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.frames.messages import (
     Grant,
--- a/tests/scheduler_bench.py
+++ b/tests/scheduler_bench.py
@@ -8,7 +8,7 @@
 from copperpass.core.ports import CallOutcome, Outbox
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
-from copperpass.core.shards.routing import base_token
+from copperpass.core.shards.fencing_tokens import base_token
 from copperpass.protocol.frames.messages import MachineRoute, Occupancy
 from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
 from tests.deployments import TYPE, machine_types
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -2,7 +2,11 @@
 
 import random
 
-from copperpass.core.shards.routing import ReplicationLog, ReplicationReceiver, ReplicationSender
+from copperpass.core.shards.replication import (
+    ReplicationLog,
+    ReplicationReceiver,
+    ReplicationSender,
+)
 from copperpass.protocol.frames.messages import Grant, MachineStatus, ShardAssignment
 from tests.request_bodies import job
 from tests.simulation import Simulation
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -7,7 +7,7 @@
 
 from copperpass.core.ports import CallOutcome
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.shards.routing import base_token
+from copperpass.core.shards.fencing_tokens import base_token
 from copperpass.protocol.frames.messages import MachineContact
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind, TaskStatus, WorkerHeartbeat
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,9 +8,9 @@
 from copperpass.core.autoscaling.free_capacity import FreeCapacity
 from copperpass.core.autoscaling.scale_out_plan import MAX_MACHINES_PER_CALL, max_machines_per_plan
 from copperpass.core.ports import Outbox
+from copperpass.core.shards.fencing_tokens import MAX_HANDOVERS, base_token
 from copperpass.core.shards.partitioning import shards_of
 from copperpass.core.shards.relay import HeartbeatRelay
-from copperpass.core.shards.routing import MOST_HANDOVERS, base_token
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.format import MAX_REQUESTS_PER_FRAME
 from copperpass.protocol.frames.messages import (
@@ -87,8 +87,8 @@
 
 
 def test_tokens_last_for_many_handovers_of_each_machine():
-    assert MOST_HANDOVERS > 200 * MACHINES
-    assert base_token(1 << 20, MOST_HANDOVERS - 1) < 1 << 64
+    assert MAX_HANDOVERS > 200 * MACHINES
+    assert base_token(1 << 20, MAX_HANDOVERS - 1) < 1 << 64
 
 
 def test_more_teams_than_shards_share_them():
