--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -41,7 +41,7 @@
 
 def test_the_relay_knows_all_workers_of_a_large_fleet_for_as_long_as_they_count():
     # Beyond a count of 4,000 the oldest were forgotten, though they reported every second.
-    relay = HeartbeatRelay(Outbox(), lease_s=10.0, wait_s=1.0)
+    relay = HeartbeatRelay(Outbox(), lease_s=10.0, timeout_s=1.0)
     for number in range(MACHINES):
         assert relay.should_relay(0.0, f"m-{number}")
     relay.tick(1.0)
