--- a/src/copperpass/core/node/leadership.py
+++ b/src/copperpass/core/node/leadership.py
@@ -7,7 +7,8 @@
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ClusterManagerContext
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.ports import Outbox
-from copperpass.core.shards.grant_client import BATCH, GrantClient
+from copperpass.core.shards.grant_client import GrantClient
+from copperpass.core.shards.owner_reports import BATCH
 from copperpass.protocol.frames.messages import RouteUpdates
 
 
@@ -61,16 +62,15 @@
 
     def _send_routes(self, cluster_manager: ClusterManager) -> None:
         """Send each member the routes that are new to it."""
-        for member, grantee in cluster_manager.members.items():
-            feed = grantee.replication_sender
-            while (
-                feed is not None
-                and feed.sent_sequence < cluster_manager.replication_log.last_sequence
-            ):
-                before, upto, entries = feed.next_batch(BATCH)
-                self.out.send(
-                    member,
-                    RouteUpdates(
-                        cluster_manager.epoch, grantee.incarnation, before, upto, tuple(entries)
-                    ),
+        for name, member in cluster_manager.members.items():
+            replication = member.replication_sender
+            while replication is not None and replication.has_unsent:
+                batch = replication.next_batch(BATCH)
+                frame = RouteUpdates(
+                    epoch=cluster_manager.epoch,
+                    incarnation=member.incarnation,
+                    after_sequence=batch.after_sequence,
+                    last_sequence=batch.last_sequence,
+                    routes=tuple(batch.entries),
                 )
+                self.out.send(name, frame)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -29,6 +29,7 @@
 from copperpass.core.shards.grant_client import GrantClient
 from copperpass.core.shards.partitioning import shards_of
 from copperpass.core.shards.relay import HeartbeatRelay
+from copperpass.core.shards.term import GrantClientContext
 from copperpass.core.storage.cached_inventory import CachedInventory
 from copperpass.protocol.frames.messages import Frame, ShardAssignment
 from copperpass.settings import Settings
@@ -112,14 +113,16 @@
     def _wire_terms(self, now: float) -> None:
         """What this member does in a term: as its leader, and as an owner of shards."""
         self.grant_client = GrantClient(
-            self.settings.name,
-            self.rng.getrandbits(62) + 1,
-            self.timings.leader_ttl_s,
-            self.cluster.workers.report_s / 4,
-            self.out,
-            self._make_scheduler,
-            self.election.watch_cache_valid_until,
-            self.is_upgraded,
+            GrantClientContext(
+                member=self.settings.name,
+                incarnation=self.rng.getrandbits(62) + 1,
+                grant_s=GRANT_TTL_RATIO * self.timings.leader_ttl_s,
+                capacity_interval_s=self.cluster.workers.report_s / 4,
+                out=self.out,
+                make_scheduler=self._make_scheduler,
+                watch_cache_valid_until=self.election.watch_cache_valid_until,
+                is_upgraded=self.is_upgraded,
+            )
         )
         self.leadership = Leadership(
             self.election, self.grant_client, self.out, self._manager_context
@@ -186,7 +189,6 @@
     def _manager_context(self) -> ClusterManagerContext:
         """For a term that this member leads, with what earlier terms knew."""
         client = self.grant_client
-        owners = {number: share.member for number, share in client.assignments.items()}
         return ClusterManagerContext(
             cluster=self.cluster,
             tuning=self.tuning,
@@ -197,8 +199,8 @@
             types=self.machine_types.types,
             cached_inventory=self.cached_inventory,
             shards=self.shards,
-            previous_routes={**client.previous_routes, **client.routing_table},
-            previous_owners={**client.previous_owners, **owners},
+            previous_routes=client.table.latest_routes(),
+            previous_owners=client.table.latest_owners(),
             incarnation=client.incarnation,
             heartbeats_arrive=self.peers.is_connected,
             all_upgraded=self.version_registry.all_upgraded,
--- a/src/copperpass/core/node/worker_heartbeats.py
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -85,7 +85,7 @@
 
     def _answer(self, now: float, heartbeat: WorkerHeartbeat, relayed: bool) -> tuple[int, bytes]:
         """The status and body with which this member itself answers."""
-        route = self.grant_client.routing_table.get(heartbeat.machine)
+        route = self.grant_client.table.routes.get(heartbeat.machine)
         scheduler = self.grant_client.schedulers.get(route.shard) if route is not None else None
         if scheduler is None or not self.grant_client.has_authority(now):
             if self.leadership.cluster_manager is not None and route is None and relayed:
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -148,7 +148,7 @@
     simulation = partitioned()
     name = owners(simulation)[0]
     grant_client = simulation.nodes[name].grant_client
-    number = max(grant_client.request_times)
+    number = max(grant_client.requests.request_times)
     stale = Grant(
         grant_client.epoch,
         grant_client.incarnation,
@@ -159,9 +159,9 @@
         0,
         (ShardAssignment(1, name, 99, 1, 0),),
     )
-    valid_until = grant_client.valid_until
+    valid_until = grant_client.requests.valid_until
     grant_client.on_grant(simulation.now, grant_client.leader, stale)
-    assert grant_client.valid_until == valid_until and set(grant_client.schedulers) == {0}
+    assert grant_client.requests.valid_until == valid_until and set(grant_client.schedulers) == {0}
 
 
 def test_a_shard_of_the_leaders_own_goes_to_a_member_that_comes_back():
