--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -77,8 +77,8 @@
         return self.state.token_version()
 
     def assignments(self) -> tuple[ShardAssignment, ...]:
-        """Who owns what."""
-        return self.grants.assignments()
+        """Which member owns which shard."""
+        return self.state.assignments()
 
     # -- start of a term ---------------------------------------------------------------------
 
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -22,7 +22,7 @@
 from copperpass.core.storage.inventory_writer import InventoryContext
 from copperpass.core.storage.machine_inventory import MachineInventory
 from copperpass.protocol.cloud import MachineType
-from copperpass.protocol.frames.messages import MachineRoute, MachineStatus
+from copperpass.protocol.frames.messages import MachineRoute, MachineStatus, ShardAssignment
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
@@ -102,6 +102,17 @@
     # The zones that jobs in it are tied to, as the owner says.
     zone_affinities: dict[str, str] = field(default_factory=dict)
 
+    @property
+    def assignment(self) -> ShardAssignment:
+        """The current assignment; only of meaning while there is an owner."""
+        return ShardAssignment(
+            self.number,
+            self.owner,
+            self.generation,
+            self.required_revision,
+            self.required_sequence,
+        )
+
 
 @dataclass(slots=True)
 class MemberState:
@@ -206,6 +217,10 @@
             and not machine.route.failed
         ]
 
+    def assignments(self) -> tuple[ShardAssignment, ...]:
+        """Which member owns which shard; shards without an owner are left out."""
+        return tuple(shard.assignment for shard in self.shards.values() if shard.owner)
+
     def owner_of(self, machine: ManagedMachine) -> str:
         """The member that owns a machine's shard; empty where nobody does."""
         shard = self.shards.get(machine.route.shard)
