--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 from copperpass.core.autoscaling.instance_requests import CALL_TIMEOUT_S, InstanceRequests
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
@@ -71,5 +73,7 @@
             records.record_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.route.failed:
             # It has stopped on its own: nothing runs there any more.
-            records.update(machine, failed=True, occupancy=Occupancy.EMPTY)
+            records.set_route(
+                machine, replace(machine.route, failed=True, occupancy=Occupancy.EMPTY)
+            )
             self.instance_requests.release(now, [machine])
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -1,4 +1,4 @@
-"""The records of machines: entries told to the members, tokens, handovers."""
+"""Machines and their routes: the writer of the leader's replication log, and of base tokens."""
 
 from __future__ import annotations
 
@@ -15,35 +15,39 @@
     Occupancy,
 )
 
-# Handovers left beside one for each machine when a term gives up its authority.
-HANDOVERS_KEPT = 1000
+# Handovers left beside one for each machine when the leader steps down for lack of more.
+RESERVED_HANDOVERS = 1000
 
 
 class MachineRecords:
-    """Adds, changes and removes machines; the only writer of the table of entries.
+    """Adds, changes and removes machines; the only writer of the routes' replication log.
 
-    Every change of who commands a machine takes a higher token.
+    Every change of a machine's owner takes a higher base token, so that what an earlier owner still
+    sends is fenced off.
     """
 
     def __init__(self, context: ClusterManagerContext, state: ClusterState) -> None:
         self.state, self.inventory = state, state.inventory
-        # What the term before knew of the machines.
         self.previous_routes = context.previous_routes
         self.handover = 0
 
     def next_base_token(self) -> int:
-        """A token higher than all before it in this term."""
+        """A token higher than all earlier ones of this term."""
         self.handover += 1
         return base_token(self.state.epoch, self.handover)
 
     def handovers_exhausted(self) -> bool:
-        """Whether there are hardly more tokens left than machines to disown."""
-        return self.handover >= MAX_HANDOVERS - len(self.state.machines) - HANDOVERS_KEPT
+        """Whether there are hardly more handovers left than machines that need one each."""
+        return self.handover >= MAX_HANDOVERS - len(self.state.machines) - RESERVED_HANDOVERS
 
-    def update(self, machine: ManagedMachine, **changes: object) -> None:
-        """Change fields of a machine's route."""
-        machine.route = replace(machine.route, **changes)  # type: ignore[arg-type]
-        self.state.replication_log.put(machine.route)
+    def set_route(self, machine: ManagedMachine, route: MachineRoute) -> None:
+        """Replace a machine's route and replicate it."""
+        machine.route = route
+        self.state.replication_log.put(route)
+
+    def set_empty(self, machine: ManagedMachine) -> None:
+        """Nothing of an earlier owner runs on a machine any more."""
+        self.set_route(machine, replace(machine.route, occupancy=Occupancy.EMPTY))
 
     def add(
         self,
@@ -54,7 +58,7 @@
         occupancy: int,
         contact: MachineContact | None = None,
     ) -> ManagedMachine:
-        """Take up a machine; one that the fleet's record lacks has never been up."""
+        """Add a machine; one that the inventory has no mark of has never been up."""
         state = self.state
         recorded = name in self.inventory.stored_up
         token = self.next_base_token()
@@ -78,27 +82,27 @@
         return machine
 
     def restore(self, now: float) -> None:
-        """Take up the machines that the fleet's record names, as the term before knew them."""
+        """Add the machines of the inventory, with the shards and contacts of earlier terms."""
         for name, machine_group in self.inventory.machines.items():
             if machine_group.type in self.state.types and name not in self.state.deleted_at:
-                hint = self.previous_routes.get(name)
-                known = hint is not None and not hint.deleted
-                shard = hint.shard if hint is not None and known else NO_SHARD
-                contact = hint.contact if hint is not None and known else None
+                previous = self.previous_routes.get(name)
+                shard = previous.shard if previous is not None else NO_SHARD
+                contact = previous.contact if previous is not None else None
                 self.add(now, name, machine_group, shard, Occupancy.ANY_SHARD, contact)
 
     def mark_recorded(self, now: float, names: set[str]) -> None:
-        """The fleet's record says of these machines that they have been up."""
+        """The inventory has stored that these machines have been up."""
         for name in names:
             machine = self.state.machines.get(name)
             if machine is not None:
-                self.update(machine, recorded=True)
+                self.set_route(machine, replace(machine.route, recorded=True))
 
     def record_contact(self, machine: ManagedMachine, address: str, agent_epoch: int) -> None:
-        """Where a machine answers; kept for whoever commands it next."""
+        """Record where a machine answers, for its next owner."""
         known = machine.route.contact
         if known is None or (known.address, known.agent_epoch) != (address, agent_epoch):
-            self.update(machine, contact=MachineContact(address, agent_epoch, 0))
+            contact = MachineContact(address, agent_epoch, 0)
+            self.set_route(machine, replace(machine.route, contact=contact))
 
     def reassign(
         self,
@@ -107,7 +111,7 @@
         occupancy: int,
         status: MachineStatus | None = None,
     ) -> None:
-        """Change who commands a machine, under a higher token."""
+        """Change a machine's owner, under a higher token; `status`: its last one, if released."""
         token = self.next_base_token()
         machine.reclaim_for_shard, machine.reclaim_deadline = None, 0.0
         proven_empty = (
@@ -117,36 +121,41 @@
         machine.status = MachineStatus(
             machine.route.name, token, registered=machine.status.registered
         )
-        self.update(
+        self.set_route(
             machine,
-            shard=shard,
-            base_token=token,
-            occupancy=occupancy,
-            reclaim_requested=False,
-            drain=False,
-            proven_empty=proven_empty,
-            contact=contact,
+            replace(
+                machine.route,
+                shard=shard,
+                base_token=token,
+                occupancy=occupancy,
+                reclaim_requested=False,
+                drain=False,
+                proven_empty=proven_empty,
+                contact=contact,
+            ),
         )
         self.state.last_added_sequence[shard] = self.state.replication_log.last_sequence
 
     def request_reclaim(
         self, now: float, machine: ManagedMachine, shard: int | None, drain: bool = False
     ) -> None:
-        """Ask a machine's owner to give it back: for another shard, or to be returned."""
+        """Ask a machine's owner to release it: for another shard, or to be deleted.
+
+        With `drain` the owner evicts what runs there; otherwise it releases the machine if idle.
+        """
         if machine.route.shard == NO_SHARD:
             return
-        machine.reclaim_for_shard, machine.reclaim_deadline = (
-            shard,
-            now + self.state.heartbeat_interval_s,
-        )
-        self.update(machine, reclaim_requested=True, drain=drain)
+        machine.reclaim_for_shard = shard
+        machine.reclaim_deadline = now + self.state.heartbeat_interval_s
+        self.set_route(machine, replace(machine.route, reclaim_requested=True, drain=drain))
 
     def mark_deleted(self, now: float, machine: ManagedMachine) -> None:
-        """The cloud has confirmed: the machine and all on it are gone."""
+        """The cloud has confirmed that a machine is deleted, with all that ran on it."""
         name = machine.route.name
         if self.state.machines.get(name) is not machine:
             return
         del self.state.machines[name]
         self.state.deleted_at[name] = now
-        self.update(machine, deleted=True, occupancy=Occupancy.EMPTY)
+        route = replace(machine.route, deleted=True, occupancy=Occupancy.EMPTY)
+        self.set_route(machine, route)
         self.inventory.remove(now, name)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -61,7 +61,7 @@
             and not previous.reconciled
             and machine.route.occupancy != Occupancy.EMPTY
         ):
-            records.update(machine, occupancy=Occupancy.EMPTY)
+            records.set_empty(machine)
         if status.contact is not None and not status.released:
             records.record_contact(machine, status.contact.address, status.contact.agent_epoch)
         if status.released:
@@ -70,7 +70,7 @@
         declined = not status.idle or now > machine.reclaim_deadline
         if machine.route.reclaim_requested and not machine.route.drain and declined:
             machine.reclaim_for_shard = None
-            records.update(machine, reclaim_requested=False)
+            records.set_route(machine, replace(machine.route, reclaim_requested=False))
         if status.deletion_requested and not machine.deleting:
             self.instance_requests.release(now, [machine])
 
@@ -154,7 +154,7 @@
             if unclaimed and now - state.elected_at > state.lease_s + state.grant_s:
                 # No member has answered it in this term, nor under a grant of the term before, so
                 # the lease of its session has expired and nothing runs there any more.
-                self.records.update(machine, occupancy=Occupancy.EMPTY)
+                self.records.set_empty(machine)
                 self.instance_requests.release(now, [machine])
         self._forget_deleted(now)
 
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the leader's control loop share during one term."""
+"""The state that the parts of the leader's control loop share during one term."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
-# The revision of a shard whose new owner has to wait until one has been read.
 # The inventory takes at most one write in so many that the key-value store allows.
 INVENTORY_WRITE_PERIODS = 4
+# Of a shard whose required revision has yet to be read: its new owner has to wait.
 UNKNOWN_REVISION = (1 << 62) - 1
 
 
 @dataclass(slots=True)
 class ManagedMachine:
-    """A rented machine, as the leader sees it."""
+    """A provisioned machine, as the leader knows it; times are in seconds."""
 
     route: MachineRoute
     type: MachineType
@@ -46,18 +46,18 @@
     in_cloud_listing: bool = False
     deleting: bool = False
     deletion_sent_at: float = float("-inf")
-    # The shard that it is asked back for; None: to be returned.
+    # The shard that its owner is asked to release it for; None: to be deleted.
     reclaim_for_shard: int | None = None
     reclaim_deadline: float = 0.0
 
     @property
     def machine_group(self) -> MachineGroup:
-        """What it was rented as."""
+        """What it was provisioned as."""
         return MachineGroup(self.route.type, self.route.zone, self.route.spot)
 
     @property
     def releasable(self) -> bool:
-        """Whether it could be used elsewhere or returned now."""
+        """Whether it could be reassigned or deleted now."""
         return (
             self.status.idle
             and self.status.reconciled
@@ -68,7 +68,7 @@
 
 
 class CapacityRequest(NamedTuple):
-    """Tasks of a job that an owner's machines have no room for in time."""
+    """Tasks of a job that the machines of their shard have no capacity for in time."""
 
     job: Job
     tasks: int
@@ -77,7 +77,7 @@
 
 
 class InstanceRequest(NamedTuple):
-    """Machines asked of the cloud, without an answer so far."""
+    """Machines requested from the cloud, without an answer so far."""
 
     machine_group: MachineGroup
     machines: int
@@ -86,20 +86,24 @@
 
 @dataclass(slots=True)
 class Shard:
-    """Teams that share an owner and its machines."""
+    """Teams that share an owner and its machines.
+
+    `generation` tells one assignment from the next. The owner starts nothing before its watch cache
+    has reached `required_revision` and its routes `required_sequence`. Without an owner the shard
+    is not assigned before `assignable_at`.
+    """
 
     number: int
     teams: list[str]
     owner: str = ""
     generation: int = 0
     required_revision: int = UNKNOWN_REVISION
-    # How far the table had come when the shard was given.
     required_sequence: int = 0
     reading_revision: bool = False
     assignable_at: float = 0.0
     capacity_requests: list[CapacityRequest] = field(default_factory=list)
     capacity_requests_at: float = float("-inf")
-    # The zones that jobs in it are tied to, as the owner says.
+    # By job, where its other tasks allow one zone only; as the owner reports it.
     zone_affinities: dict[str, str] = field(default_factory=dict)
 
     @property
@@ -116,10 +120,13 @@
 
 @dataclass(slots=True)
 class MemberState:
-    """A member that may own shards."""
+    """A member that may own shards: its grants, and the replication to and from it.
+
+    `grants_expire_at` is the leader's own reckoning, which never lies before the member's.
+    """
 
     incarnation: int = 0
-    # When this run of the member first asked.
+    # When this incarnation first requested a grant.
     joined_at: float = float("inf")
     last_request_at: float = float("-inf")
     grants_expire_at: float = float("-inf")
@@ -131,9 +138,8 @@
 class ClusterManagerContext:
     """What a node gives to the manager of a term that it leads.
 
-    The job table, the types and the stored fleet are the node's own and change while the term
-    lasts; `hints` and `owners` are what the term before knew: whose each machine was, and who
-    owned which shard.
+    The job table, the types and the cached inventory are the node's own and change while the term
+    lasts; `previous_routes` and `previous_owners` are what the node knew of earlier terms.
     """
 
     cluster: Cluster
@@ -149,17 +155,18 @@
     previous_routes: dict[str, MachineRoute]
     previous_owners: dict[int, str]
     incarnation: int
-    # Whether a member's heartbeats come in at a moment.
+    # Whether heartbeats of a member arrive at a moment.
     heartbeats_arrive: Callable[[float, str], bool]
     # Whether all members are certainly of this version or a later one.
     all_upgraded: Callable[[], bool] = lambda: False
 
 
 class ClusterState:
-    """Machines, shards, grantees and bookings of one term.
+    """Machines, shards, members and pending instance requests of one term.
 
-    Every machine stands in `machines` and in `table`, whose entries go to the members; one that the
-    cloud has confirmed as deleted stands in `gone` until no late message can speak of it.
+    Every machine is in `machines`, and its route in `replication_log`, which is replicated to the
+    members. One that the cloud has confirmed as deleted is in `deleted_at` until no delayed message
+    can name it.
     """
 
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
@@ -174,19 +181,21 @@
         self.boot_s = longest_boot(context.types)
         self.replication_log: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
-        # When each deleted machine was confirmed as gone.
+        # When the deletion of each machine was confirmed.
         self.deleted_at: dict[str, float] = {}
-        # The table's number when a machine was last added to each shard.
+        # By shard, the sequence number of the log at which it last got a machine.
         self.last_added_sequence: dict[int, int] = {}
         self.members: dict[str, MemberState] = {}
         self.members[self.member] = MemberState(context.incarnation, now, now, float("inf"))
+        # By team.
         self.shard_of = context.shards
         self.shards: dict[int, Shard] = {}
         for team, number in context.shards.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
         self.pending_requests: dict[str, InstanceRequest] = {}
         self.backoff = CapacityBackoff()
-        # Whether there is more room than has to be kept: work that can wait gets cheap room only.
+        # Whether there is more on-demand capacity than has to be kept: work that can wait gets spot
+        # capacity only.
         self.on_demand_excess = True
         state = context.cluster.state
         self.inventory = MachineInventory(
@@ -204,11 +213,11 @@
         )
 
     def token_version(self) -> int:
-        """The version of the token counter that guards this term's writes."""
+        """The version of the fencing token that guards this term's writes."""
         return self.election.election_revision
 
     def serving(self) -> list[ManagedMachine]:
-        """The machines that are neither going nor broken."""
+        """The machines that are neither being deleted nor failed."""
         return [
             machine
             for machine in self.machines.values()
@@ -227,10 +236,12 @@
         return shard.owner if shard is not None else ""
 
     def neediest_shard(self) -> int:
-        """The shard whose tasks have the least room for their number."""
+        """The shard that requests the most CPUs."""
 
         def pressure(shard: Shard) -> tuple[float, int]:
-            want = sum(request.tasks * request.job.spec.cpus for request in shard.capacity_requests)
-            return (-want, shard.number)
+            requested_cpus = sum(
+                request.tasks * request.job.spec.cpus for request in shard.capacity_requests
+            )
+            return (-requested_cpus, shard.number)
 
         return min(self.shards.values(), key=pressure).number
