--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -1,4 +1,4 @@
-"""The leader's control loop: who owns which shards and machines, what is rented and returned."""
+"""The leader's control loop: ownership of shards and machines, scale out and scale in."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class ClusterManager:
-    """Acts under one authority; a new one is made for each win that isn't a continuation.
+    """Manages the cluster for one term; a new one is made for each term that isn't a continuation.
 
-    Until `begin` it assigns no shard and rents nothing, and only reads the inventory; then it alone
-    writes it.
+    Until `begin` it assigns no shard, provisions nothing and only reads the inventory; from then on
+    it is the inventory's only writer.
     """
 
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
@@ -51,7 +51,7 @@
         self.inventory.on_marks_stored = self.records.mark_recorded
         self.paged = self.inventory.paged
 
-    # -- what others need to know ------------------------------------------------------------
+    # -- state for other parts ---------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
@@ -60,12 +60,12 @@
 
     @property
     def on_demand_excess(self) -> bool:
-        """Whether there is more room than has to be kept."""
+        """Whether there is more on-demand capacity than has to be kept."""
         return self.state.on_demand_excess
 
     @property
     def boot_s(self) -> float:
-        """The longest usual boot time."""
+        """The longest usual boot time of a machine type, in seconds."""
         return self.state.boot_s
 
     @boot_s.setter
@@ -73,7 +73,7 @@
         self.state.boot_s = seconds
 
     def token_version(self) -> int:
-        """The version of the token counter that guards this term's writes."""
+        """The version of the fencing token that guards this term's writes."""
         return self.state.token_version()
 
     def assignments(self) -> tuple[ShardAssignment, ...]:
@@ -83,7 +83,7 @@
     # -- start of a term ---------------------------------------------------------------------
 
     def begin(self, now: float) -> None:
-        """The view has caught up with the win: know the machines that may hold tasks."""
+        """The watch cache has caught up with the election: restore machines and requests."""
         self.state.ready = True
         self.records.restore(now)
         self.instance_requests.resume(now)
@@ -92,7 +92,7 @@
     def on_inventory_event(
         self, cached: CachedInventory, key: str = INVENTORY_KEY, version: int = 0
     ) -> None:
-        """The watch brings a change of the fleet's records.
+        """An inventory record has changed, by the watch.
 
         Until this term begins it may be a late write of an earlier leader's; afterwards only this
         leader can have made it.
@@ -105,40 +105,40 @@
         else:
             self.inventory.on_page_event(number, version, number in cached.pages)
 
-    def defer_until_previous_grants_end(self, before: ClusterManager) -> None:
-        """Give no shard while a grant of one's own earlier term may run."""
-        self.grants.defer_until_previous_grants_end(before.members)
+    def defer_until_previous_grants_end(self, previous: ClusterManager) -> None:
+        """Assign no shard while a grant of this leader's own earlier term may be valid."""
+        self.grants.defer_until_previous_grants_end(previous.members)
 
-    # -- frames and reports ------------------------------------------------------------------
+    # -- frames and heartbeats ---------------------------------------------------------------
 
-    def on_grant_request(self, now: float, sender: str, pull: GrantRequest) -> Grant | None:
-        """A member asks to have its grants extended."""
-        return self.grants.on_grant_request(now, sender, pull)
+    def on_grant_request(self, now: float, sender: str, request: GrantRequest) -> Grant | None:
+        """A member asks to have its grants extended; None where it must not be answered."""
+        return self.grants.on_grant_request(now, sender, request)
 
     def on_machine_statuses(
         self, now: float, sender: str, statuses: Iterable[MachineStatus]
     ) -> None:
-        """An owner's table has news."""
+        """An owner has replicated statuses of its machines."""
         self.machine_tracker.on_machine_statuses(now, sender, statuses)
 
     def on_zone_affinities(self, frame: ZoneAffinities) -> None:
-        """An owner says in which zone jobs must find room; older owners don't."""
+        """An owner reports which jobs are tied to a zone; earlier versions don't."""
         shard = self.shards.get(frame.shard)
         if shard is not None:
             shard.zone_affinities = dict(frame.zones)
 
-    def on_capacity_requests(self, now: float, wants: CapacityRequests) -> None:
-        """An owner has tasks that its machines have no room for in time."""
-        self.planner.on_capacity_requests(now, wants)
+    def on_capacity_requests(self, now: float, frame: CapacityRequests) -> None:
+        """An owner reports tasks that its machines have no capacity for in time."""
+        self.planner.on_capacity_requests(now, frame)
 
     def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
-        """A machine reports that is in nobody's shard: find out whose it is."""
+        """A machine without an owner has sent a heartbeat: assign it to a shard."""
         self.machine_tracker.on_unowned_heartbeat(now, heartbeat)
 
     # -- time --------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Everything that the passing of time asks for."""
+        """Run every part that is due; steps down where this term can't go on."""
         if not self.state.ready or not self.election.has_authority(now):
             return
         if self.records.handovers_exhausted():
@@ -159,9 +159,9 @@
             self.machine_tracker.sweep(now)
 
     def _log_paged_once(self) -> None:
-        """Log the fleet's move from one record to pages, once."""
+        """Log the inventory's migration from one record to pages, once."""
         if self.inventory.paged and not self.paged:
-            # From here on there is no going back to a version that knows `c/fleet` alone.
+            # From here on a version that reads the single record alone can't lead any more.
             self.paged = True
             self.out.log(
                 LogLevel.INFO, LogEvent.INVENTORY_MIGRATED, pages=len(self.inventory.pages)
