--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -9,12 +9,12 @@
 # A shard's number has one byte in frames; the highest stands for none.
 NO_SHARD = 255
 MAX_SHARDS = NO_SHARD
-# In `MemberHeartbeat.state_age_ms`: the state service has never answered.
+# In `MemberHeartbeat.state_age_ms`: the key-value store has never answered.
 NEVER_ANSWERED = 0xFFFFFFFF
 
 
 class Occupancy(IntEnum):
-    """Whose tasks a machine may hold that its owner has not seen."""
+    """Which shards' tasks may run on a machine, beside those that its owner knows."""
 
     EMPTY = 0
     ANY_SHARD = 1
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineContact:
-    """Where a machine was heard last."""
+    """Where a machine's agent answers, and the last sequence number it has accepted."""
 
     address: str
     agent_epoch: int
@@ -32,7 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineRoute:
-    """A machine in the leader's table: whose it is, and under which token."""
+    """A machine in the leader's replication log: its shard, and the base token of its owner.
+
+    `recorded`: the inventory has stored that it has been up. `reclaim_requested`: its owner is to
+    release it if it is idle, with `drain` in any case, to be used elsewhere or deleted.
+    `proven_empty`: released empty a moment ago under the same leader, so that the contact is
+    certain and nothing runs there.
+    """
 
     name: str
     type: str
@@ -42,36 +48,37 @@
     base_token: int
     occupancy: int = Occupancy.EMPTY
     recorded: bool = False
-    # Its owner shall give it back if it is idle (`drain`: in any case), to be used elsewhere.
     reclaim_requested: bool = False
     drain: bool = False
     failed: bool = False
     deleted: bool = False
     contact: MachineContact | None = None
-    # Given back empty a moment ago under the same leader: the contact is certain, nothing is there.
     proven_empty: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """A machine in an owner's table: what its reports have shown."""
+    """A machine in its owner's replication log: what its heartbeats have shown.
+
+    `registered`: it has sent one. `reconciled`: the owner knows all that runs there. `released`:
+    the owner commands it no more; `shard` then says whose tasks are on it, if another shard's.
+    `deletion_requested`: the owner wants it deleted.
+    """
 
     name: str
     base_token: int
     registered: bool = False
     reconciled: bool = False
     idle: bool = False
-    # Given back: its owner commands it no more. `shard`: whose tasks are on it, if not the owner's.
     released: bool = False
     shard: int = NO_SHARD
-    # Its owner wants it deleted.
     deletion_requested: bool = False
     used_cpus: float = 0.0
     contact: MachineContact | None = None
 
 
 class PendingTasks(NamedTuple):
-    """Tasks of a job that an owner's machines have no room for in time."""
+    """Tasks of a job that the machines of their shard have no capacity for in time."""
 
     job: str
     tasks: int
@@ -88,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberHeartbeat:
-    """A sign of life: the highest token seen, and the age of the last answer of the state."""
+    """The highest fencing token seen, and the age of the key-value store's last answer."""
 
     token: int
     state_age_ms: int
@@ -96,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtensionRequest:
-    """A leader asks for a promise."""
+    """A leader asks a member to vote for the extension of its lease."""
 
     token: int
     number: int
@@ -104,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtensionVote:
-    """The answer to PromiseRequest."""
+    """The answer to `LeaseExtensionRequest`."""
 
     token: int
     number: int
@@ -113,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningCounts:
-    """Running tasks by job, for display on nodes that don't lead."""
+    """Running tasks by job, for display on members that don't own them."""
 
     running: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedHeartbeat:
-    """A worker's report, handed on to the member that commands its machine."""
+    """A worker's heartbeat, relayed to the member that owns its machine."""
 
     number: int
     body: bytes
@@ -128,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedAnswer:
-    """What the worker whose report was handed on is to be answered."""
+    """The owner's answer to a relayed heartbeat, to be returned to the worker."""
 
     number: int
     status: int
@@ -137,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A member asks its leader to extend its grants."""
+    """A member asks its leader to extend its grants; acknowledges the routes it has applied."""
 
     epoch: int
     incarnation: int
@@ -147,19 +154,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardAssignment:
-    """Who owns a shard of teams; the serial tells one ownership from the next."""
+    """Which member owns a shard; the generation tells one assignment from the next.
+
+    The owner starts nothing before its watch cache has reached `required_revision` and its routes
+    `required_sequence`.
+    """
 
     shard: int
     member: str
     generation: int
     required_revision: int
-    # The number of the leader's table that the owner must have reached before it starts anything.
     required_sequence: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The answer to GrantRequest: for how long, from the asking, the shares hold."""
+    """The answer to `GrantRequest`: the assignments, valid for a length counted from the request.
+
+    Acknowledges the statuses that the leader has applied.
+    """
 
     epoch: int
     incarnation: int
@@ -173,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteUpdates:
-    """Part of the leader's table of machines."""
+    """Consecutive entries of the leader's replication log."""
 
     epoch: int
     incarnation: int
@@ -184,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineStatusUpdates:
-    """Part of an owner's table of machines."""
+    """Consecutive entries of an owner's replication log."""
 
     epoch: int
     incarnation: int
@@ -195,7 +208,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityRequests:
-    """Tasks of a shard that its machines have no room for in time."""
+    """Tasks that a shard's machines have no capacity for in time, the most urgent first.
+
+    `acknowledged_sequence`: the routes that the owner knew of; the leader skips older requests.
+    """
 
     epoch: int
     shard: int
@@ -205,14 +221,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """A job's cancellation is stored: the receiver's view may be late to see it."""
+    """A job's cancellation is stored; the receiver's watch cache may be late to show it."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneAffinities:
-    """Of the tasks that MachineRequests names: the jobs whose other tasks tie them to a zone."""
+    """The jobs of `CapacityRequests` whose other tasks tie them to a zone, with the zone."""
 
     epoch: int
     shard: int
@@ -221,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownFrame:
-    """What a member of a later version has sent and this one can't read: to be skipped."""
+    """A frame of a later version that this one can't read: to be skipped."""
 
     kind: int
     reason: str
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Shards of teams and their owners: grants, handovers, and what passes between the members."""
+"""Shards and their owners: grants, reassignments, and replication between the members."""
 
 import random
 
@@ -14,10 +14,10 @@
 
 def owners(simulation):
     return {
-        o.shard: name
+        scheduler.shard: name
         for name, node in simulation.nodes.items()
-        for o in node.schedulers
-        if node.grant_client.has_authority(simulation.now) and o.ready
+        for scheduler in node.schedulers
+        if node.grant_client.has_authority(simulation.now) and scheduler.ready
     }
 
 
@@ -28,8 +28,9 @@
 
 
 def running(simulation, team=None):
-    tasks = [t for w in simulation.cloud.workers() for t in w.present_tasks()]
-    return sum(1 for t in tasks if team in (None, simulation.specs[t.split("/")[0]]["desk"]))
+    tasks = [task for worker in simulation.cloud.workers() for task in worker.present_tasks()]
+    teams = (simulation.specs[task.split("/")[0]]["desk"] for task in tasks)
+    return sum(1 for owner in teams if team in (None, owner))
 
 
 def started(simulation):
@@ -38,7 +39,7 @@
     simulation.run_until(lambda: running(simulation) == 8, 60)
 
 
-def over(simulation, *numbers):
+def completed(simulation, *numbers):
     return lambda: all(f"d/job/req-{n:06d}" in simulation.state.data for n in numbers)
 
 
@@ -51,7 +52,7 @@
     started(simulation)
     for worker in simulation.cloud.workers():
         assert len({simulation.specs[t.split("/")[0]]["desk"] for t in worker.present_tasks()}) <= 1
-    simulation.run_until(over(simulation, 1, 2), 300)
+    simulation.run_until(completed(simulation, 1, 2), 300)
     assert not simulation.violations
 
 
@@ -60,25 +61,25 @@
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[0]
     simulation.crash(owner, back_after=8.0)
-    at = simulation.now
+    crashed_at = simulation.now
     simulation.run_until(lambda: owners(simulation).get(0) not in (None, owner), 6)
     simulation.submit(job(3, tasks=1, run_s=5.0))
     simulation.run_until(lambda: running(simulation) == 9, 10)
-    assert simulation.now - at < simulation.lease_s
-    simulation.run_until(over(simulation, 1, 2, 3), 300)
+    assert simulation.now - crashed_at < simulation.lease_s
+    simulation.run_until(completed(simulation, 1, 2, 3), 300)
     assert simulation.starts == starts + 1 and not simulation.violations
 
 
-def test_machines_outlive_a_handover_long_after_they_were_rented():
-    # A new owner that had not heard its machines yet said they were not up, and the leader took
-    # them for machines that never came up and deleted hundreds.
+def test_machines_outlive_a_reassignment_long_after_they_were_provisioned():
+    # A new owner without heartbeats from its machines yet reported them as not registered, and the
+    # leader took them for machines that never came up and deleted hundreds.
     simulation = partitioned()
     started(simulation)
     simulation.run(6 * 10.0)
-    before = {w.name for w in simulation.cloud.workers() if w.present_tasks()}
+    before = {worker.name for worker in simulation.cloud.workers() if worker.present_tasks()}
     simulation.crash(owners(simulation)[0], back_after=8.0)
     simulation.run(12.0)
-    assert before <= {w.name for w in simulation.cloud.workers()}
+    assert before <= {worker.name for worker in simulation.cloud.workers()}
 
 
 def test_an_owner_cut_off_stops_before_its_shard_is_assigned_to_another():
@@ -89,20 +90,20 @@
         if name != owner:
             simulation.cut(owner, name)
     end = simulation.now + 12.0
-    passed = False
+    reassigned = False
     while simulation.now < end:
         simulation.run(0.02)
-        entitled = [
+        entitled_members = [
             n
             for n, node in simulation.nodes.items()
-            for o in node.schedulers
-            if o.shard == 0 and node.grant_client.has_authority(simulation.now)
+            for scheduler in node.schedulers
+            if scheduler.shard == 0 and node.grant_client.has_authority(simulation.now)
         ]
-        assert len(entitled) <= 1
-        passed = passed or entitled not in ([], [owner])
-    assert passed
+        assert len(entitled_members) <= 1
+        reassigned = reassigned or entitled_members not in ([], [owner])
+    assert reassigned
     simulation.heal()
-    simulation.run_until(over(simulation, 1, 2), 300)
+    simulation.run_until(completed(simulation, 1, 2), 300)
     assert not simulation.violations
 
 
@@ -114,11 +115,11 @@
     simulation.run_until(
         lambda: simulation.leader() not in (None, old) and len(owners(simulation)) == 2, 12
     )
-    simulation.run_until(over(simulation, 1, 2), 300)
+    simulation.run_until(completed(simulation, 1, 2), 300)
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_an_owner_back_within_a_fraction_of_a_second_holds_nothing_of_its_earlier_run():
+def test_an_owner_back_within_a_fraction_of_a_second_owns_nothing_of_its_earlier_run():
     simulation = partitioned()
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[0]
@@ -126,7 +127,7 @@
     simulation.run(0.3)
     assert not simulation.nodes[owner].schedulers
     simulation.run_until(lambda: len(owners(simulation)) == 2, 10)
-    simulation.run_until(over(simulation, 1, 2), 300)
+    simulation.run_until(completed(simulation, 1, 2), 300)
     assert simulation.starts == starts and not simulation.violations
 
 
@@ -135,11 +136,11 @@
     for place in simulation.cloud.capacity:
         simulation.cloud.capacity[place] = 1 if place == ("a", True) else 0
     simulation.submit(job(1, tasks=1, run_s=5.0))
-    simulation.run_until(over(simulation, 1), 90)
+    simulation.run_until(completed(simulation, 1), 90)
     machine = simulation.cloud.workers()[0]
     simulation.submit(job(2, tasks=1, run_s=5.0, team="blue"))
     simulation.run_until(lambda: running(simulation, "blue") == 1, 8)
-    assert [w.name for w in simulation.cloud.workers()] == [
+    assert [worker.name for worker in simulation.cloud.workers()] == [
         machine.name
     ] and not simulation.violations
 
@@ -164,7 +165,7 @@
     assert grant_client.requests.valid_until == valid_until and set(grant_client.schedulers) == {0}
 
 
-def test_a_shard_of_the_leaders_own_goes_to_a_member_that_comes_back():
+def test_a_shard_of_the_leaders_own_is_reassigned_to_a_member_that_comes_back():
     # The first to lead once kept all shards for good, and its processor served the whole fleet.
     simulation = partitioned()
     started(simulation)
@@ -175,27 +176,27 @@
     simulation.submit(job(3, team="blue", tasks=1, run_s=5.0))
     simulation.run_until(lambda: running(simulation, "blue") == 5, 25)
     assert simulation.leader() not in owners(simulation).values()
-    simulation.run_until(over(simulation, 1, 2, 3), 300)
+    simulation.run_until(completed(simulation, 1, 2, 3), 300)
     assert simulation.starts == starts + 1 and not simulation.violations
 
 
-def test_tables_arrive_whole_over_links_that_lose_delay_and_repeat_frames():
+def test_logs_arrive_whole_over_links_that_lose_delay_and_repeat_frames():
     # A batch held back on an old connection once brought back what newer ones had replaced.
     rng = random.Random(4)
-    log, receiver, got, late = ReplicationLog(), ReplicationReceiver(), {}, []
+    log, receiver, applied, delayed = ReplicationLog(), ReplicationReceiver(), {}, []
     sender = ReplicationSender(log)
     for step in range(600):
         if step < 400:
             log.put(MachineStatus(f"m-{rng.randint(1, 40)}", step))
         batch = sender.next_batch(5)
         if rng.random() < 0.4:
-            late.append(batch)
+            delayed.append(batch)
         arrived = [batch] if rng.random() < 0.6 else []
-        if late and rng.random() < 0.3:
-            arrived.append(late.pop(rng.randrange(len(late))))
+        if delayed and rng.random() < 0.3:
+            arrived.append(delayed.pop(rng.randrange(len(delayed))))
         for after_sequence, last_sequence, entries in arrived:
             if receiver.accept(after_sequence, last_sequence):
-                got.update({e.name: e for e in entries})
+                applied.update({entry.name: entry for entry in entries})
         if rng.random() < 0.7:
             sender.on_acknowledged(receiver.applied_sequence)
-    assert got == {name: entry for name, (_, entry) in log.entries.items()}
+    assert applied == {name: entry for name, (_, entry) in log.entries.items()}
