--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -30,7 +30,7 @@
             if ask["booking"] not in self.bookings:
                 place = (ask["hall"], ask["borrowed"])
                 kind = next(kind for kind in self.offer if kind["name"] == ask["rack"])
-                count = min(ask["count"], self.left(kind, place))
+                count = min(ask["count"], self.remaining(kind, place))
                 if count <= 0:
                     reply(503, b'{"error":"no capacity"}')
                     return
@@ -39,7 +39,7 @@
         elif path == "/rentals/release":
             for name in json.loads(body)["presses"]:
                 self.returned(name)
-                self.take(name)
+                self.reclaim(name)
             reply(200, b"{}")
         else:
             reply(
@@ -64,7 +64,7 @@
                 ).encode(),
             )
 
-    def left(self, kind, place):
+    def remaining(self, kind, place):
         """How many more machines there are of a type in a place."""
         typed = (kind["name"], *place)
         if typed in self.capacity:
@@ -86,7 +86,7 @@
             zone, spot = machine["place"]
             machine["worker"] = Worker(self.simulation, name, zone, spot, machine["kind"])
 
-    def take(self, name):
+    def reclaim(self, name):
         machine = self.machines.pop(name, None)
         if machine and machine["worker"]:
             machine["worker"].alive = False
@@ -98,8 +98,8 @@
         if machine and machine["worker"]:
             for mark in machine["worker"].tasks.values():
                 if "gang" in mark and mark["state"] in ("running", "flushing"):
-                    mark["gang"].rest()
-                    mark["gang"].lost("machine returned")
+                    mark["gang"].stop_progress()
+                    mark["gang"].lose_progress("machine returned")
 
     def workers(self):
         return [m["worker"] for m in self.machines.values() if m["worker"]]
--- a/tests/fakes/gang.py
+++ b/tests/fakes/gang.py
@@ -1,4 +1,4 @@
-"""An attempt of a gang on the workers: what its tasks tell one another."""
+"""An attempt of a gang on the workers: what its tasks exchange."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
         self.simulation, self.job_id, self.attempt = simulation, job_id, attempt
         self.spec = simulation.specs[job_id]
         self.members = {}  # (worker, key of the task) -> what the worker notes of it
-        self.started = self.broken = self.safe = self.over = self.late = False
+        self.started = self.broken = self.safe = self.completed = self.late = False
         self.progress, self.since, self.speed, self.turn = 0.0, None, 1.0, 0
-        self.first_stop, self.stop_requested = None, set()
+        self.first_stop_at, self.stop_requested = None, set()
 
     # -- waiting
 
@@ -54,7 +54,7 @@
             mark["state"] = "running"
         self.speed = min(worker.speed for worker, _ in self.members)
         self.progress = self.simulation.progress.get(self.job_id, 0.0)
-        self.go()
+        self.resume_progress()
 
     def leave(self, worker, key, mark, exit_cause, only=None, **more):
         """Exit by itself, once its machine executes it."""
@@ -83,13 +83,13 @@
             )
         return self.simulation.lengths[self.job_id]
 
-    def go(self):
+    def resume_progress(self):
         self.since = self.simulation.now
         self.turn += 1
         turn, left = self.turn, max(0.0, self.length() - self.progress) / self.speed
         self.simulation.after(left, lambda: turn == self.turn and self.finish())
 
-    def rest(self):
+    def stop_progress(self):
         """Progress stops."""
         if self.since is not None:
             self.progress += (self.simulation.now - self.since) * self.speed
@@ -97,8 +97,8 @@
         self.turn += 1
 
     def finish(self):
-        self.rest()
-        self.over = True
+        self.stop_progress()
+        self.completed = True
         self.simulation.completed.update(f"{self.job_id}/{i}" for i in range(self.spec["pages"]))
         for worker, key in list(self.members):
             worker.end(key, "done")
@@ -113,14 +113,14 @@
             return  # it never had its image
         if "at" in mark:
             self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
-        elif self.started and not self.over and not self.safe:
+        elif self.started and not self.completed and not self.safe:
             self.fail()
 
     def fail(self, within=None):
         """A running gang has lost a task: the others notice in time and exit."""
         if self.broken:
             return
-        self.fall_back()
+        self.roll_back()
         within = self.simulation.gang_peer_s if within is None else within
         for (worker, key), mark in self.members.items():
             wait = self.simulation.gang_rng.uniform(0.3, 1.0) * within
@@ -128,15 +128,15 @@
                 wait, functools.partial(self.leave, worker, key, mark, "mates_gone")
             )
 
-    def fall_back(self):
-        self.rest()
+    def roll_back(self):
+        self.stop_progress()
         self.broken = True
         self.simulation.progress[self.job_id] = self.checkpoint()
 
     def hangs(self, worker):
-        if not self.started or self.broken or self.safe or self.over:
+        if not self.started or self.broken or self.safe or self.completed:
             return
-        self.rest()
+        self.stop_progress()
         until, within = worker.hung_until, self.simulation.gang_peer_s
         wait = self.simulation.gang_rng.uniform(0.3, 0.7) * within
 
@@ -153,11 +153,11 @@
 
     def resumes(self):
         self.begin()
-        if self.started and not self.broken and not self.over:
-            if self.first_stop is not None:
-                self.let_go()
+        if self.started and not self.broken and not self.completed:
+            if self.first_stop_at is not None:
+                self.exit_saved()
             elif self.since is None and not any(w.hung_for() for w, _ in self.members):
-                self.go()
+                self.resume_progress()
 
     # -- stopping
 
@@ -166,15 +166,15 @@
             worker.end(key, "halted")
         elif mark["state"] == "flushing":
             if grace <= 0:
-                self.lost("ended while it saved")
+                self.lose_progress("ended while it saved")
                 worker.end(key, "halted")
         else:
-            if self.first_stop is None:
-                self.first_stop = self.simulation.now
-                self.rest()
+            if self.first_stop_at is None:
+                self.first_stop_at = self.simulation.now
+                self.stop_progress()
                 self.simulation.after(self.simulation.gang_peer_s, self.deadline)
             if self.spec["proof_s"] <= 0 or grace < self.spec["flush_s"]:
-                self.lost("too little grace")
+                self.lose_progress("too little grace")
                 worker.end(key, "halted")
                 return
             self.stop_requested.add(key[0])
@@ -191,25 +191,25 @@
         if self.broken:
             worker.end(key, "halted")
         else:
-            self.let_go()
+            self.exit_saved()
 
     def deadline(self):
         """No task waits longer than this for the others to be told."""
         self.late = True
-        if self.broken or self.safe or self.over:
+        if self.broken or self.safe or self.completed:
             return
         if len(self.stop_requested) == self.spec["pages"]:
-            self.let_go()
+            self.exit_saved()
             return
-        self.lost("not all told in time")
-        self.fall_back()
+        self.lose_progress("not all told in time")
+        self.roll_back()
         for (worker, key), mark in list(self.members.items()):
             if mark["state"] == "running":
                 self.leave(worker, key, mark, "mates_gone")
             elif mark.get("kept"):
                 self.leave(worker, key, mark, "halted")
 
-    def let_go(self):
+    def exit_saved(self):
         """Exit with the progress safe, when all are told and have saved or no time is left."""
         if len(self.stop_requested) < self.spec["pages"]:
             return
@@ -221,16 +221,16 @@
             for (worker, key), mark in ready:
                 self.leave(worker, key, mark, "halted", saved=True)
 
-    def lost(self, exit_cause):
+    def lose_progress(self, reason):
         """The service has thrown progress away that it could have kept."""
         loss = self.progress - self.checkpoint()
         if (
             self.started
-            and not (self.broken or self.safe or self.over)
+            and not (self.broken or self.safe or self.completed)
             and loss > 1e-6
             and self.spec["proof_s"] > 0
             and self.job_id not in self.simulation.cancel_requested
         ):
             self.simulation.lost_progress.append(
-                (self.job_id, self.attempt, exit_cause, round(loss, 3))
+                (self.job_id, self.attempt, reason, round(loss, 3))
             )
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -18,7 +18,7 @@
         self.agent_epoch, self.sequence, self.token = 1, 0, 0
         # By task and attempt: the state, and what more there is to know of it.
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.renewed = simulation.now
+        self.lease_renewed_at = simulation.now
         self.alive = True
         self.failing = False
         self.notice = None
@@ -44,15 +44,15 @@
         interval = max(0.1, self.simulation.deployment.report_s / 10)
         check = self.simulation.now + interval
         last = check + self.simulation.lease_s
-        while check < last and check - self.renewed <= self.simulation.lease_s:
+        while check < last and check - self.lease_renewed_at <= self.simulation.lease_s:
             check += interval
         return check
 
     def check_lease(self):
-        if self.simulation.now - self.renewed > self.simulation.lease_s:
+        if self.simulation.now - self.lease_renewed_at > self.simulation.lease_s:
             self.drop_all()
             self.agent_epoch += 1
-            self.renewed = self.simulation.now
+            self.lease_renewed_at = self.simulation.now
 
     @property
     def hung(self):
@@ -81,7 +81,7 @@
         self.agent_epoch += 1
         self.sequence, self.token = 0, 0
         self.hang(seconds)
-        self.renewed = self.simulation.now + seconds
+        self.lease_renewed_at = self.simulation.now + seconds
 
     def resume(self):
         if self.alive and not self.hung_for():
@@ -143,7 +143,7 @@
                 answer = json.loads(body)
                 if answer["baton"] >= self.token and agent_epoch == self.agent_epoch:
                     self.token = answer["baton"]
-                    self.renewed = max(self.renewed, sent)
+                    self.lease_renewed_at = max(self.lease_renewed_at, sent)
                     self.execute(answer["orders"])
                 report_s = self.simulation.deployment.report_s
                 pause = report_s * self.simulation.rng.uniform(0.75, 1.25)
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -28,7 +28,7 @@
         self.state.notify_watches()
 
     def end_faults(self):
-        """End all troubles."""
+        """End all faults."""
         self.heal()
         self.inbound_blocked, self.outbound_blocked, self.refused = set(), set(), set()
         self.late_writes = self.late_reports = self.slow_state = 0.0
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -67,7 +67,7 @@
                 self.violations.append(f"ran_cancelled: {task}")
 
     def wrote(self, writes):
-        """A change of the state service; stories may look at it."""
+        """A change of the state service; scenarios may look at it."""
 
     def check_sums(self):
         """What owners keep up as they go must equal a count from the beginning."""
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -9,7 +9,7 @@
     """No job waits beside capacity that fits it, and every accepted job is completed."""
 
     def check_starved(self, bound=90.0):
-        """To be called about once a second without troubles: who waits beside room that fits?"""
+        """To be called about once a second without faults: who waits beside room that fits?"""
         on = set()
         # Of the machines that take work, by what a job may ask of them: the CPUs in use on the one
         # with the least. If a task fits on any of these, it fits on that one.
@@ -48,7 +48,7 @@
         self.violations += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
 
     def finish(self, seconds=300.0, known_after=75.0):
-        """End all troubles, and see that every accepted job that wasn't cancelled is done."""
+        """End all faults, and see that every accepted job that wasn't cancelled is done."""
         self.end_faults()
         end, asked = self.now + seconds, self.now + known_after
         while self.now < end:
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -174,7 +174,7 @@
     simulation.run_until(lambda: running(simulation) >= 8, 90)
     for _ in range(3):
         for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
-            simulation.cloud.take(worker.name)
+            simulation.cloud.reclaim(worker.name)
         step(simulation, 12.0)
     simulation.finish(400.0)
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -145,7 +145,7 @@
     simulation.run_until(finished(simulation, 1), 90)
     # The machine vanishes together with the leader, so nobody removes its record.
     victim = simulation.cloud.workers()[0].name
-    simulation.cloud.take(victim)
+    simulation.cloud.reclaim(victim)
     simulation.crash(simulation.leader(), 5.0)
     simulation.run(1.5 * simulation.lease_s)
     # Whichever form of the record counts by now.
@@ -278,7 +278,7 @@
     copies = [body for w in simulation.cloud.workers() for _, body in w.sent[-4:]]
     old = simulation.leader()
     for worker in simulation.cloud.workers():
-        simulation.cloud.take(worker.name)
+        simulation.cloud.reclaim(worker.name)
     simulation.run(2.5 * simulation.lease_s)
     simulation.crash(old, 5.0)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 20)
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -105,7 +105,7 @@
     for spot in (True, False):
         simulation.cloud.capacity[zone, spot] = 0
     for name in [n for n, m in simulation.cloud.machines.items() if m["place"][0] == zone]:
-        simulation.cloud.take(name)
+        simulation.cloud.reclaim(name)
     simulation.run_until(runs(simulation, 1), 120)
     (other,) = {w.zone for w, _, _ in marks(simulation, 1)}
     assert other != zone and progress(simulation, 1) == 5.0
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -93,7 +93,7 @@
     simulation.fetch_s["req-000001/3"] = 20.0
     simulation.run_until(lambda: count(simulation, 1, "gathering") == 3, 60)
     victim = next(w for w, key, m in marks(simulation, 1) if m["state"] == "gathering")
-    simulation.cloud.take(victim.name)
+    simulation.cloud.reclaim(victim.name)
     simulation.run_until(runs(simulation, 1), simulation.gang_wait_s)
     assert len(attempts(simulation, 1)) == 1 and not simulation.gave_up_waiting
     simulation.run_until(done(simulation, 1), 60)
@@ -107,7 +107,7 @@
     simulation.run(13.0)
     first = attempts(simulation, 1)
     victim = marks(simulation, 1)[0][0]
-    simulation.cloud.take(victim.name)
+    simulation.cloud.reclaim(victim.name)
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 90)
     (gone, again) = attempts(simulation, 1)
     assert [gone] == first and again > gone
@@ -146,7 +146,7 @@
     simulation.run(12.0)
     victim = marks(simulation, 1)[0][0]
     victim.notice = 10.0
-    simulation.after(10.0, lambda: simulation.cloud.take(victim.name))
+    simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
     simulation.run_until(lambda: progress(simulation, 1) > 0, 10)
     assert progress(simulation, 1) > 10.0
     simulation.run_until(done(simulation, 1), 150)
@@ -178,7 +178,7 @@
         simulation.run(7.0)
         victim = marks(simulation, 1)[0][0]
         victim.notice = 10.0
-        simulation.after(10.0, lambda: simulation.cloud.take(victim.name))
+        simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
         simulation.run_until(lambda: count(simulation, 1, "flushing"), 10)
     starts = simulation.starts
     for name in [simulation.leader()] if crash == "leader" else simulation.names:
@@ -197,7 +197,7 @@
     simulation.run(6.0)
     workers = [w for w, _, _ in marks(simulation, 1)]
     copies = [body for w in workers for _, body in w.sent]
-    simulation.cloud.take(workers[0].name)
+    simulation.cloud.reclaim(workers[0].name)
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 120)
     copies += [body for w in workers[1:] for _, body in w.sent[-30:]]
     starts = simulation.starts
@@ -300,12 +300,12 @@
         elif workers:
             worker = rng.choice(workers)
             if act < 0.91:
-                simulation.cloud.take(worker.name)
+                simulation.cloud.reclaim(worker.name)
             elif act < 0.96:
                 worker.hang(rng.uniform(0.5, 10.0))
             else:
                 worker.notice = 10.0
-                simulation.after(10.0, functools.partial(simulation.cloud.take, worker.name))
+                simulation.after(10.0, functools.partial(simulation.cloud.reclaim, worker.name))
     simulation.heal()
     simulation.run_until(
         lambda: all(
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -201,7 +201,7 @@
     simulation.run_until(runs(simulation, 1), 60)
     (first,) = attempts(simulation, 1)
     simulation.run(2.0)
-    simulation.cloud.take(marks(simulation, 1)[0][0].name)
+    simulation.cloud.reclaim(marks(simulation, 1)[0][0].name)
     simulation.run_until(done(simulation, 1), 150)
     (first, again) = attempts(simulation, 1)
     assert (seen.count(first), seen.count(again)) == (4, 4)
@@ -217,7 +217,7 @@
     slow = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/3")
     idle = [w for w in simulation.cloud.workers() if w.zone == zone and not w.tasks]
     for worker in [slow, *idle]:
-        simulation.cloud.take(worker.name)
+        simulation.cloud.reclaim(worker.name)
     simulation.fetch_s.clear()
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2, 90)
     assert not simulation.gave_up_waiting
@@ -256,7 +256,7 @@
     victim = marks(simulation, 1)[0][0]
     victim.notice = 8.0
     simulation.run_until(lambda: count(simulation, 1, "flushing") == 4, 5)
-    simulation.cloud.take(victim.name)
+    simulation.cloud.reclaim(victim.name)
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 90)
     assert progress(simulation, 1) == 5.0
     simulation.run_until(done(simulation, 1), 90)
@@ -275,7 +275,7 @@
     simulation.run(6.0)
     (lost, hung, _) = [w for w, _, _ in marks(simulation, 1)]
     hung.hang(11.0)
-    simulation.cloud.take(lost.name)
+    simulation.cloud.reclaim(lost.name)
     until = simulation.now + 10.0
     while simulation.now < until and hung.name in simulation.cloud.machines:
         simulation.run(0.5)
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -67,7 +67,7 @@
         for worker in workers:
             if worker.spot and rng.random() < 0.5:
                 worker.notice = 5.0
-                reclaim = functools.partial(simulation.cloud.take, worker.name)
+                reclaim = functools.partial(simulation.cloud.reclaim, worker.name)
                 simulation.after(5.0, reclaim)
     elif draw < 0.26:
         simulation.end_faults()
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -9,7 +9,7 @@
 from tests.simulation import Simulation
 
 
-def new_trouble(simulation, rng):
+def inject_fault(simulation, rng):
     """Now and then one of the troubles that meet others; about one in eight steps."""
     act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
     if act < 0.02:
@@ -54,7 +54,7 @@
         simulation.check_owners()
         simulation.check_cancelled()
         simulation.check_sums()
-        new_trouble(simulation, rng)
+        inject_fault(simulation, rng)
         act = rng.random()
         names = sorted(simulation.nodes)
         if act < 0.45 and names:
@@ -97,7 +97,7 @@
         elif act < 0.955:
             simulation.outage(rng.uniform(2, 20))
         elif simulation.cloud.machines:
-            simulation.cloud.take(rng.choice(sorted(simulation.cloud.machines)))
+            simulation.cloud.reclaim(rng.choice(sorted(simulation.cloud.machines)))
     simulation.end_faults()
     for _ in range(75):
         simulation.run(1.0)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -313,7 +313,7 @@
         simulation.run(7.0)
         victim = next(w for w in simulation.cloud.workers() if w.in_state("running"))
         victim.notice = 10.0
-        simulation.after(10.0, lambda: simulation.cloud.take(victim.name))
+        simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
         simulation.run_until(lambda: count(simulation, "flushing"), 10)
     if state == "cancelled":
         # Some tasks are told to stop, the others not yet.
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -91,7 +91,7 @@
     simulation.cloud.capacity = dict.fromkeys(simulation.cloud.capacity, 0)
     simulation.submit(job(2, team="blue", tasks=1, cpus=16.0, slot="none"))
     for name in list(simulation.cloud.machines):
-        simulation.cloud.take(name)
+        simulation.cloud.reclaim(name)
     simulation.run(250.0)
     shares = simulation.check_served()
     assert shares["class", "quick"] == shares["team", "red"] == 1.0
@@ -263,7 +263,7 @@
         step(simulation, 5.0)
         # Machines go, so that each turn rents new ones.
         for worker in simulation.cloud.workers()[::2]:
-            simulation.cloud.take(worker.name)
+            simulation.cloud.reclaim(worker.name)
         step(simulation, 3.0)
     simulation.finish()
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -22,7 +22,7 @@
     def worker(self, index, zone):
         name = f"m-{index:06d}"
         worker = Worker(self.simulation, name, zone, True)
-        worker.renewed, worker.speed = 1e9, 1.0
+        worker.lease_renewed_at, worker.speed = 1e9, 1.0
         self.simulation.cloud.machines[name] = {
             "place": (zone, True),
             "at": self.simulation.now,
@@ -92,7 +92,7 @@
     harness = WorkerHarness()
     harness.start([0, 1])
     harness.simulation.run(2.0)
-    harness.simulation.cloud.take(harness.workers[0].name)
+    harness.simulation.cloud.reclaim(harness.workers[0].name)
     harness.start([2])
     harness.simulation.run(5.0)
     assert harness.states(1, 2) == ["gathering"] * 2
@@ -116,7 +116,7 @@
     harness = WorkerHarness()
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 12.0)
-    harness.simulation.cloud.take(harness.workers[0].name)
+    harness.simulation.cloud.reclaim(harness.workers[0].name)
     assert harness.states(1, 2) == ["running"] * 2
     harness.simulation.run(4.0)
     assert harness.states(1, 2) == [("mates_gone", False)] * 2 and harness.progress == 10.0
@@ -203,7 +203,7 @@
     for index in range(3):
         harness.order("kill", index, windup_s=3.0)
     harness.simulation.run(2.0)
-    harness.simulation.cloud.take(harness.workers[0].name)
+    harness.simulation.cloud.reclaim(harness.workers[0].name)
     harness.simulation.run(4.0)
     assert harness.progress == 10.0 and not harness.simulation.lost_progress
     assert all(s[1] is False for s in harness.states(1, 2))
