--- a/src/copperpass/net/client.py
+++ b/src/copperpass/net/client.py
@@ -17,36 +17,42 @@
 
 from copperpass.core.ports import NO_ANSWER, NOT_SENT
 
-Done = Callable[[int, bytes], None]
-JSON = Headers({b"content-type": [b"application/json"]})
+OnResponse = Callable[[int, bytes], None]
+CONNECT_TIMEOUT_S = 5.0
+JSON_HEADERS = Headers({b"content-type": [b"application/json"]})
 
 
-class BoundedPool(HTTPConnectionPool):
-    """Keeps at most `most` sockets: an idle one, the least recently used, makes room for another.
+class BoundedConnectionPool(HTTPConnectionPool):
+    """Holds at most `max_connections`: the idle one least recently used is closed for a new one.
+
+    Connections in use count too, but none of them is closed: with more requests in flight than
+    `max_connections` there are more connections.
 
     The pool of the library is bounded for each host only. With a thousand workers, one idle
     connection to each would take the sockets that workers, users and the load balancer come in on.
     """
 
-    def __init__(self, reactor: Any, per_host: int, most: int, keep_s: float) -> None:
+    def __init__(
+        self, reactor: Any, per_host: int, max_connections: int, idle_timeout_s: float
+    ) -> None:
         super().__init__(reactor, persistent=True)
         self.maxPersistentPerHost = per_host
-        self.cachedConnectionTimeout = int(keep_s)
-        # A request is never sent twice behind the core's back.
+        self.cachedConnectionTimeout = int(idle_timeout_s)
+        # The core decides whether a request is sent again: it may have been carried out.
         self.retryAutomatically = False
-        self.most = most
+        self.max_connections = max_connections
         self.in_use = 0
         self._keys: dict[Any, Hashable] = {}
 
     @property
     def idle(self) -> int:
-        """How many connections wait for their next request."""
+        """How many connections are open without a request."""
         return len(self._timeouts)
 
     def getConnection(self, key: Any, endpoint: Any) -> Any:
-        """Give an idle connection, or a new one after closing what is too many."""
+        """An idle connection, or a new one after closing those that are too many."""
         if not self._connections.get(key):
-            while self._timeouts and self.in_use + self.idle > self.most:
+            while self._timeouts and self.in_use + self.idle > self.max_connections:
                 oldest = next(iter(self._timeouts))
                 self._timeouts[oldest].cancel()
                 self._removeConnection(self._keys.pop(oldest), oldest)
@@ -54,66 +60,76 @@
 
     def _putConnection(self, key: Any, connection: Any) -> None:
         super()._putConnection(key, connection)
-        self._keys = (
-            {c: k for c, k in self._keys.items() if c in self._timeouts}
-            if (len(self._keys) > 2 * self.most)
-            else self._keys
-        )
+        if len(self._keys) > 2 * self.max_connections:
+            # The library closes connections on its own too: drop the keys of these.
+            self._keys = {
+                idle: its_key for idle, its_key in self._keys.items() if idle in self._timeouts
+            }
         self._keys[connection] = key
 
 
 @implementer(IAgentEndpointFactory)
-class Endpoints:
-    """Makes endpoints of IP numbers, which need no look-up."""
+class EndpointFactory:
+    """Makes endpoints of IP addresses, which need no name resolution."""
 
-    def __init__(self, reactor: Any, timeout: float) -> None:
-        self.reactor, self.timeout = reactor, timeout
+    def __init__(self, reactor: Any, connect_timeout_s: float) -> None:
+        self.reactor, self.connect_timeout_s = reactor, connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
         """The endpoint of an address."""
         return TCP4ClientEndpoint(
-            self.reactor, uri.host.decode("ascii"), uri.port, timeout=self.timeout
+            self.reactor, uri.host.decode("ascii"), uri.port, timeout=self.connect_timeout_s
         )
 
 
-class Body(Protocol):
-    """Gathers the body of a response."""
+class ResponseBody(Protocol):
+    """Collects the body of a response, then passes it on with the status."""
 
-    def __init__(self, status: int, done: Done) -> None:
-        self.status, self.done = status, done
+    def __init__(self, status: int, on_response: OnResponse) -> None:
+        self.status, self.on_response = status, on_response
         self.parts: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a part."""
+        """Add a part."""
         self.parts.append(data)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The body is whole, or the connection was lost on the way."""
+        """The body is complete, or the connection was lost before its end."""
         if reason is not None and reason.check(ResponseDone):
-            self.done(self.status, b"".join(self.parts))
+            self.on_response(self.status, b"".join(self.parts))
         else:
-            self.done(NO_ANSWER, b"")
+            self.on_response(NO_ANSWER, b"")
 
 
-class Client:
-    """Asks other systems; every call ends by its deadline.
+class HttpClient:
+    """Sends requests to other systems; every request ends by its deadline.
 
     Its status is `NO_ANSWER` if it may have been carried out, `NOT_SENT` if it can't have been.
     """
 
-    def __init__(self, reactor: Any, per_host: int, most: int, keep_s: float = 60.0) -> None:
+    def __init__(
+        self, reactor: Any, per_host: int, max_connections: int, idle_timeout_s: float = 60.0
+    ) -> None:
         self.reactor = reactor
-        self.pool = BoundedPool(reactor, per_host, most, keep_s)
-        self.agent = Agent.usingEndpointFactory(reactor, Endpoints(reactor, 5.0), self.pool)
+        self.pool = BoundedConnectionPool(reactor, per_host, max_connections, idle_timeout_s)
+        self.agent = Agent.usingEndpointFactory(
+            reactor, EndpointFactory(reactor, CONNECT_TIMEOUT_S), self.pool
+        )
 
     def call(
-        self, method: str, address: str, path: str, body: bytes, timeout: float, done: Done
+        self,
+        method: str,
+        address: str,
+        path: str,
+        body: bytes,
+        timeout_s: float,
+        on_response: OnResponse,
     ) -> None:
-        """Send a request and report its status and body exactly once."""
+        """Send a request; `on_response` is called exactly once, with its status and body."""
         uri = f"http://{address}{path}".encode()
         producer: Any = FileBodyProducer(BytesIO(body)) if method != "GET" else None
         ended = False
-        reading: list[Body] = []
+        reading: list[ResponseBody] = []
 
         def finish(status: int, data: bytes) -> None:
             nonlocal ended
@@ -122,26 +138,26 @@
                 self.pool.in_use -= 1
                 if timer.active():
                     timer.cancel()
-                done(status, data)
+                on_response(status, data)
 
         def expire() -> None:
             transport: Any = reading[0].transport if reading else None
             if transport is not None:
                 transport.loseConnection()
             else:
-                asking.cancel()
+                request.cancel()
             finish(NO_ANSWER, b"")
 
-        def answered(response: Any) -> None:
-            reading.append(Body(response.code, finish))
+        def on_headers(response: Any) -> None:
+            reading.append(ResponseBody(response.code, finish))
             response.deliverBody(reading[0])
 
-        def failed(failure: Any) -> None:
-            # A connection that was never made, or was given up, carries nothing later.
+        def on_failure(failure: Any) -> None:
+            # A connection that was never made, or was abandoned before, carries nothing later.
             unsent = failure.check(ConnectError, ConnectingCancelledError) is not None
             finish(NOT_SENT if unsent else NO_ANSWER, b"")
 
         self.pool.in_use += 1
-        timer = self.reactor.callLater(timeout, expire)
-        asking: Deferred[Any] = self.agent.request(method.encode(), uri, JSON, producer)
-        asking.addCallbacks(answered, failed)
+        timer = self.reactor.callLater(timeout_s, expire)
+        request: Deferred[Any] = self.agent.request(method.encode(), uri, JSON_HEADERS, producer)
+        request.addCallbacks(on_headers, on_failure)
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -17,19 +17,19 @@
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import split_address
 
-Received = Callable[[str, Frame], None]
-# A stuck link is given up after as many times the wait between two tries to connect.
-STUCK_RETRIES = 12
+OnFrame = Callable[[str, Frame], None]
+# A blocked link is closed after as many times the interval between two attempts to connect.
+BLOCKED_RETRY_INTERVALS = 12
 
 
-class Incoming(Protocol):
+class IncomingLink(Protocol):
     """Frames from another controller."""
 
-    def __init__(self, members: set[str], received: Received) -> None:
-        self.members, self.received = members, received
-        self.unpacker = FrameDecoder()
+    def __init__(self, members: set[str], on_frame: OnFrame) -> None:
+        self.members, self.on_frame = members, on_frame
+        self.decoder = FrameDecoder()
         self.sender = ""
-        self.told_unknown = False
+        self.unknown_logged = False
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes; anything malformed closes the link and changes nothing.
@@ -38,7 +38,7 @@
         would be opened again, and closed again at the next such frame.
         """
         try:
-            for frame in self.unpacker.feed(data):
+            for frame in self.decoder.feed(data):
                 if isinstance(frame, Hello):
                     if self.sender or frame.member not in self.members:
                         raise FrameError(f"wrong sender {frame.member!r}")
@@ -48,7 +48,7 @@
                 elif isinstance(frame, UnknownFrame):
                     self._skip(frame)
                 else:
-                    self.received(self.sender, frame)
+                    self.on_frame(self.sender, frame)
         except FrameError as error:
             fields: dict[str, object] = {"peer": self.sender, "reason": str(error)}
             write(LogRecord(LogLevel.ERROR, LogEvent.MALFORMED_FRAME, fields))
@@ -56,9 +56,9 @@
                 self.transport.abortConnection()
 
     def _skip(self, frame: UnknownFrame) -> None:
-        """Say once for each link what its sender knows and this version doesn't."""
-        if not self.told_unknown:
-            self.told_unknown = True
+        """Log, once a link, a frame of a later version that this one doesn't know."""
+        if not self.unknown_logged:
+            self.unknown_logged = True
             fields: dict[str, object] = {
                 "peer": self.sender,
                 "kind": frame.kind,
@@ -67,80 +67,80 @@
             write(LogRecord(LogLevel.INFO, LogEvent.UNKNOWN_FRAME_SKIPPED, fields))
 
 
-class IncomingFactory(ServerFactory):
+class IncomingLinkFactory(ServerFactory):
     """Makes the receiving ends."""
 
     noisy = False
 
-    def __init__(self, members: set[str], received: Received) -> None:
-        self.members, self.received = members, received
+    def __init__(self, members: set[str], on_frame: OnFrame) -> None:
+        self.members, self.on_frame = members, on_frame
 
-    def buildProtocol(self, addr: Any) -> Incoming:
+    def buildProtocol(self, addr: Any) -> IncomingLink:
         """Make one receiving end."""
-        return Incoming(self.members, self.received)
+        return IncomingLink(self.members, self.on_frame)
 
 
 @implementer(IPushProducer)
-class Link(Protocol):
+class OutgoingLink(Protocol):
     """A connection to another controller; says whether bytes pile up on it."""
 
-    def __init__(self, factory: Outgoing) -> None:
+    def __init__(self, factory: OutgoingLinkFactory) -> None:
         self.factory = factory
-        self.stuck_since: float | None = None
+        self.blocked_since: float | None = None
 
     def connectionMade(self) -> None:
-        """Greet."""
+        """Introduce this member: the first frame names the sender."""
         transport: Any = self.transport
         self.factory.link = self
         transport.setTcpNoDelay(True)
         transport.registerProducer(self, True)
-        transport.write(encode_frame(Hello(self.factory.own)))
+        transport.write(encode_frame(Hello(self.factory.own_name)))
 
     def pauseProducing(self) -> None:
-        """More waits than the transport likes to hold."""
-        self.stuck_since = self.factory.reactor.seconds()
+        """The transport's buffer is full."""
+        self.blocked_since = self.factory.reactor.seconds()
 
     def resumeProducing(self) -> None:
-        """It has been sent."""
-        self.stuck_since = None
+        """The transport's buffer has been sent."""
+        self.blocked_since = None
 
     def stopProducing(self) -> None:
         """The connection is lost."""
 
 
-class Outgoing(ClientFactory):
+class OutgoingLinkFactory(ClientFactory):
     """The sending end to one controller; frames are dropped while there is no connection.
 
     They are dropped as well while what was sent before can't leave: every frame is sent again in
     a newer form, and a cut that holds packets back for minutes must not fill the memory. A link
-    that stays stuck for longer than the other side would wait is closed and made anew.
+    that stays blocked for longer than the other side would wait is closed and made anew.
     """
 
     noisy = False
 
-    def __init__(self, reactor: Any, own: str, addr: str, retry_s: float) -> None:
-        self.reactor, self.own, self.retry_s = reactor, own, retry_s
+    def __init__(self, reactor: Any, own_name: str, addr: str, retry_s: float) -> None:
+        self.reactor, self.own_name, self.retry_s = reactor, own_name, retry_s
         self.host, self.port = split_address(addr, "members.addr")
-        self.link: Link | None = None
+        self.link: OutgoingLink | None = None
 
     def connect(self) -> None:
         """Open the connection."""
         self.reactor.connectTCP(self.host, self.port, self, timeout=3 * self.retry_s)
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        """Greet once connected."""
-        return Link(self)
+        """Make the sending end of a new connection."""
+        return OutgoingLink(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Try again soon."""
-        self._again()
+        """Connect again after the retry interval."""
+        self._reconnect_later()
 
     def clientConnectionLost(self, connector: Any, reason: Any) -> None:
-        """Try again soon."""
+        """Connect again after the retry interval."""
         self.link = None
-        self._again()
+        self._reconnect_later()
 
-    def _again(self) -> None:
+    def _reconnect_later(self) -> None:
         self.reactor.callLater(self.retry_s, self.connect)
 
     def send(self, data: bytes) -> None:
@@ -148,29 +148,33 @@
         if self.link is None:
             return
         transport: Any = self.link.transport
-        if self.link.stuck_since is None:
+        if self.link.blocked_since is None:
             transport.write(data)
-        elif self.reactor.seconds() - self.link.stuck_since > STUCK_RETRIES * self.retry_s:
+        elif (
+            self.reactor.seconds() - self.link.blocked_since
+            > BLOCKED_RETRY_INTERVALS * self.retry_s
+        ):
             transport.abortConnection()
 
 
-class Peers:
-    """All links of this controller."""
+class PeerLinks:
+    """All links of this controller: one outgoing to each other member, and those that come in."""
 
     def __init__(
         self,
         reactor: Any,
-        own: str,
+        own_name: str,
         listen: str,
         members: dict[str, str],
-        received: Received,
+        on_frame: OnFrame,
         retry_s: float,
     ) -> None:
         self.reactor = reactor
         self.host, self.port = split_address(listen, "internal_addr")
-        self.incoming = IncomingFactory(set(members), received)
+        self.incoming = IncomingLinkFactory(set(members), on_frame)
         self.outgoing = {
-            name: Outgoing(reactor, own, addr, retry_s) for name, addr in members.items()
+            name: OutgoingLinkFactory(reactor, own_name, addr, retry_s)
+            for name, addr in members.items()
         }
 
     def start(self) -> None:
--- a/src/copperpass/net/server.py
+++ b/src/copperpass/net/server.py
@@ -1,4 +1,4 @@
-"""What users, workers and the load balancer ask of this node, over HTTP."""
+"""The HTTP server for users, workers and the load balancer."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from copperpass.protocol.users import CANCEL_SUFFIX, HEALTH_PATH, JOBS_PATH, MAX_BODY_BYTES
 from copperpass.protocol.workers import HEARTBEAT_PATH
 
-JSON = b"application/json"
+JSON_CONTENT_TYPE = b"application/json"
 
 
 class BoundedBody(BytesIO):
     """A request body in memory, cut off one byte beyond the longest that is allowed."""
 
     def write(self, data: Any) -> int:
-        """Keep what is within the bound; the rest of an oversize body is dropped."""
+        """Keep what is within the bound; the rest of an oversized body is dropped."""
         super().write(data[: max(0, MAX_BODY_BYTES + 1 - self.tell())])
         return len(data)
 
 
 class ApiRequest(Request):
-    """One request; the service decides what it is answered."""
+    """One request; the service decides the answer, now or later, through `reply`."""
 
     service: Any = None
-    gone = False
+    disconnected = False
 
     def gotLength(self, length: int | None) -> None:
         """Begin a body: twisted would put one of unknown or large size into a temporary file."""
         self.content = BoundedBody()
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Take a whole request; no body is a form, and looking for one costs more than the rest."""
+        """Take a whole request, without the library's parsing of forms, which costs the most."""
         content: Any = self.content
         content.seek(0)
         self.method, self.uri, self.clientproto = command, path, version
@@ -48,44 +48,44 @@
         service = self.service
         content: Any = self.content
         if path == HEARTBEAT_PATH:
-            if self._allow(method, "POST"):
+            if self._is_allowed(method, "POST"):
                 service.worker_heartbeat(self, content.read(MAX_BODY_BYTES + 1))
         elif path == HEALTH_PATH:
-            if self._allow(method, "GET"):
+            if self._is_allowed(method, "GET"):
                 self.reply(*service.health())
         elif path == JOBS_PATH:
-            if self._allow(method, "POST"):
+            if self._is_allowed(method, "POST"):
                 service.submit(self, content.read(MAX_BODY_BYTES + 1))
         elif path.startswith(JOBS_PATH + "/"):
             rest = path[len(JOBS_PATH) + 1 :]
             if rest.endswith(CANCEL_SUFFIX) and rest.count("/") == 1:
-                if self._allow(method, "POST"):
+                if self._is_allowed(method, "POST"):
                     service.cancel(self, rest[: -len(CANCEL_SUFFIX)])
             elif "/" in rest or not rest:
                 self.reply(404, error_body("no such path"))
-            elif self._allow(method, "GET"):
+            elif self._is_allowed(method, "GET"):
                 service.poll(self, rest)
         else:
             self.reply(404, error_body("no such path"))
 
-    def _allow(self, method: str, wanted: str) -> bool:
-        if method == wanted:
+    def _is_allowed(self, method: str, expected: str) -> bool:
+        if method == expected:
             return True
-        self.setHeader(b"allow", wanted.encode())
+        self.setHeader(b"allow", expected.encode())
         self.reply(405, error_body("method not allowed"))
         return False
 
     def connectionLost(self, reason: Any) -> None:
-        """The asker has gone."""
-        self.gone = True
+        """The client has disconnected."""
+        self.disconnected = True
         super().connectionLost(reason)
 
     def reply(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Answer, unless the asker has gone."""
-        if self.gone or self.finished:
+        """Answer, unless the client has disconnected or has its answer."""
+        if self.disconnected or self.finished:
             return
         self.setResponseCode(status)
-        self.setHeader(b"content-type", JSON)
+        self.setHeader(b"content-type", JSON_CONTENT_TYPE)
         self.setHeader(b"content-length", str(len(body)).encode())
         if retry_after is not None:
             self.setHeader(b"retry-after", str(retry_after).encode())
@@ -96,8 +96,8 @@
 class ApiFactory(HTTPFactory):
     """Makes channels whose requests know the service."""
 
-    def __init__(self, service: Any, reactor: Any, idle_s: float) -> None:
-        super().__init__(timeout=int(idle_s), reactor=reactor)
+    def __init__(self, service: Any, reactor: Any, idle_timeout_s: float) -> None:
+        super().__init__(timeout=int(idle_timeout_s), reactor=reactor)
         self.request_class = type("BoundRequest", (ApiRequest,), {"service": service})
 
     def buildProtocol(self, addr: Any) -> Any:
@@ -108,4 +108,4 @@
         return channel
 
     def log(self, request: Any) -> None:
-        """No access log: what matters is logged by the service."""
+        """No access log: the service logs what matters."""
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -1,4 +1,8 @@
-"""Binds the pure core to the reactor: clocks, sockets and the log."""
+"""Binds the pure core to the reactor: clocks, sockets and the log.
+
+Each input is passed to the node, and then all that the node has left in its outbox is carried out.
+A fault in the node is logged and ends that input alone.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome
 from copperpass.log import write
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
-from copperpass.net.client import Client
-from copperpass.net.peers import Peers
+from copperpass.net.client import HttpClient
+from copperpass.net.peers import PeerLinks
 from copperpass.net.server import ApiFactory
 from copperpass.protocol.frames.messages import Frame
 from copperpass.settings import Settings, split_address
@@ -38,34 +42,34 @@
             tuning,
             time.time() - self.now(),
         )
-        self.peers = Peers(
+        self.peers = PeerLinks(
             reactor,
             settings.name,
             settings.peer_listen,
             {m.name: m.addr for m in settings.members},
-            self._received,
+            self._on_frame,
             self.node.timings.vote_s / 4,
         )
-        sockets = settings.cluster.resources.max_connections
-        self.client = Client(reactor, 8, 32)
-        # A quarter of the sockets for orders to workers; the rest is for those who come in.
-        self.workers = Client(
-            reactor, 1, max(16, sockets // 4), 2 * settings.cluster.workers.lease_s
+        max_connections = settings.cluster.resources.max_connections
+        self.client = HttpClient(reactor, 8, 32)
+        # A quarter of the connections for commands to workers; the rest is for incoming ones.
+        self.worker_client = HttpClient(
+            reactor, 1, max(16, max_connections // 4), 2 * settings.cluster.workers.lease_s
         )
         self.addresses = {
             "state": settings.services.state,
             "cloud": settings.services.cloud,
         }
         self.tick_s = min(0.1, settings.cluster.workers.report_s / 20)
-        self.soon: Any = None
+        self.round_timer: Any = None
 
     def start(self) -> None:
         """Listen and begin to tick."""
         host, port = split_address(self.settings.listen, "serve_on")
         cluster = self.settings.cluster
-        # Whoever has been silent for two leases is gone: its socket is needed for others.
+        # A client without a request for two leases is gone: its connection is needed for others.
         factory = ApiFactory(self, self.reactor, max(30.0, 2 * cluster.workers.lease_s))
-        # After crashes a whole fleet comes at once.
+        # After a crash of controllers all workers connect at once.
         backlog = max(200, cluster.resources.max_connections)
         self.reactor.listenTCP(port, factory, backlog=backlog, interface=host)
         self.peers.start()
@@ -88,36 +92,36 @@
             self.node.tick(self.now())
         except Exception:
             logger.exception(LogEvent.TICK_FAILED)
-        self._drain()
+        self._flush_outbox()
 
-    def _received(self, sender: str, frame: Frame) -> None:
+    def _on_frame(self, sender: str, frame: Frame) -> None:
         try:
             self.node.on_frame(self.now(), sender, frame)
         except Exception:
             logger.exception(LogEvent.FRAME_FAILED)
-        self._drain()
+        self._flush_outbox()
 
-    def _round_soon(self) -> None:
-        """Gather what comes in close together into one round."""
-        if self.soon is not None:
+    def _schedule_round(self) -> None:
+        """Have a scheduling round soon, so that inputs close together share one."""
+        if self.round_timer is not None:
             return
-        due = [owner.next_round_at for owner in self.node.schedulers if owner.dirty]
-        if due:
-            wait = max(0.01, min(due) - self.now())
-            self.soon = self.reactor.callLater(wait, self._soon)
+        due_at = [owner.next_round_at for owner in self.node.schedulers if owner.dirty]
+        if due_at:
+            delay_s = max(0.01, min(due_at) - self.now())
+            self.round_timer = self.reactor.callLater(delay_s, self._run_round)
 
-    def _soon(self) -> None:
-        self.soon = None
+    def _run_round(self) -> None:
+        self.round_timer = None
         self._run()
 
     def worker_heartbeat(self, request: Any, body: bytes) -> None:
-        """A worker's report."""
+        """POST of a worker's heartbeat."""
         try:
             self.node.worker_heartbeat(self.now(), request, body)
         except Exception:
             logger.exception(LogEvent.WORKER_HEARTBEAT_FAILED)
             request.reply(503, b"{}")
-        self._drain()
+        self._flush_outbox()
 
     def health(self) -> tuple[int, bytes]:
         """The load balancer's probe."""
@@ -128,21 +132,21 @@
     def submit(self, request: Any, body: bytes) -> None:
         """A user's submission."""
         self.node.user_api.submit(self.now(), request, body)
-        self._drain()
+        self._flush_outbox()
 
     def poll(self, request: Any, job_id: str) -> None:
         """A user's poll."""
         self.node.user_api.poll(self.now(), request, job_id)
-        self._drain()
+        self._flush_outbox()
 
     def cancel(self, request: Any, job_id: str) -> None:
         """A user's cancellation."""
         self.node.user_api.cancel(self.now(), request, job_id)
-        self._drain()
+        self._flush_outbox()
 
     # -- outputs -----------------------------------------------------------------------
 
-    def _drain(self) -> None:
+    def _flush_outbox(self) -> None:
         out = self.node.out
         while out.calls or out.replies or out.logs or out.frames:
             logs, out.logs = out.logs, []
@@ -158,21 +162,21 @@
             calls, out.calls = out.calls, []
             for call in calls:
                 self._send(call)
-        self._round_soon()
+        self._schedule_round()
 
     def _send(self, call: Call) -> None:
-        def done(status: int, body: bytes) -> None:
+        def on_response(status: int, body: bytes) -> None:
             try:
                 if status == NOT_SENT and call.service != "worker":
                     status = NO_ANSWER
                 call.on_done(self.now(), CallOutcome(status, body))
             except Exception:
                 logger.exception(LogEvent.CALL_COMPLETION_FAILED)
-            self._drain()
+            self._flush_outbox()
 
         address = call.address or self.addresses[call.service]
-        client = self.workers if call.service == "worker" else self.client
-        client.call(call.method, address, call.path, call.body, call.timeout, done)
+        client = self.worker_client if call.service == "worker" else self.client
+        client.call(call.method, address, call.path, call.body, call.timeout, on_response)
 
 
 def run(settings: Settings, tuning: Tuning) -> None:
--- a/tests/test_peer.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between controllers, and bytes that are none."""
+"""Frames between controllers: both ways, cut anywhere, malformed, and of later versions."""
 
 import random
 import struct
@@ -13,6 +13,7 @@
 from copperpass.protocol.frames.messages import (
     NEVER_ANSWERED,
     CapacityRequests,
+    Frame,
     Grant,
     GrantRequest,
     Hello,
@@ -24,6 +25,7 @@
     MachineStatus,
     MachineStatusUpdates,
     MemberHeartbeat,
+    PendingTasks,
     RelayedAnswer,
     RelayedHeartbeat,
     RouteUpdates,
@@ -34,7 +36,7 @@
 )
 from copperpass.protocol.frames.stream import FrameDecoder
 
-FRAMES = [
+FRAMES: list[Frame] = [
     JobCancelled("req-000412"),
     Hello("n1"),
     MemberHeartbeat(7, NEVER_ANSWERED),
@@ -52,15 +54,15 @@
     data = b"".join(encode_frame(f) for f in FRAMES)
     rng = random.Random(3)
     for _ in range(50):
-        unpacker, got, at = FrameDecoder(), [], 0
-        while at < len(data):
+        decoder, decoded, offset = FrameDecoder(), [], 0
+        while offset < len(data):
             size = rng.randint(1, 9)
-            got += unpacker.feed(data[at : at + size])
-            at += size
-        assert got == FRAMES
+            decoded += decoder.feed(data[offset : offset + size])
+            offset += size
+        assert decoded == FRAMES
 
 
-def _framed(kind, payload):
+def _with_header(kind, payload):
     return struct.pack("!2sBBI", b"cp", FRAME_VERSION, kind, len(payload)) + payload
 
 
@@ -79,12 +81,12 @@
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_ANSWER, 5) + b"abcde",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
         # The same under the version that is spoken, where it is the payload that is refused.
-        _framed(FrameKind.LEASE_EXTENSION_REQUEST, b"abc"),
-        _framed(FrameKind.LEASE_EXTENSION_VOTE, bytes(16) + b"\x07"),
-        _framed(FrameKind.RUNNING_COUNTS, b"\x09\x00\x00\x00\x01x"),
-        _framed(FrameKind.HELLO, b"\xff"),
-        _framed(FrameKind.RELAYED_HEARTBEAT, b"ab"),
-        _framed(FrameKind.RELAYED_ANSWER, b"abcde"),
+        _with_header(FrameKind.LEASE_EXTENSION_REQUEST, b"abc"),
+        _with_header(FrameKind.LEASE_EXTENSION_VOTE, bytes(16) + b"\x07"),
+        _with_header(FrameKind.RUNNING_COUNTS, b"\x09\x00\x00\x00\x01x"),
+        _with_header(FrameKind.HELLO, b"\xff"),
+        _with_header(FrameKind.RELAYED_HEARTBEAT, b"ab"),
+        _with_header(FrameKind.RELAYED_ANSWER, b"abcde"),
         struct.pack("!2sBBI", b"cp", FRAME_VERSION, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
     ],
 )
@@ -94,7 +96,7 @@
 
 
 CONTACT = MachineContact("10.0.0.9:1", 3, 77)
-SHARES = [
+SHARD_FRAMES: list[Frame] = [
     ZoneAffinities(3, 1, (("req-000001", "a"), ("req-000412", "b"))),
     ZoneAffinities(3, 0, ()),
     GrantRequest(3, 1 << 61, 9, 12),
@@ -121,12 +123,12 @@
             MachineStatus("m-2", 7),
         ),
     ),
-    CapacityRequests(3, 1, 12, (("req-000001", 40, 2.5),)),
+    CapacityRequests(3, 1, 12, (PendingTasks("req-000001", 40, 2.5),)),
 ]
 
 
-def test_frames_of_shares_survive_and_cut_ones_are_refused():
-    for frame in SHARES:
+def test_frames_of_shards_survive_and_cut_ones_are_refused():
+    for frame in SHARD_FRAMES:
         data = encode_frame(frame)
         assert FrameDecoder().feed(data) == [frame]
         body = data[HEADER.size :]
@@ -138,8 +140,12 @@
 def test_what_a_later_version_knows_more_is_skipped_whole_and_nothing_else():
     # Guards rolling upgrades to later versions: a link that closes on their frames is opened and
     # closed in a loop. A longer frame may mean something else: none of it counts.
-    fixed = [MemberHeartbeat(7, 5), LeaseExtensionRequest(7, 9), LeaseExtensionVote(7, 9, True)]
-    for frame in [*SHARES, *fixed]:
+    fixed: list[Frame] = [
+        MemberHeartbeat(7, 5),
+        LeaseExtensionRequest(7, 9),
+        LeaseExtensionVote(7, 9, True),
+    ]
+    for frame in [*SHARD_FRAMES, *fixed]:
         data = encode_frame(frame)
         body = data[HEADER.size :] + b"\0"
         head = HEADER.pack(MAGIC, FRAME_VERSION, data[3], len(body))
@@ -149,20 +155,20 @@
             LeaseExtensionVote(7, 9, False),
         ]
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
-    unpacker = FrameDecoder()
-    assert unpacker.feed(unknown[:-1]) == []
-    assert unpacker.feed(unknown[-1:] + encode_frame(fixed[0])) == [
+    decoder = FrameDecoder()
+    assert decoder.feed(unknown[:-1]) == []
+    assert decoder.feed(unknown[-1:] + encode_frame(fixed[0])) == [
         UnknownFrame(99, "unknown kind"),
         fixed[0],
     ]
 
 
-class Links:
+class LinkHarness:
     """The receiving end of a link, fed by hand."""
 
     def __init__(self):
         self.frames = []
-        self.link = peers.Incoming({"n1"}, lambda sender, frame: self.frames.append(frame))
+        self.link = peers.IncomingLink({"n1"}, lambda sender, frame: self.frames.append(frame))
         self.transport = StringTransport()
         self.link.makeConnection(self.transport)
 
@@ -179,17 +185,17 @@
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
     heartbeat = MemberHeartbeat(7, 5)
     for _ in range(2):
-        links = Links()
-        links.feed(encode_frame(Hello("n1")))
+        link = LinkHarness()
+        link.feed(encode_frame(Hello("n1")))
         for _ in range(3):
-            links.feed(unknown + encode_frame(heartbeat))
-        assert links.frames == [heartbeat] * 3 and not links.closed
-    said = [r.getMessage() for r in caplog.records]
-    assert said == ["unknown frame skipped"] * 2
+            link.feed(unknown + encode_frame(heartbeat))
+        assert link.frames == [heartbeat] * 3 and not link.closed
+    events = [record.getMessage() for record in caplog.records]
+    assert events == ["unknown frame skipped"] * 2
     # Still closed: a known kind that is short, and any frame before the sender is known.
     short = HEADER.pack(MAGIC, FRAME_VERSION, FrameKind.LEASE_EXTENSION_REQUEST, 3) + b"abc"
-    links.feed(short)
-    assert links.closed and len(links.frames) == 3
-    stranger = Links()
+    link.feed(short)
+    assert link.closed and len(link.frames) == 3
+    stranger = LinkHarness()
     stranger.feed(unknown)
     assert stranger.closed and not stranger.frames
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,8 +15,8 @@
 import pytest
 
 from copperpass.core.ports import NOT_SENT
-from copperpass.net.client import Client
-from copperpass.net.peers import Peers
+from copperpass.net.client import HttpClient
+from copperpass.net.peers import PeerLinks
 from copperpass.net.server import ApiFactory, BoundedBody
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import Hello, LeaseExtensionRequest, RelayedHeartbeat
@@ -138,7 +138,7 @@
         unused.bind(("127.0.0.1", 0))
         closed = unused.getsockname()[1]
     answers = {}
-    client = Client(reactor, 2, 8)
+    client = HttpClient(reactor, 2, 8)
 
     def ask(name, port, timeout):
         def send():
@@ -182,7 +182,7 @@
     servers = [http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler) for _ in range(6)]
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    client, answers = Client(reactor, 1, 3), []
+    client, answers = HttpClient(reactor, 1, 3), []
 
     def ask(server):
         on_reactor(
@@ -215,8 +215,8 @@
             ports.append(probe.getsockname()[1])
     got = []
     addresses = [f"127.0.0.1:{p}" for p in ports]
-    first = Peers(reactor, "n0", addresses[0], {"n1": addresses[1]}, lambda *a: None, 0.05)
-    second = Peers(
+    first = PeerLinks(reactor, "n0", addresses[0], {"n1": addresses[1]}, lambda *a: None, 0.05)
+    second = PeerLinks(
         reactor,
         "n1",
         addresses[1],
@@ -250,7 +250,7 @@
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     deaf = socket.create_server(("127.0.0.1", port))
-    peers = Peers(
+    peers = PeerLinks(
         reactor, "n0", f"127.0.0.1:{port}", {"n1": f"127.0.0.1:{port}"}, lambda *a: None, 0.02
     )
     link = peers.outgoing["n1"]
@@ -265,7 +265,7 @@
 
     def stuck():
         on_reactor(reactor, send)
-        return first.stuck_since is not None
+        return first.blocked_since is not None
 
     wait_for(stuck)
     held = sum(sent)
@@ -278,7 +278,7 @@
         < 4 * 65536
     )
     wait_for(lambda: on_reactor(reactor, send) or link.link not in (first, None))
-    link._again = lambda: None
+    link._reconnect_later = lambda: None
     deaf.close()
 
 
