--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -7,17 +7,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
+from itertools import combinations
 
+# Amounts up to this count as none.
 TINY = 1e-9
+# The tolerance for constraints, as a part of their bounds.
+SLACK = 1e-6
 # The least weight of a team.
 MIN_WEIGHT = 1e-3
 
+# A constraint p * rho_1 + q * rho_2 = r, as (p, q, r).
+Line = tuple[float, float, float]
+
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a team asks per task of each resource, its weight and its cap in tasks."""
+    """What a team requests per task of each resource, its weight and its cap in tasks."""
 
     team: str
     request: tuple[float, float]
@@ -27,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """Tasks for each team, with the sets and factors that led to them."""
+    """Tasks for each team, with the paper's bottleneck sets and factors that led to them."""
 
     tasks: dict[str, float]
     first_set: frozenset[str] = frozenset()
@@ -57,7 +64,8 @@
 
 
 def _uses(claims: Sequence[Claim], fair: dict[str, float], resource: int) -> float:
-    return sum(fair[c.team] * c.request[resource] for c in claims)
+    """What the claims take of a resource at their fair shares."""
+    return sum(fair[claim.team] * claim.request[resource] for claim in claims)
 
 
 def ratio_bounds(
@@ -86,91 +94,110 @@
     capacity: tuple[float, float],
 ) -> tuple[float, float]:
     """The two factors, found at the corner points of the two-variable program."""
-    a = [_uses(first, fair, r) for r in (0, 1)]
-    b = [_uses(second, fair, r) for r in (0, 1)]
-
-    def alone(uses: list[float]) -> float:
-        bounds = [capacity[r] / uses[r] for r in (0, 1) if uses[r] > TINY]
-        return min(bounds) if bounds else 0.0
-
+    first_uses = [_uses(first, fair, resource) for resource in (0, 1)]
+    second_uses = [_uses(second, fair, resource) for resource in (0, 1)]
     if not second:
-        return (alone(a) if first else 0.0), 0.0
+        return (_factor_alone(first_uses, capacity) if first else 0.0), 0.0
     if not first:
-        return 0.0, alone(b)
+        return 0.0, _factor_alone(second_uses, capacity)
     low, high = ratio_bounds(first, second, fair)
-    # Lines p * rho_1 + q * rho_2 = r. The last two hold the sharing incentive, which the
-    # paper can prove because its requests add up to one; ours don't, so it is asked for.
-    lines = [(a[0], b[0], capacity[0]), (a[1], b[1], capacity[1])]
-    lines += [(1.0, -low, 0.0), (1.0, 0.0, 1.0), (0.0, 1.0, 1.0)]
+    # The last two hold the sharing incentive, which the paper can prove because its requests add
+    # up to one; ours don't, so it is asked for.
+    lines: list[Line] = [
+        (first_uses[0], second_uses[0], capacity[0]),
+        (first_uses[1], second_uses[1], capacity[1]),
+        (1.0, -low, 0.0),
+        (1.0, 0.0, 1.0),
+        (0.0, 1.0, 1.0),
+    ]
     if high != float("inf"):
         lines.append((1.0, -high, 0.0))
-    total_first = sum(fair[c.team] for c in first)
-    total_second = sum(fair[c.team] for c in second)
-    slack = 1e-6
+    total_first = sum(fair[claim.team] for claim in first)
+    total_second = sum(fair[claim.team] for claim in second)
+
+    def is_feasible(rho_1: float, rho_2: float) -> bool:
+        return (
+            min(rho_1, rho_2) >= 1 - SLACK
+            and all(
+                rho_1 * first_uses[resource] + rho_2 * second_uses[resource]
+                <= capacity[resource] * (1 + SLACK)
+                for resource in (0, 1)
+            )
+            and rho_2 * low * (1 - SLACK) <= rho_1 <= rho_2 * high * (1 + SLACK)
+        )
+
     # A hard partition is always feasible: every request fits into its equal part.
     best, best_total = (1.0, 1.0), total_first + total_second
-    for n, (p1, q1, r1) in enumerate(lines):
-        for p2, q2, r2 in lines[n + 1 :]:
-            det = p1 * q2 - p2 * q1
-            if abs(det) <= TINY * max(1.0, abs(p1 * q2)):
-                continue
-            rho_1, rho_2 = (r1 * q2 - r2 * q1) / det, (p1 * r2 - p2 * r1) / det
-            feasible = (
-                min(rho_1, rho_2) >= 1 - slack
-                and all(rho_1 * a[r] + rho_2 * b[r] <= capacity[r] * (1 + slack) for r in (0, 1))
-                and rho_2 * low * (1 - slack) <= rho_1 <= rho_2 * high * (1 + slack)
-            )
-            total = rho_1 * total_first + rho_2 * total_second
-            if feasible and total > best_total:
-                best, best_total = (rho_1, rho_2), total
+    for rho_1, rho_2 in _corner_points(lines):
+        total = rho_1 * total_first + rho_2 * total_second
+        if total > best_total and is_feasible(rho_1, rho_2):
+            best, best_total = (rho_1, rho_2), total
     return best
 
 
+def _factor_alone(uses: Sequence[float], capacity: tuple[float, float]) -> float:
+    """The factor of a set whose teams have the resources for themselves."""
+    bounds = [capacity[r] / uses[r] for r in (0, 1) if uses[r] > TINY]
+    return min(bounds) if bounds else 0.0
+
+
+def _corner_points(lines: Sequence[Line]) -> Iterator[tuple[float, float]]:
+    """Where two of the lines meet, in the order of the lines."""
+    for (p1, q1, r1), (p2, q2, r2) in combinations(lines, 2):
+        det = p1 * q2 - p2 * q1
+        if abs(det) <= TINY * max(1.0, abs(p1 * q2)):
+            continue
+        yield (r1 * q2 - r2 * q1) / det, (p1 * r2 - p2 * r1) / det
+
+
 def allocate_once(claims: Sequence[Claim], capacity: tuple[float, float]) -> Allocation:
     """BAA as in the paper: no caps."""
-    asking = [c for c in claims if max(c.request) > TINY and c.weight > TINY]
+    asking = [claim for claim in claims if max(claim.request) > TINY and claim.weight > TINY]
     if not asking:
-        return Allocation({c.team: 0.0 for c in claims})
-    total_weight = sum(c.weight for c in asking)
-    fair = {c.team: fair_share(c, capacity, total_weight) for c in asking}
-    first = [c for c in asking if load(c, capacity, 0) >= load(c, capacity, 1)]
-    second = [c for c in asking if load(c, capacity, 0) < load(c, capacity, 1)]
+        return Allocation({claim.team: 0.0 for claim in claims})
+    total_weight = sum(claim.weight for claim in asking)
+    fair = {claim.team: fair_share(claim, capacity, total_weight) for claim in asking}
+    first = [claim for claim in asking if load(claim, capacity, 0) >= load(claim, capacity, 1)]
+    second = [claim for claim in asking if load(claim, capacity, 0) < load(claim, capacity, 1)]
     factors = _solve(first, second, fair, capacity)
-    tasks = {c.team: 0.0 for c in claims}
-    tasks.update({c.team: factors[0] * fair[c.team] for c in first})
-    tasks.update({c.team: factors[1] * fair[c.team] for c in second})
+    tasks = {claim.team: 0.0 for claim in claims}
+    tasks.update({claim.team: factors[0] * fair[claim.team] for claim in first})
+    tasks.update({claim.team: factors[1] * fair[claim.team] for claim in second})
     return Allocation(
         tasks,
-        frozenset(c.team for c in first),
-        frozenset(c.team for c in second),
+        frozenset(claim.team for claim in first),
+        frozenset(claim.team for claim in second),
         factors,
     )
 
 
 def allocate(claims: Sequence[Claim], capacity: tuple[float, float]) -> Allocation:
-    """BAA with caps (limit or demand); room left over is spread by the same rule."""
-    given = {c.team: 0.0 for c in claims}
+    """BAA with caps (limit or demand); capacity that is left over is spread by the same rule."""
+    allocated = {claim.team: 0.0 for claim in claims}
     left = capacity
-    asking = [c for c in claims if c.cap > TINY]
+    asking = [claim for claim in claims if claim.cap > TINY]
     initial: Allocation | None = None
     while asking:
         step = allocate_once(asking, left)
         if initial is None:
             initial = step
-        wanted = {c.team: c.cap - given[c.team] for c in asking}
-        grows = [c for c in asking if step.tasks[c.team] > TINY]
-        if not grows:
+        uncapped = {claim.team: claim.cap - allocated[claim.team] for claim in asking}
+        growing = [claim for claim in asking if step.tasks[claim.team] > TINY]
+        if not growing:
             break
         # Grow all teams together until the first one meets its cap, then go on without it.
-        scale = min(1.0, min(wanted[c.team] / step.tasks[c.team] for c in grows))
-        for c in grows:
-            given[c.team] += scale * step.tasks[c.team]
-        used = [sum(scale * step.tasks[c.team] * c.request[r] for c in grows) for r in (0, 1)]
+        scale = min(1.0, min(uncapped[claim.team] / step.tasks[claim.team] for claim in growing))
+        for claim in growing:
+            allocated[claim.team] += scale * step.tasks[claim.team]
+        used = [
+            sum(scale * step.tasks[claim.team] * claim.request[resource] for claim in growing)
+            for resource in (0, 1)
+        ]
         left = (max(0.0, left[0] - used[0]), max(0.0, left[1] - used[1]))
-        remaining = [c for c in asking if given[c.team] < c.cap * (1 - 1e-6)]
-        if scale >= 1.0 and len(remaining) == len(asking):
+        below_cap = [claim for claim in asking if allocated[claim.team] < claim.cap * (1 - SLACK)]
+        if scale >= 1.0 and len(below_cap) == len(asking):
             break
-        asking = remaining
+        asking = below_cap
     if initial is None:
-        return Allocation(given)
-    return Allocation(given, initial.first_set, initial.second_set, initial.factors)
+        return Allocation(allocated)
+    return Allocation(allocated, initial.first_set, initial.second_set, initial.factors)
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""What the shard's teams use, may start, claim, and want machines for."""
+"""Demand of the shard's teams: what they use, may start, claim, and need machines for."""
 
 from __future__ import annotations
 
@@ -23,13 +23,18 @@
 from copperpass.core.scheduling.task_order import task_order
 from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
 from copperpass.protocol.frames.messages import PendingTasks
+from copperpass.protocol.users import JobSpec
 
 # A machine's type, its zone, and whether it is a spot machine.
 MachineKind = tuple[str, str, bool]
 
 
 class Demand:
-    """Answers what jobs may start, what teams take, and which tasks need machines."""
+    """What the shard's jobs ask for: which may start, what teams use, which need machines.
+
+    All answers are computed from the state; only `zone_affinities` is kept, for the requests that
+    were computed last.
+    """
 
     def __init__(
         self, context: SchedulerContext, state: ShardState, reservations: Reservations
@@ -41,57 +46,69 @@
         self.zone_affinities: dict[str, str] = {}
 
     def capacity_requests(self, now: float) -> list[PendingTasks]:
-        """Tasks that the machines have no room for in time, the most urgent first."""
+        """Tasks that the machines have no capacity for in time, by start deadline."""
         state, timing = self.state, self.state.timing
         waiting = [job for job in state.own_jobs() if job.waiting() > 0]
         if not waiting:
             return []
         capacities = free_capacities(self.machines.values(), now, timing.silence_s)
         unreported_kinds = self.unreported_kinds()
-        least_cpus = min(job.spec.cpus for job in waiting)
-        unmet = []
+        smallest_cpus = min(job.spec.cpus for job in waiting)
+        requests = []
         self.zone_affinities.clear()
-        taken = {team: state.tally.of(team)[0] for team in state.by_team}
+        requested_cpus = {team: state.tally.of(team)[0] for team in state.by_team}
         for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
-            # Tasks that may be running where we have not looked yet need no machines.
+            # Tasks that may be running on machines without a heartbeat yet need no machines.
             if not self.is_startable(job, now, unreported_kinds):
                 continue
-            count = self._count_under_limit(job, taken)
+            count = self._count_under_limit(job, requested_cpus)
             if count is None:
                 continue
-            horizon = max(0.0, state.slos.capacity_deadline(job, now) - now)
-            if job.spec.gang and job.placed:
-                # The rest of a gang waits for it: what they take isn't free before.
-                horizon = 0.0
-            where = (self.machines[m].zone for m in job.placed.values() if m in self.machines)
-            spec = with_zone_affinity(job.spec, where)
-            if spec.one_zone and spec.zone is not None:
-                self.zone_affinities[spec.id] = spec.zone
+            horizon_s = self._horizon_s(job, now)
+            spec = self._with_affinity(job)
             pack = pack_gang if spec.gang else pack_tasks
-            closed = self.reservations.reserved_types.reserved_from(spec)
-            left = pack(capacities, spec, count, horizon, closed)
+            reserved = self.reservations.reserved_types.reserved_from(spec)
+            left = pack(capacities, spec, count, horizon_s, reserved)
             if left > 0:
-                unmet.append(PendingTasks(spec.id, left, horizon))
+                requests.append(PendingTasks(spec.id, left, horizon_s))
                 # Without it each job that waits would look at each full machine.
-                capacities = without_exhausted(capacities, least_cpus)
-        return unmet
+                capacities = without_exhausted(capacities, smallest_cpus)
+        return requests
+
+    def _horizon_s(self, job: Job, now: float) -> float:
+        """Within how many seconds there must be capacity for the job's next task."""
+        if job.spec.gang and job.placed:
+            # Its placed tasks wait for the rest: the capacity that they take isn't free before.
+            return 0.0
+        return max(0.0, self.state.slos.capacity_deadline(job, now) - now)
 
-    def _count_under_limit(self, job: Job, taken: dict[str, float]) -> int | None:
-        """How many tasks of a job may want machines under its team's limit; adds to `taken`.
+    def _with_affinity(self, job: Job) -> JobSpec:
+        """The job's spec, in the zone that its placed tasks bind the rest to."""
+        machines = self.machines
+        zones = (machines[name].zone for name in job.placed.values() if name in machines)
+        spec = with_zone_affinity(job.spec, zones)
+        if spec.one_zone and spec.zone is not None:
+            self.zone_affinities[spec.id] = spec.zone
+        return spec
 
-        None: the limit has no room for the whole of a gang, so it needs no machines.
+    def _count_under_limit(self, job: Job, requested_cpus: dict[str, float]) -> int | None:
+        """How many tasks of a job may request machines under its team's limit.
+
+        Adds them to the team's `requested_cpus`. None: the limit doesn't allow the whole of a
+        gang, so it needs no machines.
         """
         spec, count = job.spec, job.waiting()
-        free_quota = self.state.by_team[spec.team].cpus_limit - taken[spec.team]
+        free_quota = self.state.by_team[spec.team].cpus_limit - requested_cpus[spec.team]
         if len(job.failed_on) >= FAILED_MACHINES and not spec.gang:
-            # Probably it has a mistake; but it must find room to try again while it is wanted.
+            # Probably it has a mistake; but it must find capacity for retries while it is not
+            # cancelled.
             count = 1
-        taken[spec.team] += count * spec.cpus
+        requested_cpus[spec.team] += count * spec.cpus
         if spec.cpus > 0:
-            under = max(0.0, free_quota / spec.cpus + CAPACITY_TOLERANCE)
-            if spec.gang and under < count:
+            allowed = max(0.0, free_quota / spec.cpus + CAPACITY_TOLERANCE)
+            if spec.gang and allowed < count:
                 return None
-            count = int(min(count, under))
+            count = int(min(count, allowed))
         return count
 
     def usage(self) -> dict[str, ResourceUsage]:
@@ -120,7 +137,7 @@
     def is_startable(
         self, job: Job, now: float, unreported_kinds: set[MachineKind] | None = None
     ) -> bool:
-        """Whether tasks of a job may be started, room or not.
+        """Whether tasks of a job may be started, whatever capacity there is.
 
         A caller with many jobs passes `unreported_kinds()`, so the machines are scanned once.
         """
@@ -129,44 +146,45 @@
             return False
         if job.created > state.required_revision or not (state.unsettled or state.elsewhere):
             return True
-        # Tasks of a job from before our time may still run where we have not looked yet, but only
-        # on machines that the job allows and that can hold one of its tasks.
-        types = self.types
-        return not any(
-            kind not in types
-            or (
-                satisfies_constraints(job.spec, types[kind], zone, spot)
-                and feasible_on_type(job.spec, types[kind])
-            )
-            for kind, zone, spot in (
-                self.unreported_kinds() if unreported_kinds is None else unreported_kinds
-            )
+        # Tasks of a job from before this ownership may still run on machines without a heartbeat
+        # since, but only on machines that the job allows and that can hold one of its tasks.
+        if unreported_kinds is None:
+            unreported_kinds = self.unreported_kinds()
+        return not any(self._may_hold(job.spec, kind) for kind in unreported_kinds)
+
+    def _may_hold(self, spec: JobSpec, kind: MachineKind) -> bool:
+        """Whether a machine of a kind may hold a task of a job."""
+        type_name, zone, spot = kind
+        machine_type = self.types.get(type_name)
+        return machine_type is None or (
+            satisfies_constraints(spec, machine_type, zone, spot)
+            and feasible_on_type(spec, machine_type)
         )
 
     def unreported_kinds(self) -> set[MachineKind]:
-        """The kinds of machines that may hold tasks which we have not seen."""
-        unreported_kinds = set(self.state.elsewhere.values())
+        """The kinds of machines that may hold tasks which have not been reported yet."""
+        kinds = set(self.state.elsewhere.values())
         for name in self.state.unsettled:
             machine = self.machines[name]
-            unreported_kinds.add((machine.type.name, machine.zone, machine.spot))
-        return unreported_kinds
+            kinds.add((machine.type.name, machine.zone, machine.spot))
+        return kinds
 
     def claims(self) -> list[allocation.Claim]:
-        """What each team with work claims of the machines, by its latest tasks."""
+        """What each team with work claims of the machines, by the mean of its latest tasks."""
         claims = []
-        demand: dict[str, int] = {}
+        task_counts: dict[str, int] = {}
         for job in self.state.own_jobs():
-            waiting = job.waiting() + len(job.placed)
-            demand[job.spec.team] = demand.get(job.spec.team, 0) + waiting
+            team_name = job.spec.team
+            tasks = job.waiting() + len(job.placed)
+            task_counts[team_name] = task_counts.get(team_name, 0) + tasks
         for team in self.state.teams:
             recent = self.state.recent[team.name]
-            if not recent or not demand.get(team.name):
+            if not recent or not task_counts.get(team.name):
                 continue
-            count = len(recent)
-            cpus = sum(r[0] for r in recent) / count
-            gpus = sum(r[1] for r in recent) / count
-            memory = sum(r[2] for r in recent) / count
-            cap = float(demand[team.name])
+            cpus, gpus, memory = (
+                sum(task[resource] for task in recent) / len(recent) for resource in range(3)
+            )
+            cap = float(task_counts[team.name])
             if cpus > 0:
                 cap = min(cap, team.cpus_limit / cpus)
             weight = allocation.weight_of_quota(team.cpus, team.gpus, self.gpus_matter)
