--- a/tests/fakes/gang.py
+++ b/tests/fakes/gang.py
@@ -194,7 +194,7 @@
             self.exit_saved()
 
     def deadline(self):
-        """No task waits longer than this for the others to be told."""
+        """No task waits longer than this for the stop commands of the others."""
         self.late = True
         if self.broken or self.safe or self.completed:
             return
@@ -210,7 +210,7 @@
                 self.leave(worker, key, mark, "halted")
 
     def exit_saved(self):
-        """Exit with the progress safe, when all are told and have saved or no time is left."""
+        """Exit with the progress safe, when all have saved after their stop or no time is left."""
         if len(self.stop_requested) < self.spec["pages"]:
             return
         ready = [m for m in self.members.items() if m[1].get("kept")]
--- a/tests/gang_scenarios.py
+++ b/tests/gang_scenarios.py
@@ -1,4 +1,4 @@
-"""What the tests of gangs share: how a story begins, and what can be seen of a job."""
+"""What the tests of gangs share: how a scenario begins, and what can be seen of a job."""
 
 from tests.simulation import Simulation
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("slow", [0.0, 0.2])
 @pytest.mark.parametrize("make", [job, gang])
 def test_every_node_is_asked_at_once_after_each_step_of_a_job(make, slow):
-    # No node may answer something older than what was told: neither 404 nor an earlier state.
+    # No node may answer something older than it acknowledged: neither 404 nor an earlier state.
     simulation = Simulation(seed=14)
     simulation.run_until(simulation.leader)
     simulation.slow_state = slow
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Short stories of whole days, played by real cores against fakes in memory."""
+"""Scenarios of whole days, run by real controllers against fakes in memory."""
 
 import json
 
@@ -167,9 +167,9 @@
     for n in range(1, 7):
         simulation.submit(job(n, cpus=4.0, tasks=2))
     simulation.run_until(lambda: len(simulation.cloud.workers()) > 1, 60)
-    sick = simulation.cloud.workers()[0]
-    sick.failing = True
-    simulation.run_until(lambda: not sick.alive, 120)
+    failing = simulation.cloud.workers()[0]
+    failing.failing = True
+    simulation.run_until(lambda: not failing.alive, 120)
     simulation.run_until(finished(simulation, *range(1, 7)), 180)
     assert not simulation.violations
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -221,8 +221,8 @@
     simulation.fetch_s["req-000001/0"] = 5.0
     if exit_cause == "error":
         simulation.run_until(lambda: count(simulation, 1, "pulling", "gathering") == 4, 60)
-        sick = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/0")
-        sick.failing = True
+        failing_worker = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/0")
+        failing_worker.failing = True
     else:
         simulation.refusals["req-000001/2"] = exit_cause
     simulation.run_until(runs(simulation, 1), 90)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -226,18 +226,18 @@
 
 
 # Guards against throwing progress away: a stop that can't save is worse than to run on.
-@pytest.mark.parametrize("trouble", ["too short", "not reached"])
-def test_a_stop_that_cannot_save_is_not_tried(trouble):
+@pytest.mark.parametrize("fault", ["too short", "not reached"])
+def test_a_stop_that_cannot_save_is_not_tried(fault):
     simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0, proof_s=100.0, flush_s=2.0))
     simulation.lengths["req-000001"] = 60.0
     simulation.run_until(runs(simulation, 1), 60)
     simulation.run(5.0)
     (victim, *others) = [w for w, _, _ in marks(simulation, 1)]
-    if trouble == "not reached":
+    if fault == "not reached":
         for name in simulation.names:
             simulation.cut(name, others[0].name)
         simulation.run(5.0)
-    victim.notice = 1.5 if trouble == "too short" else 5.0
+    victim.notice = 1.5 if fault == "too short" else 5.0
     for _ in range(14):
         simulation.run(0.1)
         assert not count(simulation, 1, "flushing", "exited")
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -28,18 +28,18 @@
         self.jobs.saw(self.now, f"c/live/req-{number:06d}", record, 70 + number)
 
     def run_all(self):
-        """Report every task as running, and as halted those that were told to stop."""
-        told = []
+        """Report every task as running, and as halted those with a stop command."""
+        statuses = []
         for task in self.owner.machines["m-1"].tasks.values():
             name = f"{task.job_id}/{task.index}"
             if task.active and task.stop_grace_s is None:
-                told.append((name, task.attempt, TaskState.RUNNING, None))
+                statuses.append((name, task.attempt, TaskState.RUNNING, None))
             elif task.active:
-                told.append((name, task.attempt, TaskState.EXITED, "halted"))
-        self.worker_heartbeat(told)
+                statuses.append((name, task.attempt, TaskState.EXITED, "halted"))
+        self.worker_heartbeat(statuses)
 
     def stopped(self):
-        """The tasks that have been told to stop."""
+        """The tasks with a stop command."""
         tasks = self.owner.machines["m-1"].tasks.values()
         return sorted(
             f"{t.job_id}/{t.index}" for t in tasks if t.active and t.stop_grace_s is not None
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -10,7 +10,7 @@
 
 
 def inject_fault(simulation, rng):
-    """Now and then one of the troubles that meet others; about one in eight steps."""
+    """Now and then one of the faults that meet others; about one in eight steps."""
     act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
     if act < 0.02:
         simulation.late_writes = rng.choice([0.0, 0.3])
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -1,4 +1,4 @@
-"""What the service owes its users, where the other stories don't show it: see failure-tests.md."""
+"""What the service owes its users, where other scenarios don't show it: see failure-tests.md."""
 
 import functools
 
@@ -317,12 +317,12 @@
             simulation.slow_state = 0.3 * rng()
             chosen = [w for w in simulation.cloud.workers() if rng() < 0.15]
             for worker in chosen:
-                trouble = simulation.rng.randrange(4)
-                if trouble == 0:
+                fault = simulation.rng.randrange(4)
+                if fault == 0:
                     worker.restart(rng())
-                elif trouble == 1:
+                elif fault == 1:
                     worker.hang(rng() * 1.3 * simulation.lease_s)
-                elif trouble == 2:
+                elif fault == 2:
                     simulation.inbound_blocked.add(worker.name)
                 else:
                     simulation.outbound_blocked.add(worker.name)
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -147,14 +147,14 @@
     simulation.run_until(
         lambda: all(n.version_registry.all_upgraded() for n in simulation.nodes.values()), 10
     )
-    told = []
+    announced = []
     leader = simulation.leader()
     one, other = [n for n in simulation.names if n != leader]
     deliver = simulation.frame
     simulation.frame = lambda s, m, f: (
-        told.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
+        announced.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
     )
     simulation.nodes[one].version_registry.upgraded.discard(leader)
     simulation.cancel("req-000001", one)
     simulation.run(2.0)
-    assert told == [(one, other)] and running(simulation) == 6
+    assert announced == [(one, other)] and running(simulation) == 6
