--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -106,12 +106,12 @@
 
     def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
         cluster_manager = self._manager_of(frame.epoch)
-        grantee = cluster_manager.members.get(sender) if cluster_manager is not None else None
-        if cluster_manager is None or grantee is None:
+        member = cluster_manager.members.get(sender) if cluster_manager is not None else None
+        if cluster_manager is None or member is None:
             return
         # An earlier process of the member counted its updates anew.
-        is_current = grantee.incarnation == frame.incarnation
-        if is_current and grantee.replication_receiver.accept(
+        is_current = member.incarnation == frame.incarnation
+        if is_current and member.replication_receiver.accept(
             frame.after_sequence, frame.last_sequence
         ):
             cluster_manager.on_machine_statuses(now, sender, frame.statuses)
