--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -153,15 +153,17 @@
             )
             if unclaimed and now - state.elected_at > state.lease_s + state.grant_s:
                 # No member has answered it in this term, nor under a grant of the term before, so
-                # the lease of its session has expired and nothing runs there any more.
+                # the lease of its agent epoch has expired and nothing runs there any more.
                 self.records.set_empty(machine)
                 self.instance_requests.release(now, [machine])
         self._forget_deleted(now)
 
     def _forget_deleted(self, now: float) -> None:
-        gone = self.state.deleted_at
+        deleted = self.state.deleted_at
         expired = [
-            name for name, deleted_at in gone.items() if now - deleted_at > self.deleted_retention_s
+            name
+            for name, deleted_at in deleted.items()
+            if now - deleted_at > self.deleted_retention_s
         ]
         for name in expired:
-            del gone[name]
+            del deleted[name]
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -1,4 +1,4 @@
-"""Placement of requested capacity: on releasable machines of other shards, then on new ones."""
+"""Placement of requested capacity: on reclaimable machines of other shards, then on new ones."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
     shard: Shard
     serving: list[ManagedMachine]
-    # Machines that are requested for the shard or will be released to it.
+    # Machines that are requested for the shard or reclaimed for it.
     incoming: list[FreeCapacity]
-    # Releasable machines of other shards, the cheapest CPUs first.
-    releasable: list[ManagedMachine]
+    # Reclaimable machines of other shards, the cheapest CPUs first.
+    reclaimable: list[ManagedMachine]
     coverage: CoverageRatio
     # Computed when a gang needs it.
     _own: list[FreeCapacity] | None = None
@@ -119,19 +119,19 @@
             return
         supply = self._supply(shard, serving)
         for request in shard.capacity_requests:
-            exhausted = plan is not None and plan.full and not supply.releasable
+            exhausted = plan is not None and plan.full and not supply.reclaimable
             if exhausted and not request.job.guaranteed:
                 # This plan can neither provision nor move anything more: the next one goes on.
                 continue
             search = self._begin(now, supply, request)
-            self._move_releasable(now, supply, search)
+            self._move_reclaimable(now, supply, search)
             if plan is not None:
                 self._provision(now, supply, search, plan)
                 self._claim_warm_capacity(now, supply, search)
                 self._reclaim_guarantee(now, supply, search)
 
     def _supply(self, shard: Shard, serving: list[ManagedMachine]) -> ShardSupply:
-        """What is incoming for a shard and what other shards could release."""
+        """What is incoming for a shard and what can be reclaimed from others."""
         incoming = [
             unused_capacity(self.state.types[request.machine_group.type], request.machine_group)
             for request in self.state.pending_requests.values()
@@ -143,16 +143,16 @@
             for machine in serving
             if machine.reclaim_for_shard == shard.number and machine.route.reclaim_requested
         ]
-        releasable = [
+        reclaimable = [
             machine
             for machine in serving
-            if machine.releasable
+            if machine.reclaimable
             and machine.route.shard != shard.number
             and not machine.route.reclaim_requested
             and machine.route.shard != NO_SHARD
         ]
-        releasable.sort(key=lambda m: hourly_price(m.type, m.route.spot) / m.type.cpus)
-        return ShardSupply(shard, serving, incoming, releasable, self.rebalancer.coverage(serving))
+        reclaimable.sort(key=lambda m: hourly_price(m.type, m.route.spot) / m.type.cpus)
+        return ShardSupply(shard, serving, incoming, reclaimable, self.rebalancer.coverage(serving))
 
     def _begin(self, now: float, supply: ShardSupply, request: CapacityRequest) -> PlacementSearch:
         """Start a request's search by packing its tasks into the incoming capacity."""
@@ -167,7 +167,7 @@
             # or provisioned. The owner requests capacity for the whole gang: only the leader can
             # complete what one zone has.
             capacities = capacities + supply.own()
-            zone = spec.zone or self._gang_zone(now, spec, count, capacities, supply.releasable)
+            zone = spec.zone or self._gang_zone(now, spec, count, capacities, supply.reclaimable)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
         unplaced = pack_tasks(capacities, spec, count, horizon, excluded_types)
         # Work that can wait for longer than a boot requests only spot capacity at first. Not the
@@ -182,12 +182,12 @@
         spec: JobSpec,
         count: int,
         capacities: list[FreeCapacity],
-        releasable: list[ManagedMachine],
+        reclaimable: list[ManagedMachine],
     ) -> str | None:
         """The zone where most of a gang's tasks fit already and the rest can be provisioned."""
         state = self.state
         offers = capacities + [
-            unused_capacity(machine.type, machine.machine_group) for machine in releasable
+            unused_capacity(machine.type, machine.machine_group) for machine in reclaimable
         ]
         fitting: dict[str, int] = {}
         for capacity in offers:
@@ -203,14 +203,14 @@
                 return zone
         return None
 
-    def _move_releasable(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
-        """Request the release of idle machines whose shards stay covered as far as this one."""
+    def _move_reclaimable(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
+        """Reclaim idle machines whose shards stay covered as far as this one."""
         number = supply.shard.number
         spot_only = search.prefers_spot and self.state.on_demand_excess
-        for machine in list(supply.releasable):
+        for machine in list(supply.reclaimable):
             if search.unplaced <= 0:
                 break
-            if search.excludes(machine) or not self.rebalancer.can_release(machine):
+            if search.excludes(machine) or not self.rebalancer.can_reclaim(machine):
                 continue
             if spot_only and not machine.route.spot:
                 continue
@@ -221,8 +221,8 @@
             if capacity is not None:
                 supply.coverage.move(donor, number, cpus)
                 supply.incoming.append(capacity)
-                supply.releasable.remove(machine)
-                self.rebalancer.request_release(now, machine, number)
+                supply.reclaimable.remove(machine)
+                self.rebalancer.request_reclaim(now, machine, number)
 
     def _provision(
         self, now: float, supply: ShardSupply, search: PlacementSearch, plan: ScaleOutPlan
@@ -256,15 +256,15 @@
         """Nothing can be provisioned: urgent work gets what others keep for their peaks."""
         if search.unplaced <= 0 or search.horizon > self.state.boot_s:
             return
-        for machine in supply.releasable:
+        for machine in supply.reclaimable:
             if search.unplaced <= 0:
                 break
-            if search.excludes(machine) or not self.rebalancer.can_release(machine):
+            if search.excludes(machine) or not self.rebalancer.can_reclaim(machine):
                 continue
             if search.place_on_empty(machine.type, machine.machine_group) is not None:
-                self.rebalancer.request_release(now, machine, supply.shard.number)
-        supply.releasable = [
-            machine for machine in supply.releasable if not machine.route.reclaim_requested
+                self.rebalancer.request_reclaim(now, machine, supply.shard.number)
+        supply.reclaimable = [
+            machine for machine in supply.reclaimable if not machine.route.reclaim_requested
         ]
 
     def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
--- a/src/copperpass/core/autoscaling/rebalancing.py
+++ b/src/copperpass/core/autoscaling/rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing: which machines a shard can release, and which shard has the least coverage."""
+"""Rebalancing: which machines can be reclaimed, and which shard has the least coverage."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 class Rebalancer:
-    """Asks shards to release machines, for another shard or for scale-in, without a shortage.
+    """Reclaims machines from shards, for another shard or for scale-in, without a shortage.
 
     Owns `on_demand_cpus`: from one plan to the next, the on-demand CPUs of each shard that it
-    hasn't been asked to release.
+    hasn't reclaimed.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             if not route.spot and not route.reclaim_requested and route.shard in shards:
                 self.on_demand_cpus[route.shard] += machine.type.cpus
 
-    def can_release(self, machine: ManagedMachine) -> bool:
+    def can_reclaim(self, machine: ManagedMachine) -> bool:
         """Whether its shard keeps enough on-demand CPUs for its urgent work without a machine."""
         shard = machine.route.shard
         if machine.route.spot or shard not in self.state.shards:
@@ -69,15 +69,15 @@
             return True
         return self.on_demand_cpus.get(shard, 0.0) - machine.type.cpus >= needed_cpus
 
-    def request_release(self, now: float, machine: ManagedMachine, recipient: int | None) -> None:
-        """Ask a machine's owner to release it: for a recipient, or None for scale-in."""
+    def request_reclaim(self, now: float, machine: ManagedMachine, recipient: int | None) -> None:
+        """Reclaim a machine from its owner: for a recipient, or None for scale-in."""
         shard = machine.route.shard
         if not machine.route.spot and shard in self.on_demand_cpus:
             self.on_demand_cpus[shard] -= machine.type.cpus
         self.records.request_reclaim(now, machine, recipient)
 
     def coverage(self, serving: list[ManagedMachine]) -> CoverageRatio:
-        """The coverage by what serves a shard, will be released to it or is requested for it."""
+        """The coverage by what serves a shard, is reclaimed for it or is requested for it."""
         state = self.state
         cpus = dict.fromkeys(state.shards, 0.0)
         for machine in serving:
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -56,7 +56,7 @@
         return MachineGroup(self.route.type, self.route.zone, self.route.spot)
 
     @property
-    def releasable(self) -> bool:
+    def reclaimable(self) -> bool:
         """Whether it could be reassigned or deleted now."""
         return (
             self.status.idle
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -157,31 +157,31 @@
             recipient, donor = coverage.least_covered(), machine.route.shard
             if coverage.of(recipient) >= 1.0:
                 break
-            if not machine.releasable or machine.route.reclaim_requested:
+            if not machine.reclaimable or machine.route.reclaim_requested:
                 continue
             if donor not in coverage.cpus or donor == recipient:
                 continue
-            if machine.type.name in reserved_types or not self.rebalancer.can_release(machine):
+            if machine.type.name in reserved_types or not self.rebalancer.can_reclaim(machine):
                 continue
             if coverage.can_donate(donor, recipient, machine.type.cpus):
                 coverage.move(donor, recipient, machine.type.cpus)
-                self.rebalancer.request_release(now, machine, recipient)
+                self.rebalancer.request_reclaim(now, machine, recipient)
 
     def scale_in(self, now: float, targets: WarmTargets, deferrable_cpus: float) -> None:
-        """Request the release of idle machines beyond the targets, the most expensive first."""
+        """Reclaim idle machines beyond the targets, the most expensive first."""
         serving = self.state.serving()
         total = sum(machine.type.cpus for machine in serving) - deferrable_cpus
         min_idle_s = self.tuning.idle_boots * self.state.boot_s
         idle = [
             machine
             for machine in serving
-            if machine.releasable
+            if machine.reclaimable
             and not machine.route.reclaim_requested
             and now - max(machine.idle_since, machine.registered_at) >= min_idle_s
         ]
         idle.sort(key=lambda m: -hourly_price(m.type, m.route.spot) / m.type.cpus)
         for machine in idle:
             target = targets.spot_cpus if machine.route.spot else targets.total_cpus
-            if total - machine.type.cpus >= target and self.rebalancer.can_release(machine):
+            if total - machine.type.cpus >= target and self.rebalancer.can_reclaim(machine):
                 total -= machine.type.cpus
-                self.rebalancer.request_release(now, machine, None)
+                self.rebalancer.request_reclaim(now, machine, None)
