--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -12,29 +12,31 @@
 from copperpass.tuning import Tuning, load_tuning
 
 
-def parser() -> argparse.ArgumentParser:
+def argument_parser() -> argparse.ArgumentParser:
     """Describe the command line."""
-    made = argparse.ArgumentParser(
+    arguments = argparse.ArgumentParser(
         prog="copperpass",
         description="A cluster scheduler: one controller of a copperpass service.",
         epilog="LOG_LEVEL (error, info, debug) governs the log on standard error.",
     )
-    made.add_argument("--version", action="version", version=f"copperpass {__version__}")
-    made.add_argument("--config", required=True, metavar="FILE", help="the settings file (TOML)")
-    made.add_argument(
+    arguments.add_argument("--version", action="version", version=f"copperpass {__version__}")
+    arguments.add_argument(
+        "--config", required=True, metavar="FILE", help="the settings file (TOML)"
+    )
+    arguments.add_argument(
         "--operator",
         metavar="FILE",
         help="the operators' own settings (protobuf text format, see operator.proto)",
     )
-    made.add_argument(
+    arguments.add_argument(
         "--check", action="store_true", help="check the settings and exit without starting"
     )
-    return made
+    return arguments
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit code."""
-    args = parser().parse_args(argv)
+    """Run the program; returns its exit code: 2 for settings that can't be used."""
+    args = argument_parser().parse_args(argv)
     try:
         settings = load(args.config)
         election_timings(settings.cluster)
@@ -47,9 +49,9 @@
     if args.check:
         print(f"copperpass: settings of {settings.name} are fine")
         return 0
-    from copperpass.log import setup
+    from copperpass.log import configure
     from copperpass.net.service import run
 
-    setup(settings.name)
+    configure(settings.name)
     run(settings, tuning)
     return 0
--- a/src/copperpass/log.py
+++ b/src/copperpass/log.py
@@ -1,4 +1,4 @@
-"""One structured line an event, to standard error."""
+"""Writes each log record as one line of JSON to standard error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 logger = logging.getLogger("copperpass")
 
 
-class LineFormatter(logging.Formatter):
+class JsonLineFormatter(logging.Formatter):
     """Formats a record as one JSON object."""
 
     def __init__(self, member: str) -> None:
@@ -46,13 +46,13 @@
     logger.log(LEVELS[record.level], record.event, extra={"fields": record.fields})
 
 
-def setup(member: str) -> None:
-    """Send the log to standard error in the amount that LOG_LEVEL asks for."""
-    wanted = os.environ.get("LOG_LEVEL", "info") or "info"
+def configure(member: str) -> None:
+    """Configure the logger: standard error, from the level that `LOG_LEVEL` names."""
+    level = os.environ.get("LOG_LEVEL", "info") or "info"
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(LineFormatter(member))
+    handler.setFormatter(JsonLineFormatter(member))
     logger.handlers[:] = [handler]
     logger.propagate = False
-    logger.setLevel(LEVELS.get(wanted, logging.INFO))
-    if wanted not in LEVELS:
-        write(LogRecord(LogLevel.INFO, LogEvent.UNKNOWN_LOG_LEVEL, {"value": wanted}))
+    logger.setLevel(LEVELS.get(level, logging.INFO))
+    if level not in LEVELS:
+        write(LogRecord(LogLevel.INFO, LogEvent.UNKNOWN_LOG_LEVEL, {"value": level}))
--- a/src/copperpass/protocol/cloud.py
+++ b/src/copperpass/protocol/cloud.py
@@ -21,7 +21,7 @@
         "zones": "halls",
     },
 ):
-    """A type of machine that the cloud rents."""
+    """A machine type of the cloud: capacity of one, price an hour, boot time in seconds."""
 
     name: str
     cpus: float
@@ -36,7 +36,7 @@
 
 
 class MachineTypes(msgspec.Struct, rename={"types": "racks"}):
-    """The cloud's offer."""
+    """All machine types of the cloud."""
 
     types: list[MachineType]
 
@@ -70,7 +70,7 @@
 
 
 class InstanceAnswer(msgspec.Struct, rename={"machines": "presses"}):
-    """The machines that a rental request brought."""
+    """The machines that an instance request was granted."""
 
     machines: list[str]
 
@@ -78,14 +78,14 @@
 def instance_request_body(
     request: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> bytes:
-    """The body of a rental request."""
+    """The body of an instance request; a repeated `request` id is idempotent."""
     return encode(
         {"booking": request, "rack": machine_type, "hall": zone, "borrowed": spot, "count": count}
     )
 
 
 def release_body(names: list[str]) -> bytes:
-    """The body of a deletion."""
+    """The body of a request to delete machines."""
     return encode({"presses": names})
 
 
--- a/src/copperpass/protocol/users.py
+++ b/src/copperpass/protocol/users.py
@@ -79,13 +79,13 @@
 
 
 class JobReference(msgspec.Struct):
-    """The one field that is needed to know a job again."""
+    """The one field that identifies a repeated submission, whatever else its body holds."""
 
     id: str
 
 
 class JobAnswer(msgspec.Struct, rename={"state": "status"}, omit_defaults=True):
-    """What a user is told of a job."""
+    """The state of a job as its user sees it: how many tasks are done, and how many run."""
 
     id: str
     state: str
--- a/src/copperpass/protocol/workers.py
+++ b/src/copperpass/protocol/workers.py
@@ -1,4 +1,8 @@
-"""Messages between workers and controllers, with the field names of the protocol mapped here."""
+"""Messages between workers and controllers, with the field names of the protocol mapped here.
+
+A worker sends heartbeats to any controller and gets commands in the answers; urgent commands are
+sent to it directly, and it answers them with a heartbeat. Durations are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 class CommandKind(StrEnum):
-    """What a worker is told to do with a task."""
+    """What a command has a worker do with a task."""
 
     START = "run"
     STOP = "kill"
@@ -26,7 +30,7 @@
     """The states of a task on a machine."""
 
     FETCHING = "pulling"
-    # A gang's task that waits for the others of its attempt.
+    # A gang's task that waits for the other tasks of its attempt.
     GATHERING = "gathering"
     RUNNING = "running"
     SAVING = "flushing"
@@ -39,10 +43,10 @@
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
-    # A gang's task: another is gone; not complete in time.
+    # Of a gang's task: another task is gone; not all tasks were there in time.
     GANG_LOST = "mates_gone"
     ALONE = "alone"
-    # The machine has refused its start, or doesn't know it.
+    # The machine has refused to start it, or doesn't know it.
     NO_CAPACITY = "no_room"
     BUSY = "in_use"
     UNKNOWN = "unknown"
@@ -75,7 +79,13 @@
         "tasks": "pages",
     },
 ):
-    """What a worker says of its machine."""
+    """The status of a machine and its tasks.
+
+    `agent_epoch`: rises with each start of the agent and each expiry of its lease, which end all
+    tasks. `sequence`: rises with each heartbeat of an epoch. `token`: the highest fencing token
+    that the agent has accepted. `notice_s`: in how long a spot machine will be interrupted, once
+    that is known.
+    """
 
     machine: str
     address: str
@@ -91,19 +101,19 @@
 
 class Command(
     msgspec.Struct,
-    rename={"op": "verb", "task": "page", "attempt": "take", "grace_s": "windup_s"},
+    rename={"kind": "verb", "task": "page", "attempt": "take", "grace_s": "windup_s"},
     omit_defaults=True,
 ):
-    """An order to a worker."""
+    """A command to a worker; `grace_s` is how long a stopped task may save its progress."""
 
-    op: str
+    kind: str
     task: str
     attempt: int
     grace_s: float | None = None
 
 
 class HeartbeatAnswer(msgspec.Struct, rename={"token": "baton", "commands": "orders"}):
-    """The answer to an accepted report."""
+    """The answer to an accepted heartbeat; it renews the lease of the machine's tasks."""
 
     token: int
     commands: list[Command]
@@ -112,7 +122,7 @@
 class DirectCommands(
     msgspec.Struct, rename={"token": "baton", "agent_epoch": "shift", "commands": "orders"}
 ):
-    """Orders sent straight to a worker."""
+    """Commands sent to a worker outside the answer to a heartbeat, for one agent epoch."""
 
     token: int
     agent_epoch: int
@@ -120,5 +130,5 @@
 
 
 def redirect_body(member: str | None) -> bytes:
-    """The body of a 421: the node that a worker should report to."""
+    """The body of a 421: the controller that a worker should send its heartbeats to."""
     return encode({"editor": member} if member else {})
--- a/src/copperpass/tuning.py
+++ b/src/copperpass/tuning.py
@@ -48,9 +48,11 @@
         raise SettingsError(f"{path}: {error.strerror}") from error
     except (text_format.ParseError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
-    given = {f.name: getattr(message, f.name) for f in fields(Tuning) if message.HasField(f.name)}
+    explicit = {
+        f.name: getattr(message, f.name) for f in fields(Tuning) if message.HasField(f.name)
+    }
     for name, (low, high) in BOUNDS.items():
-        value = given.get(name)
+        value = explicit.get(name)
         if value is not None and not (math.isfinite(value) and low <= value <= high):
             raise SettingsError(f"{path}: {name}: must be from {low} to {high}, got {value}")
-    return Tuning(**given)
+    return Tuning(**explicit)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -65,7 +65,7 @@
         return self.worker_heartbeat(tasks, sequence=sequence)
 
     def verbs(self, answer):
-        return [(c.op, c.task[-1]) for c in answer.commands]
+        return [(c.kind, c.task[-1]) for c in answer.commands]
 
 
 def test_the_bench_starts_a_gang_under_one_attempt():
--- a/tests/test_shard_completions.py
+++ b/tests/test_shard_completions.py
@@ -33,7 +33,7 @@
     answer = bench.worker_heartbeat(ended)
     assert answer.commands == [] and answer.token > bench.token
     bench.token = answer.token
-    assert [c.op for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
+    assert [c.kind for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
 
 
 def test_ends_of_many_jobs_are_stored_in_one_record_and_then_cleared():
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -44,7 +44,7 @@
     bench.owner.dispatch_round(bench.now)
     assert bench.take("worker") == []
     answer = bench.worker_heartbeat([])
-    assert [c.op for c in answer.commands] == [CommandKind.START]
+    assert [c.kind for c in answer.commands] == [CommandKind.START]
     direct = bench.message([], sequence=bench.sequence + 1)
     bench.owner.heartbeats.take(bench.now, machine, direct, False)
     assert bench.job.placed == {0: "m-1"}, "an answer of /do may be older than the start"
@@ -76,7 +76,7 @@
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.on_done(bench.now, CallOutcome(0))
     for _ in range(2):
-        assert [c.op for c in bench.worker_heartbeat(running).commands] == [CommandKind.STOP]
+        assert [c.kind for c in bench.worker_heartbeat(running).commands] == [CommandKind.STOP]
 
 
 def test_the_machine_is_deleted_before_its_tasks_are_free():
@@ -257,7 +257,7 @@
     # The view catches up to after the report that showed the task: the job is over for certain.
     bench.consistent_at = bench.now
     answer = bench.worker_heartbeat(task)
-    assert [(c.op, c.task) for c in answer.commands] == [("kill", "req-000009/0")]
+    assert [(c.kind, c.task) for c in answer.commands] == [("kill", "req-000009/0")]
 
 
 def test_a_job_left_out_for_long_gets_room_that_is_kept_for_others():
