--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -79,7 +79,7 @@
 
 
 class InventoryRecord(msgspec.Struct, rename={"groups": "places"}):
-    """Every machine that was rented, and the pending instance requests; or a page of them."""
+    """Every machine that was provisioned, and the pending instance requests; or a page of them."""
 
     groups: list[MachineGroupRecord]
 
