--- a/src/copperpass/core/node/leadership.py
+++ b/src/copperpass/core/node/leadership.py
@@ -28,8 +28,8 @@
 
     def on_change(self, now: float, is_leader: bool, continued: bool) -> None:
         """The leadership was won or lost by this member."""
-        before = self.cluster_manager
-        if is_leader and continued and before is not None and len(before.shards) == 1:
+        previous = self.cluster_manager
+        if is_leader and continued and previous is not None and len(previous.shards) == 1:
             # No other member can have acted in between: the term goes on under a higher token.
             return
         if not is_leader:
@@ -37,10 +37,10 @@
             self.grant_client.unfollow()
             return
         self.cluster_manager = ClusterManager(self.make_context(), now)
-        if continued and before is not None:
+        if continued and previous is not None:
             # Members follow the new token, so they need a term under it. The grants of the term
             # before have not ended with an authority that goes on: they must expire first.
-            self.cluster_manager.defer_until_previous_grants_end(before)
+            self.cluster_manager.defer_until_previous_grants_end(previous)
         self.grant_client.lead(self.cluster_manager)
 
     def tick(self, now: float, watch_revision: int, types_known: bool) -> None:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -206,7 +206,7 @@
             all_upgraded=self.version_registry.all_upgraded,
         )
 
-    def _make_scheduler(self, share: ShardAssignment) -> ShardScheduler:
+    def _make_scheduler(self, assignment: ShardAssignment) -> ShardScheduler:
         """For a shard that is granted to this member."""
         client = self.grant_client
         context = SchedulerContext(
@@ -216,17 +216,17 @@
             jobs=self.jobs,
             types=self.machine_types.types,
             versions=self.completion_versions,
-            shard=share.shard,
+            shard=assignment.shard,
             shards=self.shards,
             epoch=client.epoch,
-            generation=share.generation,
+            generation=assignment.generation,
             token_version=lambda: client.token_version,
             has_authority=client.has_authority,
             tuning=self.tuning,
             images=client.images,
             consistent_at=self._consistent_at,
         )
-        return ShardScheduler(context, revision=share.required_revision, now=self.now)
+        return ShardScheduler(context, revision=assignment.required_revision, now=self.now)
 
     # -- inputs -------------------------------------------------------------------------
 
