--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -33,7 +33,7 @@
 RETRY_AFTER = 1
 # Ended jobs that are remembered: at least so many, and all that can have ended while a question
 # about one of them was under way.
-LEAST_KNOWN_FINALS = 2000
+MIN_REMEMBERED_JOBS = 2000
 Found = Callable[[float, "JobRecord | None", int], None]
 
 
@@ -103,20 +103,20 @@
         out: Outbox,
         transactions: TransactionQueue,
         read_timeout: float,
-        day: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
         # The time of day less the steady clock's.
-        self.day = day
+        self.wall_clock_offset = wall_clock_offset
         self.cluster, self.out, self.transactions = cluster, out, transactions
         self.read_timeout = read_timeout
-        self.most_finals = max(LEAST_KNOWN_FINALS, cluster.changes_per_cancellation_span)
+        self.max_remembered = max(MIN_REMEMBERED_JOBS, cluster.changes_per_cancellation_span)
         self.types: dict[str, MachineType] = {}
-        self.finals: OrderedDict[str, JobRecord] = OrderedDict()
+        self.terminal_records: OrderedDict[str, JobRecord] = OrderedDict()
         # Jobs whose live records have gone, which never come back.
-        self.removed: OrderedDict[str, None] = OrderedDict()
-        self.counts: Callable[[str], tuple[int, int]] = lambda job_id: (0, 0)
+        self.removed_jobs: OrderedDict[str, None] = OrderedDict()
+        self.task_counts: Callable[[str], tuple[int, int]] = lambda job_id: (0, 0)
         # Whom to tell of a cancellation that is stored.
-        self.announce_cancelled: Callable[[float, str], None] = lambda now, job_id: None
+        self.on_cancelled: Callable[[float, str], None] = lambda now, job_id: None
 
     # -- requests -------------------------------------------------------------
 
@@ -149,7 +149,7 @@
         except RejectedJobError as rejection:
             self._refuse(now, request, spec.id, rejection)
             return
-        record = submitted_job_value(spec, round(now + self.day, 1))
+        record = submitted_job_value(spec, round(now + self.wall_clock_offset, 1))
         room = self.cluster.state.least_value_bytes
         if len(encode(record)) > room and spec.types is not None:
             # Types named twice, or that don't exist, say nothing.
@@ -202,14 +202,14 @@
             if record is None or record.final_state:
                 self._tell(request, job_id, record)
                 return
-            count = self.counts(job_id)[0]
+            count = self.task_counts(job_id)[0]
             final = completed_job_value(JobState.CANCELLED, count)
 
             def stored(m: float, outcome: TransactionOutcome, revision: int) -> None:
                 if outcome is TransactionOutcome.APPLIED:
-                    over = JobRecord(final_state=JobState.CANCELLED, done_count=count)
-                    self.note_final(job_id, over)
-                    self.announce_cancelled(m, job_id)
+                    over = JobRecord(final_state=JobState.CANCELLED, completed_count=count)
+                    self.remember_terminal_state(job_id, over)
+                    self.on_cancelled(m, job_id)
                     self._tell(request, job_id, over)
                 elif outcome is TransactionOutcome.CONFLICT and tries > 1:
                     # A task of the job ended in between: the record has moved on, look again.
@@ -239,7 +239,7 @@
         self, now: float, job_id: str, found: Found, failed: Callable[[float], None]
     ) -> None:
         """Find a job's record by linearised reads: live first, since it only moves to over."""
-        final = self.finals.get(job_id)
+        final = self.terminal_records.get(job_id)
         if final is not None:
             found(now, final, 0)
             return
@@ -248,12 +248,12 @@
             if outcome.status == 404:
                 self._get(COMPLETED_JOBS_PREFIX + job_id, over)
                 return
-            final = self.finals.get(job_id)
+            final = self.terminal_records.get(job_id)
             read = _read(outcome)
             if final is not None:
                 # Guards against going back: this node has told the job's end since it asked.
                 found(n, final, 0)
-            elif job_id in self.removed:
+            elif job_id in self.removed_jobs:
                 self._get(COMPLETED_JOBS_PREFIX + job_id, over)
             elif read is None:
                 failed(n)
@@ -268,22 +268,22 @@
             if read is None:
                 failed(n)
             else:
-                self.note_final(job_id, read[0])
+                self.remember_terminal_state(job_id, read[0])
                 found(n, *read)
 
         self._get(LIVE_JOBS_PREFIX + job_id, live)
 
-    def note_removed(self, job_id: str) -> None:
+    def on_job_removed(self, job_id: str) -> None:
         """The view has seen a live record go: an older answer about it is not to be told."""
-        self.removed[job_id] = None
-        while len(self.removed) > self.most_finals:
-            self.removed.popitem(last=False)
+        self.removed_jobs[job_id] = None
+        while len(self.removed_jobs) > self.max_remembered:
+            self.removed_jobs.popitem(last=False)
 
-    def note_final(self, job_id: str, record: JobRecord) -> None:
+    def remember_terminal_state(self, job_id: str, record: JobRecord) -> None:
         """Final records never change, so a stored one may be kept and told again."""
-        self.finals[job_id] = record
-        while len(self.finals) > self.most_finals:
-            self.finals.popitem(last=False)
+        self.terminal_records[job_id] = record
+        while len(self.terminal_records) > self.max_remembered:
+            self.terminal_records.popitem(last=False)
 
     def _get(self, key: str, on_done: Callable[[float, CallOutcome], None]) -> None:
         self.out.calls.append(
@@ -322,9 +322,9 @@
             self._answer(request, 404, error_body("no such job"))
             return
         if record.final_state:
-            answer = JobAnswer(job_id, record.final_state, record.done_count, 0)
+            answer = JobAnswer(job_id, record.final_state, record.completed_count, 0)
         else:
-            done, running = self.counts(job_id)
+            done, running = self.task_counts(job_id)
             state = JobState.RUNNING if running else JobState.QUEUED
             answer = JobAnswer(job_id, state, done, running)
         self._answer(request, 200, encode(answer))
--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -29,7 +29,7 @@
     gpus_matter = cluster.gpus_matter
     for job in jobs:
         spec = job.spec
-        tasks = spec.tasks - job.done_count
+        tasks = spec.tasks - job.completed_count
         remaining = teams.setdefault(spec.team, RemainingWork())
         remaining.tasks += tasks
         remaining.cpus += tasks * spec.cpus
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -72,13 +72,13 @@
         for job in jobs:
             spec = job.spec
             if is_urgent(job, self.slos, state.boot_s) and spec.team in state.shard_of:
-                tasks_left = spec.tasks - job.done_count - len(job.finished)
+                tasks_left = spec.tasks - job.completed_count - len(job.unstored)
                 shard = state.shard_of[spec.team]
                 urgent[shard] += tasks_left * spec.cpus
                 if not spec.spot:
                     on_demand[shard] += tasks_left * spec.cpus
             else:
-                deferrable += (spec.tasks - job.done_count) * spec.cpus
+                deferrable += (spec.tasks - job.completed_count) * spec.cpus
         return Demand(urgent, on_demand, deferrable)
 
     def sample(self, now: float, demand: Demand) -> None:
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -13,16 +13,16 @@
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobSpec
 
-LEAST_KNOWN_CANCELLED = 2000
+MIN_REMEMBERED_CANCELLED = 2000
 
 
-def pack_done(done: bytearray) -> str:
+def pack_mask(done: bytearray) -> str:
     """The done tasks as text, short while few or all of the last are missing."""
     return base64.b64encode(bytes(done).rstrip(b"\0")).decode()
 
 
-def unpack_done(text: str, tasks: int) -> bytearray:
-    """The opposite of `pack_done`."""
+def unpack_mask(text: str, tasks: int) -> bytearray:
+    """The opposite of `pack_mask`."""
     mask = bytearray((tasks + 7) // 8)
     raw = base64.b64decode(text)[: len(mask)]
     mask[: len(raw)] = raw
@@ -52,21 +52,21 @@
 
     spec: JobSpec
     version: int
-    arrived: float
-    created: int
-    done: bytearray
-    done_count: int
+    arrived_at: float
+    created_revision: int
+    completed: bytearray
+    completed_count: int
     next_index: int = 0
-    again: list[int] = field(default_factory=list)
-    placed: dict[int, str] = field(default_factory=dict)
+    requeued: list[int] = field(default_factory=list)
+    assigned: dict[int, str] = field(default_factory=dict)
     # When a dispatch round last saw any of its tasks placed.
-    last_placed: float = float("-inf")
-    finished: set[int] = field(default_factory=set)
+    last_assigned_at: float = float("-inf")
+    unstored: set[int] = field(default_factory=set)
     # Tasks whose end was stored while they had a place; some may have lost it since.
-    done_placed: set[int] = field(default_factory=set)
+    completed_assigned: set[int] = field(default_factory=set)
     # Reported ends that wait to be stored: what to tell their machines once they are.
-    results: dict[int, list[Result]] = field(default_factory=dict)
-    storing: bool = False
+    unstored_results: dict[int, list[Result]] = field(default_factory=dict)
+    completion_in_flight: bool = False
     attempts: int = 0
     failed_on: set[str] = field(default_factory=set)
     failures: int = 0
@@ -76,135 +76,140 @@
     guaranteed: bool = False
     guarantee_assessed: bool = False
     # Another member has stored its cancellation, which the view may be late to show.
-    announce_cancelled: bool = False
+    cancelled: bool = False
     # Of a gang: the attempt that all its tasks share (0: none), whether one of them was seen to
     # run, and whether the attempt is over, but for tasks that are not proven gone.
     attempt: int = 0
-    begun: bool = False
-    ending: bool = False
+    gang_started: bool = False
+    gang_ending: bool = False
     # Since when some of an attempt's tasks have had no place while others wait.
-    short_since: float | None = None
+    incomplete_since: float | None = None
 
-    def is_done(self, index: int) -> bool:
+    def is_completed(self, index: int) -> bool:
         """Whether the task's end is stored."""
-        return bool(self.done[index >> 3] & (1 << (index & 7)))
+        return bool(self.completed[index >> 3] & (1 << (index & 7)))
 
-    def mark_done(self, index: int) -> None:
+    def mark_completed(self, index: int) -> None:
         """Take over a stored end."""
-        if not self.is_done(index):
-            self.done[index >> 3] |= 1 << (index & 7)
-            self.done_count += 1
-            if index in self.placed:
-                self.done_placed.add(index)
+        if not self.is_completed(index):
+            self.completed[index >> 3] |= 1 << (index & 7)
+            self.completed_count += 1
+            if index in self.assigned:
+                self.completed_assigned.add(index)
 
-    def merge(self, done: bytes | bytearray) -> None:
+    def merge_completed(self, completed: bytes | bytearray) -> None:
         """Take over stored ends; ends are facts, so they only add up."""
-        for i, byte in enumerate(done):
-            self.done[i] |= byte
-        before, self.done_count = self.done_count, sum(byte.bit_count() for byte in self.done)
-        if self.done_count > before:
-            self.done_placed = {i for i in self.placed if self.is_done(i)}
-        self.finished = {i for i in self.finished if not self.is_done(i)}
+        for i, byte in enumerate(completed):
+            self.completed[i] |= byte
+        before, self.completed_count = (
+            self.completed_count,
+            sum(byte.bit_count() for byte in self.completed),
+        )
+        if self.completed_count > before:
+            self.completed_assigned = {i for i in self.assigned if self.is_completed(i)}
+        self.unstored = {i for i in self.unstored if not self.is_completed(i)}
         # A write without an answer may have been applied: the watch is proof enough to clear.
-        self.stored([i for i in self.results if self.is_done(i)])
+        self.on_completions_stored([i for i in self.unstored_results if self.is_completed(i)])
 
-    def stored(self, indexes: Iterable[int]) -> None:
+    def on_completions_stored(self, indexes: Iterable[int]) -> None:
         """Ends are in the state service: their machines may forget them."""
         for index in indexes:
-            self.mark_done(index)
-            self.finished.discard(index)
-            for result in self.results.pop(index, ()):
+            self.mark_completed(index)
+            self.unstored.discard(index)
+            for result in self.unstored_results.pop(index, ()):
                 result.stored = True
 
-    def mask(self) -> bytearray:
+    def completion_mask(self) -> bytearray:
         """The ends that are stored or reported."""
-        mask = bytearray(self.done)
-        for index in self.finished:
+        mask = bytearray(self.completed)
+        for index in self.unstored:
             mask[index >> 3] |= 1 << (index & 7)
         return mask
 
-    def forget_tasks(self) -> None:
+    def reset_tasks(self) -> None:
         """Start anew from what is stored: a new owner knows nothing of the tasks."""
-        self.placed.clear()
-        self.finished.clear()
-        self.done_placed.clear()
-        self.results.clear()
-        self.again.clear()
+        self.assigned.clear()
+        self.unstored.clear()
+        self.completed_assigned.clear()
+        self.unstored_results.clear()
+        self.requeued.clear()
         self.failed_on.clear()
         self.preempted.clear()
         self.next_index = self.failures = 0
-        self.storing, self.backoff_until = False, 0.0
-        self.attempt, self.begun, self.ending = 0, False, False
-        self.short_since = None
+        self.completion_in_flight, self.backoff_until = False, 0.0
+        self.attempt, self.gang_started, self.gang_ending = 0, False, False
+        self.incomplete_since = None
 
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """How many tasks are neither placed nor done."""
-        waiting = self.spec.tasks - self.done_count - len(self.placed) - len(self.finished)
+        pending = self.spec.tasks - self.completed_count - len(self.assigned) - len(self.unstored)
         # A task may have ended under one attempt while another still has a place.
-        if self.finished:
-            waiting += len(self.placed.keys() & self.finished)
-        if self.done_placed:
-            waiting += len(self.placed.keys() & self.done_placed)
-        return waiting
+        if self.unstored:
+            pending += len(self.assigned.keys() & self.unstored)
+        if self.completed_assigned:
+            pending += len(self.assigned.keys() & self.completed_assigned)
+        return pending
 
-    def ended(self) -> bool:
+    def all_completed(self) -> bool:
         """Whether every task has ended, stored or not."""
-        return self.done_count + len(self.finished) >= self.spec.tasks
+        return self.completed_count + len(self.unstored) >= self.spec.tasks
 
-    def peek(self) -> int | None:
+    def next_task(self) -> int | None:
         """The next task to start, or None."""
-        while self.again:
-            index = self.again[-1]
-            if index in self.placed or index in self.finished or self.is_done(index):
-                self.again.pop()
+        while self.requeued:
+            index = self.requeued[-1]
+            if index in self.assigned or index in self.unstored or self.is_completed(index):
+                self.requeued.pop()
                 continue
             return index
         while self.next_index < self.spec.tasks:
             index = self.next_index
-            if index in self.placed or index in self.finished or self.is_done(index):
+            if index in self.assigned or index in self.unstored or self.is_completed(index):
                 self.next_index += 1
                 continue
             return index
         return None
 
-    def shown(self) -> int:
+    def displayed_running(self) -> int:
         """How many tasks run, for display: a gang's tasks that wait for each other don't."""
-        return 0 if self.spec.gang and not self.begun else len(self.placed)
+        return 0 if self.spec.gang and not self.gang_started else len(self.assigned)
 
-    def missing(self) -> list[int]:
+    def unassigned(self) -> list[int]:
         """The tasks of a gang that have no place."""
         return [
             i
             for i in range(self.spec.tasks)
-            if i not in self.placed and i not in self.finished and not self.is_done(i)
+            if i not in self.assigned and i not in self.unstored and not self.is_completed(i)
         ]
 
-    def settle_gang(self) -> None:
+    def finish_attempt(self) -> None:
         """Once no task of a gang's attempt can be anywhere, another attempt may begin."""
-        if not self.placed and (self.ending or self.attempt):
-            self.attempt, self.begun, self.ending = 0, False, False
-            self.short_since = None
+        if not self.assigned and (self.gang_ending or self.attempt):
+            self.attempt, self.gang_started, self.gang_ending = 0, False, False
+            self.incomplete_since = None
 
-    def release(self, index: int) -> None:
+    def requeue(self, index: int) -> None:
         """A task is proven gone without an end: it may start again."""
-        self.placed.pop(index, None)
-        if index < self.next_index and not self.is_done(index) and index not in self.finished:
-            self.again.append(index)
+        self.assigned.pop(index, None)
+        if index < self.next_index and not self.is_completed(index) and index not in self.unstored:
+            self.requeued.append(index)
 
 
-def make_job(record: JobRecord, version: int, now: float, day: float = 0.0) -> Job | None:
-    """A job from its record; `day` is the time of day less the steady clock's."""
+def make_job(
+    record: JobRecord, version: int, now: float, wall_clock_offset: float = 0.0
+) -> Job | None:
+    """A job from its record; `wall_clock_offset` is the time of day less the steady clock's."""
     if record.spec is None:
         return None
-    done = unpack_done(record.done_tasks, record.spec.tasks)
-    count = sum(byte.bit_count() for byte in done)
+    completed = unpack_mask(record.done_tasks, record.spec.tasks)
+    count = sum(byte.bit_count() for byte in completed)
     # A record with ends was changed after its creation, maybe by a late write of an earlier leader
     # after our win: its version doesn't prove that the job is younger than the win.
-    created = version if count == 0 else 0
+    created_revision = version if count == 0 else 0
     # A process that has just started sees jobs that came long ago: by its own clock all of them
     # would be new, and every restart of all controllers would begin each wait afresh.
-    arrived = min(now, record.submitted_at - day) if record.submitted_at else now
-    return Job(record.spec, version, arrived, created, done, count)
+    arrived_at = min(now, record.submitted_at - wall_clock_offset) if record.submitted_at else now
+    return Job(record.spec, version, arrived_at, created_revision, completed, count)
 
 
 @dataclass(slots=True)
@@ -213,31 +218,31 @@
 
     jobs: dict[str, Job] = field(default_factory=dict)
     # The time of day less the steady clock's, as it was when the process started.
-    day: float = 0.0
+    wall_clock_offset: float = 0.0
     # Records of ends, each of many jobs: key -> job -> done tasks.
-    pages: dict[str, dict[str, str]] = field(default_factory=dict)
+    completion_records: dict[str, dict[str, str]] = field(default_factory=dict)
     # Jobs that are cancelled for certain although the view may not show it, or not even the job.
-    off: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    cancelled: OrderedDict[str, None] = field(default_factory=OrderedDict)
     # How many of these are remembered: all that can be stored before the view must show the first.
-    most_cancelled: int = LEAST_KNOWN_CANCELLED
+    max_cancelled: int = MIN_REMEMBERED_CANCELLED
 
     def mark_cancelled(self, job_id: str) -> Job | None:
         """A job is cancelled for good; returns it if it is known."""
-        self.off[job_id] = None
-        while len(self.off) > self.most_cancelled:
-            self.off.popitem(last=False)
+        self.cancelled[job_id] = None
+        while len(self.cancelled) > self.max_cancelled:
+            self.cancelled.popitem(last=False)
         job = self.jobs.get(job_id)
         if job is not None:
-            job.announce_cancelled = True
+            job.cancelled = True
         return job
 
-    def saw_completions(self, key: str, raw: bytes | None) -> None:
+    def on_completions_event(self, key: str, raw: bytes | None) -> None:
         """Take in a record of ends."""
         page = decode(raw, dict[str, str]) if raw is not None else None
         if page is None:
-            self.pages.pop(key, None)
+            self.completion_records.pop(key, None)
             return
-        self.pages[key] = page
+        self.completion_records[key] = page
         for entry, text in page.items():
             job = self.jobs.get(split_segment(entry)[0])
             if job is not None:
@@ -246,10 +251,12 @@
     def _merge(self, job: Job, entry: str, text: str) -> None:
         """Take over what an entry of a page says of a job."""
         offset = split_segment(entry)[1]
-        part = unpack_done(text, max(0, job.spec.tasks - 8 * offset))
-        job.merge(bytes(min(offset, len(job.done))) + part)
+        part = unpack_mask(text, max(0, job.spec.tasks - 8 * offset))
+        job.merge_completed(bytes(min(offset, len(job.completed))) + part)
 
-    def saw(self, now: float, key: str, raw: bytes | None, version: int) -> tuple[Job | None, bool]:
+    def on_watch_event(
+        self, now: float, key: str, raw: bytes | None, version: int
+    ) -> tuple[Job | None, bool]:
         """Take in a change; returns the job it concerns and whether it is over."""
         job_id = key[len(LIVE_JOBS_PREFIX) :]
         job = self.jobs.get(job_id)
@@ -262,11 +269,11 @@
         if record is None:
             return None, False
         if job is None:
-            job = make_job(record, version, now, self.day)
+            job = make_job(record, version, now, self.wall_clock_offset)
             if job is not None:
                 self.jobs[job_id] = job
-                job.announce_cancelled = job_id in self.off
-                for page in self.pages.values():
+                job.cancelled = job_id in self.cancelled
+                for page in self.completion_records.values():
                     if job_id in page:
                         self._merge(job, job_id, page[job_id])
                     elif len(page) == 1:
@@ -277,7 +284,7 @@
             return job, False
         if version > job.version:
             job.version = version
-            job.merge(unpack_done(record.done_tasks, job.spec.tasks))
+            job.merge_completed(unpack_mask(record.done_tasks, job.spec.tasks))
         return job, False
 
 
--- a/src/copperpass/core/membership/running_counts.py
+++ b/src/copperpass/core/membership/running_counts.py
@@ -39,9 +39,9 @@
         if job is None:
             return 0, 0
         if self._is_own(job.spec.team):
-            return job.done_count, job.shown()
+            return job.completed_count, job.displayed_running()
         reported = (counts.get(job_id, 0) for counts in self._by_peer.values())
-        return job.done_count, max(reported, default=0)
+        return job.completed_count, max(reported, default=0)
 
     def send_if_due(self, now: float) -> None:
         """Send the counts of the jobs whose shards this member owns."""
@@ -49,9 +49,9 @@
             return
         self._next_at = now + INTERVAL_S
         counts = {
-            job_id: job.shown()
+            job_id: job.displayed_running()
             for job_id, job in self.jobs.jobs.items()
-            if job.shown() and self._is_own(job.spec.team)
+            if job.displayed_running() and self._is_own(job.spec.team)
         }
         for peer in self.peers:
             self.out.send(peer, RunningCounts(counts))
--- a/src/copperpass/core/node/cancellations.py
+++ b/src/copperpass/core/node/cancellations.py
@@ -39,4 +39,4 @@
         job = self.jobs.mark_cancelled(job_id)
         if job is not None:
             for scheduler in list(self.grant_client.schedulers.values()):
-                scheduler.mark_cancelled(now, job)
+                scheduler.on_job_cancelled(now, job)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -11,7 +11,7 @@
 from copperpass.core.election.context import ElectionContext
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.election.timings import GRANT_TTL_RATIO, election_timings
-from copperpass.core.jobs.job_table import LEAST_KNOWN_CANCELLED, JobTable
+from copperpass.core.jobs.job_table import MIN_REMEMBERED_CANCELLED, JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.kvstore.watch_cache import WatchCache
 from copperpass.core.membership.isolation import IsolationMonitor
@@ -40,7 +40,7 @@
     """The state machine that the reactor side feeds and drains.
 
     Takes inputs with the steady clock's time in seconds; leaves calls, frames, replies and log
-    lines in its outbox. `day` is the distance of the time of day from the steady clock.
+    lines in its outbox. `wall_clock_offset` is the time of day less the steady clock, in seconds.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         seed: int,
         now: float,
         tuning: Tuning | None = None,
-        day: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
         cluster = settings.cluster
         self.settings, self.cluster, self.tuning = settings, cluster, tuning or Tuning()
@@ -59,14 +59,14 @@
         self.timings = election_timings(cluster)
         self.shards = shards_of(cluster, self.tuning)
         self._call_timeout_s = self.timings.leader_ttl_s / 3
-        self._wire_records(day)
+        self._wire_records(wall_clock_offset)
         self._wire_election(now)
         self._wire_terms(now)
         self._wire_routers()
 
     # -- wiring -------------------------------------------------------------------------
 
-    def _wire_records(self, day: float) -> None:
+    def _wire_records(self, wall_clock_offset: float) -> None:
         """The store's queue and cache, and the records that the cache keeps up to date."""
         limits = self.cluster.state
         self.transactions = TransactionQueue(
@@ -75,11 +75,11 @@
         self.watch_cache = WatchCache(
             self.out, self._on_watch_event, self.timings.leader_ttl_s / 2, self._call_timeout_s
         )
-        most_cancelled = max(LEAST_KNOWN_CANCELLED, self.cluster.changes_per_cancellation_span)
-        self.jobs = JobTable(day=day, most_cancelled=most_cancelled)
+        max_cancelled = max(MIN_REMEMBERED_CANCELLED, self.cluster.changes_per_cancellation_span)
+        self.jobs = JobTable(wall_clock_offset=wall_clock_offset, max_cancelled=max_cancelled)
         self.cached_inventory = CachedInventory()
         self.completion_versions: dict[str, int] = {}
-        self.user_api = UserApi(self.cluster, self.out, self.transactions, 1.6, day)
+        self.user_api = UserApi(self.cluster, self.out, self.transactions, 1.6, wall_clock_offset)
 
     def _wire_election(self, now: float) -> None:
         """The election and what is known of the other members."""
@@ -144,8 +144,8 @@
             self.jobs, self.grant_client, self.version_registry, self.out
         )
         self.user_api.types = self.machine_types.types
-        self.user_api.counts = self.running_counts.counts_of
-        self.user_api.announce_cancelled = self.cancellations.announce
+        self.user_api.task_counts = self.running_counts.counts_of
+        self.user_api.on_cancelled = self.cancellations.announce
 
     def _wire_routers(self) -> None:
         """Where inputs go."""
--- a/src/copperpass/core/node/watch_router.py
+++ b/src/copperpass/core/node/watch_router.py
@@ -68,16 +68,16 @@
 
     def _on_live_job(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         targets = self.targets
-        job, completed = targets.jobs.saw(now, key, raw, version)
+        job, completed = targets.jobs.on_watch_event(now, key, raw, version)
         if raw is None:
-            targets.user_api.note_removed(key[len(LIVE_JOBS_PREFIX) :])
+            targets.user_api.on_job_removed(key[len(LIVE_JOBS_PREFIX) :])
         for scheduler in list(targets.grant_client.schedulers.values()):
             if completed and job is not None:
-                scheduler.job_ended(now, job)
+                scheduler.on_job_completed(now, job)
             scheduler.dirty = True
 
     def _on_completions(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        self.targets.jobs.saw_completions(key, raw)
+        self.targets.jobs.on_completions_event(key, raw)
         self.targets.completion_versions[key] = version if raw is not None else 0
 
     def _on_inventory(self, now: float, key: str, raw: bytes | None, version: int) -> None:
--- a/src/copperpass/core/scheduling/bin_packing/feasibility.py
+++ b/src/copperpass/core/scheduling/bin_packing/feasibility.py
@@ -63,7 +63,7 @@
 def tasks_by_zone(job: Job, machines: dict[str, Machine]) -> dict[str, int]:
     """How many of a job's placed tasks are in each zone."""
     counts: dict[str, int] = {}
-    for name in job.placed.values():
+    for name in job.assigned.values():
         zone = machines[name].zone if name in machines else UNKNOWN_ZONE
         counts[zone] = counts.get(zone, 0) + 1
     return counts
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -168,7 +168,7 @@
     ) -> None:
         machine.command_in_flight = False
         self.directs -= 1
-        if not self.state.over:
+        if not self.state.ended:
             self.on_answer(now, outcome, machine, starts, ordered)
 
     def probe(self, now: float) -> None:
@@ -178,7 +178,7 @@
         commander can be carried out, and its answer names all that is there: as good a proof as a
         report, and there within milliseconds. Until it is there, no older job may start.
         """
-        for name in self.state.unsettled:
+        for name in self.state.unreconciled:
             if self.directs >= self.most_directs:
                 break
             machine = self.state.machines[name]
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -51,7 +51,7 @@
     # What was confirmed before this moment is in the view.
     consistent_at: Callable[[], float] = _never
 
-    def is_mine(self, team: str) -> bool:
+    def schedules_team(self, team: str) -> bool:
         """Whether a team is of this shard; teams that are not known count as its own."""
         return self.shards.get(team, self.shard) == self.shard
 
@@ -66,10 +66,10 @@
     # For how long an owner of the term before may still answer workers.
     overlap_s: float
     # A machine that hasn't been heard for this long gets no new tasks.
-    silence_s: float
+    heartbeat_timeout_s: float
     # A worker that loses its way is back, over another node, after this long at most: to delete
     # its machine sooner would cost its tasks.
-    lost_s: float
+    unreachable_timeout_s: float
     # The longest boot of any machine type; set again by the node when types have come.
     boot_s: float
     gang_notice_s: float
@@ -80,7 +80,7 @@
         """The times for one scheduler."""
         cluster, workers = context.cluster, context.cluster.workers
         report_s = workers.report_s
-        silence_s = context.tuning.silence_reports * report_s
+        heartbeat_timeout_s = context.tuning.silence_reports * report_s
         # A leader of an older version that gives up, or comes back within a moment, ends its key
         # before its grants: an owner of that term that hasn't seen it may answer workers for as
         # long as a grant.
@@ -92,8 +92,8 @@
             overlap_s=GRANT_TTL_RATIO * election_timings(cluster).leader_ttl_s
             if partitioned
             else 0.0,
-            silence_s=silence_s,
-            lost_s=max(1.5 * silence_s, rerouted_s),
+            heartbeat_timeout_s=heartbeat_timeout_s,
+            unreachable_timeout_s=max(1.5 * heartbeat_timeout_s, rerouted_s),
             boot_s=longest_boot(context.types),
             gang_notice_s=workers.gang_notice_s,
             gang_wait_s=workers.gang_wait_s or 2 * workers.lease_s,
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -48,15 +48,15 @@
     def capacity_requests(self, now: float) -> list[PendingTasks]:
         """Tasks that the machines have no capacity for in time, by start deadline."""
         state, timing = self.state, self.state.timing
-        waiting = [job for job in state.own_jobs() if job.waiting() > 0]
+        waiting = [job for job in state.own_jobs() if job.pending_count() > 0]
         if not waiting:
             return []
-        capacities = free_capacities(self.machines.values(), now, timing.silence_s)
+        capacities = free_capacities(self.machines.values(), now, timing.heartbeat_timeout_s)
         unreported_kinds = self.unreported_kinds()
         smallest_cpus = min(job.spec.cpus for job in waiting)
         requests = []
         self.zone_affinities.clear()
-        requested_cpus = {team: state.tally.of(team)[0] for team in state.by_team}
+        requested_cpus = {team: state.quota_usage.of(team)[0] for team in state.by_team}
         for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
             # Tasks that may be running on machines without a heartbeat yet need no machines.
             if not self.is_startable(job, now, unreported_kinds):
@@ -77,7 +77,7 @@
 
     def _horizon_s(self, job: Job, now: float) -> float:
         """Within how many seconds there must be capacity for the job's next task."""
-        if job.spec.gang and job.placed:
+        if job.spec.gang and job.assigned:
             # Its placed tasks wait for the rest: the capacity that they take isn't free before.
             return 0.0
         return max(0.0, self.state.slos.capacity_deadline(job, now) - now)
@@ -85,7 +85,7 @@
     def _with_affinity(self, job: Job) -> JobSpec:
         """The job's spec, in the zone that its placed tasks bind the rest to."""
         machines = self.machines
-        zones = (machines[name].zone for name in job.placed.values() if name in machines)
+        zones = (machines[name].zone for name in job.assigned.values() if name in machines)
         spec = with_zone_affinity(job.spec, zones)
         if spec.one_zone and spec.zone is not None:
             self.zone_affinities[spec.id] = spec.zone
@@ -97,7 +97,7 @@
         Adds them to the team's `requested_cpus`. None: the limit doesn't allow the whole of a
         gang, so it needs no machines.
         """
-        spec, count = job.spec, job.waiting()
+        spec, count = job.spec, job.pending_count()
         free_quota = self.state.by_team[spec.team].cpus_limit - requested_cpus[spec.team]
         if len(job.failed_on) >= FAILED_MACHINES and not spec.gang:
             # Probably it has a mistake; but it must find capacity for retries while it is not
@@ -119,16 +119,16 @@
         """
         state, types = self.state, self.types
         unidentified_cpus = unidentified_gpus = 0.0
-        for name in state.unsettled | state.tally.unidentified:
+        for name in state.unreconciled | state.quota_usage.unidentified:
             cpus, gpus, _ = self.machines[name].free_capacity()
             unidentified_cpus += max(0.0, cpus)
             unidentified_gpus += max(0.0, gpus)
-        for type_name, _, _ in state.elsewhere.values():
+        for type_name, _, _ in state.other_shard_machines.values():
             if type_name in types:
                 unidentified_cpus += types[type_name].cpus
                 unidentified_gpus += types[type_name].gpus
         return {
-            team.name: ResourceUsage(*state.tally.of(team.name)).plus(
+            team.name: ResourceUsage(*state.quota_usage.of(team.name)).plus(
                 unidentified_cpus, unidentified_gpus
             )
             for team in state.teams
@@ -142,9 +142,11 @@
         A caller with many jobs passes `unreported_kinds()`, so the machines are scanned once.
         """
         state = self.state
-        if now < job.backoff_until or job.ending or job.announce_cancelled:
+        if now < job.backoff_until or job.gang_ending or job.cancelled:
             return False
-        if job.created > state.required_revision or not (state.unsettled or state.elsewhere):
+        if job.created_revision > state.required_revision or not (
+            state.unreconciled or state.other_shard_machines
+        ):
             return True
         # Tasks of a job from before this ownership may still run on machines without a heartbeat
         # since, but only on machines that the job allows and that can hold one of its tasks.
@@ -163,8 +165,8 @@
 
     def unreported_kinds(self) -> set[MachineKind]:
         """The kinds of machines that may hold tasks which have not been reported yet."""
-        kinds = set(self.state.elsewhere.values())
-        for name in self.state.unsettled:
+        kinds = set(self.state.other_shard_machines.values())
+        for name in self.state.unreconciled:
             machine = self.machines[name]
             kinds.add((machine.type.name, machine.zone, machine.spot))
         return kinds
@@ -175,10 +177,10 @@
         task_counts: dict[str, int] = {}
         for job in self.state.own_jobs():
             team_name = job.spec.team
-            tasks = job.waiting() + len(job.placed)
+            tasks = job.pending_count() + len(job.assigned)
             task_counts[team_name] = task_counts.get(team_name, 0) + tasks
         for team in self.state.teams:
-            recent = self.state.recent[team.name]
+            recent = self.state.recent_tasks[team.name]
             if not recent or not task_counts.get(team.name):
                 continue
             cpus, gpus, memory = (
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -135,14 +135,14 @@
         if spec.team in self.quota_reservations:
             return
         if self.slos.start_deadline(job, self.now) - self.now < self.boot_s:
-            count = len(job.missing())
+            count = len(job.unassigned())
             self.quota_reservations[spec.team] = QuotaReservation(
-                job.arrived, count * spec.cpus, count * spec.gpus
+                job.arrived_at, count * spec.cpus, count * spec.gpus
             )
 
     def _place_task(self, job: Job) -> None:
         """Start the next task of a job, or remove the job from its queue."""
-        index = job.peek()
+        index = job.next_task()
         if index is None:
             self.queues.dequeue(job)
             return
@@ -177,7 +177,11 @@
         used = self.queues.used[spec.team]
         reservation = self.quota_reservations.get(spec.team)
         # Jobs that came earlier are not bound by the reservation: neither starves the other.
-        if reservation is not None and job.arrived > reservation.arrived and not urgency.starving:
+        if (
+            reservation is not None
+            and job.arrived_at > reservation.arrived
+            and not urgency.starving
+        ):
             used = used.plus(reservation.cpus, reservation.gpus)
         return exceeds_limit(self.state.by_team[spec.team], used, spec.cpus, spec.gpus)
 
@@ -189,7 +193,7 @@
         spec = job.spec
         if spec.team in self.quota_reservations or urgency.can_wait or not self._is_large(job):
             return
-        self.quota_reservations[spec.team] = QuotaReservation(job.arrived, spec.cpus, spec.gpus)
+        self.quota_reservations[spec.team] = QuotaReservation(job.arrived_at, spec.cpus, spec.gpus)
 
     def _is_large(self, job: Job) -> bool:
         """Whether a job's tasks are large beside the smallest that are present."""
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -45,15 +45,15 @@
         state.dirty = False
         jobs = state.own_jobs()
         for job in jobs:
-            if job.placed:
-                job.last_placed = now
+            if job.assigned:
+                job.last_assigned_at = now
         self.reservations.reserved_types.observe(now, jobs)
-        if all(job.waiting() <= 0 for job in jobs):
+        if all(job.pending_count() <= 0 for job in jobs):
             # Most heartbeats of an idle hour change nothing that could be started.
             state.needs_machines, self.urgent = False, set()
             self.next_round_at = now + MIN_PAUSE_S
             return
-        silence_s = state.timing.silence_s
+        silence_s = state.timing.heartbeat_timeout_s
         usable = [machine for machine in state.machines.values() if machine.usable(now, silence_s)]
         queues = self._queues(now, jobs, usable)
         current = DispatchRound(now, self.placement, queues, jobs, usable)
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -23,10 +23,10 @@
 
     def on_task_active(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang is reported as active."""
-        if job.ending and placement.stop_grace_s is None:
+        if job.gang_ending and placement.stop_grace_s is None:
             # Its machine was taken over only after the attempt had ended and the rest were stopped.
             self.tasks.stop(now, placement, StopReason.ATTEMPT_OVER)
-        if not job.attempt and not job.ending:
+        if not job.attempt and not job.gang_ending:
             if placement.stop_grace_s is not None:
                 # The second copy of a task, which must go: no other task may join its attempt.
                 return
@@ -36,17 +36,17 @@
             # Of another attempt, which only a leftover can be: neither may be added to.
             self.tasks.end_gang(now, job, StopReason.TWO_ATTEMPTS, 0.0)
         elif placement.state in (TaskState.RUNNING, TaskState.SAVING):
-            job.begun = True
+            job.gang_started = True
 
     def on_task_exited(self, now: float, job: Job, placement: Placement) -> None:
         """A task of a gang has exited without completing."""
-        if job.ended():
+        if job.all_completed():
             return
-        current = placement.attempt == job.attempt and not job.ending
+        current = placement.attempt == job.attempt and not job.gang_ending
         if current and not self._is_replaceable(job, placement):
             # Whatever the rest does now, it can't complete under this attempt.
             self.tasks.end_gang(now, job, StopReason.TASK_EXITED, 0.0, placement.exit_cause)
-        job.settle_gang()
+        job.finish_attempt()
 
     def _is_replaceable(self, job: Job, placement: Placement) -> bool:
         """Whether another placement may join the attempt in place of a task that has exited.
@@ -54,7 +54,7 @@
         Only while the gang still gathers: the task was refused, was stopped, or failed before it
         ran.
         """
-        return not job.begun and (
+        return not job.gang_started and (
             placement.exit_cause in REFUSALS
             or placement.stop_grace_s is not None
             or (placement.exit_cause == ExitCause.ERROR and not placement.running_at)
@@ -63,8 +63,8 @@
     def all_reachable(self, now: float, job: Job) -> bool:
         """Whether all tasks of a gang can be stopped within the time that a checkpoint takes."""
         timing, machines = self.state.timing, self.state.machines
-        longest_s = min(timing.silence_s, timing.gang_notice_s)
-        for name in job.placed.values():
+        longest_s = min(timing.heartbeat_timeout_s, timing.gang_notice_s)
+        for name in job.assigned.values():
             machine = machines.get(name)
             if machine is None or machine.unreachable_since is not None:
                 return False
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -33,7 +33,7 @@
         None: the team's limit doesn't allow the whole gang now, or tasks of an earlier attempt
         are not proven gone. `started_on` lists the machines that the round has started tasks on.
         """
-        spec, count = job.spec, len(job.missing())
+        spec, count = job.spec, len(job.unassigned())
         team = self.state.by_team[spec.team]
         if exceeds_limit(team, used, count * spec.cpus, count * spec.gpus):
             return None
@@ -48,7 +48,7 @@
         if plan is None:
             self._end_incomplete_attempt(now, job)
             return []
-        job.short_since = None
+        job.incomplete_since = None
         if not job.attempt:
             job.attempt = self.tasks.new_attempt(job)
         for index, machine in plan.placements:
@@ -60,7 +60,7 @@
         job_id, machines = job.spec.id, self.machines
         return any(
             placement.active and placement.job_id == job_id and placement.attempt != job.attempt
-            for name in self.state.where.get(job_id, ())
+            for name in self.state.machines_of_job.get(job_id, ())
             if name in machines
             for placement in machines[name].tasks.values()
         )
@@ -70,10 +70,10 @@
 
         Starting anew as a whole is better than occupying machines until the tasks time out.
         """
-        if not job.placed:
+        if not job.assigned:
             return
-        job.short_since = now if job.short_since is None else job.short_since
-        if now - job.short_since > self.state.timing.gang_wait_s / 2:
+        job.incomplete_since = now if job.incomplete_since is None else job.incomplete_since
+        if now - job.incomplete_since > self.state.timing.gang_wait_s / 2:
             self.tasks.end_gang(now, job, StopReason.NO_ROOM, 0.0)
 
     def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
@@ -89,7 +89,7 @@
             # machines that come one by one and go back as idle never add up to its zone's part.
             machine.retain_until = now + report_s
         tuning = self.reservations.tuning
-        past_wait = now - job.arrived > tuning.patience_s
+        past_wait = now - job.arrived_at > tuning.patience_s
         slack_s = state.slos.start_deadline(job, now) - now
         can_wait = slack_s > tuning.patient_boots * state.timing.boot_s
         if can_wait or (past_wait and not reservation.whole):
--- a/src/copperpass/core/scheduling/guarantees.py
+++ b/src/copperpass/core/scheduling/guarantees.py
@@ -18,7 +18,7 @@
     if all(job.guarantee_assessed for job in jobs):
         return
     requested: dict[str, float] = {}
-    for job in sorted(jobs, key=lambda job: (job.arrived, job.created)):
+    for job in sorted(jobs, key=lambda job: (job.arrived_at, job.created_revision)):
         spec = job.spec
         total = requested.get(spec.team, 0.0) + spec.cpus * spec.tasks
         if not job.guarantee_assessed:
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -18,11 +18,11 @@
     """How many of the machines that should be heard are silent, in all and in each zone."""
 
     def __init__(
-        self, machines: Iterable[Machine], unsettled: set[str], now: float, silence: float
+        self, machines: Iterable[Machine], unreconciled: set[str], now: float, silence: float
     ) -> None:
         self.zones: dict[str, list[int]] = {}
         for machine in machines:
-            if machine.up or machine.name in unsettled:
+            if machine.up or machine.name in unreconciled:
                 counts = self.zones.setdefault(machine.zone, [0, 0])
                 counts[0] += now - machine.last_contact_at > silence
                 counts[1] += 1
@@ -48,13 +48,15 @@
     def scan(self, now: float) -> None:
         """Look at all machines once."""
         state, timing = self.state, self.state.timing
-        silence = Silence(state.machines.values(), state.unsettled, now, timing.silence_s)
+        silence = Silence(
+            state.machines.values(), state.unreconciled, now, timing.heartbeat_timeout_s
+        )
         for machine in list(state.machines.values()):
             ended = float("-inf") < machine.last_answer_at < now - timing.lease_s
-            if ended and (machine.tasks or machine.name in state.unsettled):
+            if ended and (machine.tasks or machine.name in state.unreconciled):
                 self.out.log(LogLevel.INFO, LogEvent.WORKER_LEASE_EXPIRED, machine=machine.name)
-                state.unsettled.discard(machine.name)
-                self.tasks.session_over(now, machine)
+                state.unreconciled.discard(machine.name)
+                self.tasks.on_session_ended(now, machine)
             if machine.deletion_requested:
                 continue
             reason = self._hopeless(now, machine, ended, silence)
@@ -75,14 +77,18 @@
         few, cut = silence.few(machine.zone), silence.cut(machine.zone)
         patience = CUT_LEASES * timing.lease_s if cut else timing.lease_s
         quiet = now - machine.last_contact_at
-        waited = now - max(machine.last_answer_at - timing.overlap_s, self.state.since)
-        lost = machine.name in self.state.unsettled and waited > timing.lost_s and few
+        waited = now - max(machine.last_answer_at - timing.overlap_s, self.state.owned_since)
+        lost = (
+            machine.name in self.state.unreconciled
+            and waited > timing.unreachable_timeout_s
+            and few
+        )
         if not machine.up and machine.recorded and (lost or (ended and waited > patience)):
             # Known by its record alone, and silent for longer than a worker takes to find its way
             # while others are heard, or for a whole lease: it is gone or cut off. Its record would
             # hold up all older jobs, and the next change of leader too.
             return DeletionReason.NEVER_REGISTERED
-        if machine.up and quiet > timing.lost_s and (few or quiet > patience):
+        if machine.up and quiet > timing.unreachable_timeout_s and (few or quiet > patience):
             # A silent machine among speaking ones: have the cloud end it, which frees its tasks
             # sooner than its lease would. A whole zone is rather cut off than dead: its machines
             # are worth more when it is back than new ones, which would report to nobody either.
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -55,14 +55,14 @@
         self.context, self.state, self.commands = context, state, commands
         self.tasks, self.gangs, self.task_statuses = tasks, gangs, task_statuses
         self.jobs, self.timing = context.jobs, state.timing
-        self.machines, self.tally = state.machines, state.tally
+        self.machines, self.quota_usage = state.machines, state.quota_usage
 
     def worker_heartbeat(
-        self, now: float, heartbeat: WorkerHeartbeat, handed: bool = False
+        self, now: float, heartbeat: WorkerHeartbeat, relayed: bool = False
     ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
-        `handed`: it came over another controller, since its worker doesn't reach this one.
+        `relayed`: it came over another controller, since its worker doesn't reach this one.
         """
         machine = self.machines.get(heartbeat.machine)
         if machine is None or heartbeat.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
@@ -75,8 +75,8 @@
             return HeartbeatAnswer(machine.token, [])
         # A worker that has found its way here can be told directly again: a new machine's first
         # report often comes to another controller.
-        machine.relayed_until = now + 2 * self.timing.report_s if handed else float("-inf")
-        self.take(now, machine, heartbeat, True)
+        machine.relayed_until = now + 2 * self.timing.report_s if relayed else float("-inf")
+        self.apply(now, machine, heartbeat, True)
         if self._doubtful(now, machine):
             return None
         if machine.settled:
@@ -86,25 +86,25 @@
         commands = self.commands.for_heartbeat(now, machine, heartbeat)
         return HeartbeatAnswer(machine.token, commands)
 
-    def take(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool) -> None:
+    def apply(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool) -> None:
         """Bring what we know of a machine up to a newer report.
 
         `full`: the worker has sent it by itself; else it is the answer to a direct command.
         """
-        self._take_agent_epoch(now, machine, heartbeat, full)
-        self._take_proofs(now, machine, heartbeat)
-        self._take_tasks(now, machine, heartbeat, full)
+        self._apply_agent_epoch(now, machine, heartbeat, full)
+        self._apply_proofs(now, machine, heartbeat)
+        self._apply_tasks(now, machine, heartbeat, full)
         if machine.usage_stale:
-            self.tally.recount(machine)
+            self.quota_usage.recount(machine)
         if machine.tasks:
             machine.idle_since = now
             self._mind_foreign(machine)
         else:
             machine.holds_other_shard = False
             if machine.draining and not machine.starts:
-                self.state.give_back_if_empty(machine)
+                self.state.release_if_empty(machine)
 
-    def _take_agent_epoch(
+    def _apply_agent_epoch(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool
     ) -> None:
         """Note the session, and when the machine was heard."""
@@ -112,7 +112,7 @@
             if machine.agent_epoch:
                 # Its earlier tasks are gone. Whether the new session is ours alone only a token
                 # can show: an earlier commander may have known it already.
-                self.tasks.session_over(now, machine)
+                self.tasks.on_session_ended(now, machine)
             machine.agent_epoch = heartbeat.agent_epoch
             # Its lease began before this was said. Counted from the last answer in the session
             # before, the end of that lease would free the tasks of the new one.
@@ -128,7 +128,7 @@
             machine.up, machine.up_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
-    def _take_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
+    def _apply_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Note the cloud's notice, and what the token proves."""
         if heartbeat.notice_s is not None and machine.notice_until is None:
             until = machine.notice_until = now + heartbeat.notice_s
@@ -137,10 +137,10 @@
             machine.unreachable_since, self.state.dirty = None, True
         if not machine.settled and heartbeat.token >= machine.base:
             machine.settled = True
-            self.state.unsettled.discard(machine.name)
+            self.state.unreconciled.discard(machine.name)
             self.state.dirty = True
 
-    def _take_tasks(
+    def _apply_tasks(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, full: bool
     ) -> None:
         """Bring the machine's tasks up to those that are listed."""
@@ -175,7 +175,7 @@
                 last = MachineStatus(
                     machine.name, machine.base, registered=True, released=True, shard=shard
                 )
-                self.state.part_with(machine, last)
+                self.state.release(machine, last)
                 return
         for placement in foreign:
             if placement.active and placement.stop_grace_s is None:
@@ -201,7 +201,7 @@
         )
         machine.tasks[key] = placement
         machine.usage_stale = True
-        self.state.where.setdefault(placement.job_id, set()).add(machine.name)
+        self.state.machines_of_job.setdefault(placement.job_id, set()).add(machine.name)
         self._match_job(machine, placement)
         return placement
 
@@ -214,12 +214,12 @@
     def _match_job(self, machine: Machine, placement: Placement) -> None:
         job = self.jobs.jobs.get(placement.job_id)
         if job is not None:
-            if not self.context.is_mine(job.spec.team):
+            if not self.context.schedules_team(job.spec.team):
                 placement.of_other_shard, placement.shard = True, self.context.shards[job.spec.team]
                 return
             self._match_own_job(machine, placement, job)
             return
-        if self.state.knows_over(placement):
+        if self.state.is_certainly_completed(placement):
             if placement.active:
                 placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
             else:
@@ -234,13 +234,13 @@
             placement.memory_gb = spec.memory_gb
             placement.image, placement.estimate_s = spec.image, spec.estimate_s
             machine.touch_image(spec.image, spec.image_gb)
-            self.tally.recount(machine)
-        if placement.active and job.announce_cancelled:
+            self.quota_usage.recount(machine)
+        if placement.active and job.cancelled:
             placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.CANCELLED
         if placement.active and placement.index < job.spec.tasks:
-            other = job.placed.get(placement.index)
-            if other is None and not job.is_done(placement.index):
-                job.placed[placement.index] = machine.name
+            other = job.assigned.get(placement.index)
+            if other is None and not job.is_completed(placement.index):
+                job.assigned[placement.index] = machine.name
             elif other != machine.name:
                 placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.DUPLICATE
 
@@ -270,7 +270,7 @@
             if (
                 job is not None
                 and job.spec.gang
-                and job.begun
+                and job.gang_started
                 and (job.spec.save_s > left or not self.gangs.all_reachable(now, job))
             ):
                 # It can't be saved in time: to run on may still complete it.
@@ -307,7 +307,7 @@
             for placement in mine:
                 placement.barrier_token = machine.token
         if heartbeat is not None:
-            self._take_direct(now, machine, heartbeat)
+            self._apply_direct(now, machine, heartbeat)
         if outcome.status == 200:
             for placement in mine:
                 if not placement.reported and machine.tasks.get(placement.key) is placement:
@@ -315,7 +315,7 @@
         self.state.dirty = True
         self.commands.send(now, machine)
 
-    def _take_direct(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
+    def _apply_direct(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Take what an answer reports, if it is newer than what is known."""
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             return
@@ -324,4 +324,4 @@
         if heartbeat.agent_epoch != machine.agent_epoch:
             # It was asked under a session that is over; now the right one is known.
             machine.next_probe_at = now
-        self.take(now, machine, heartbeat, False)
+        self.apply(now, machine, heartbeat, False)
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -42,23 +42,23 @@
 
     def store(self, now: float, job: Job) -> None:
         """Store ends: the last makes the job done at once, the others are gathered."""
-        if job.storing:
+        if job.completion_in_flight:
             return
-        if not job.ended():
-            if job.finished:
+        if not job.all_completed():
+            if job.unstored:
                 self.completions.record(now, job)
             return
-        job.storing = True
+        job.completion_in_flight = True
         key = LIVE_JOBS_PREFIX + job.spec.id
         final = completed_job_value(JobState.DONE, job.spec.tasks)
 
         def on_done(at: float, outcome: TransactionOutcome, revision: int) -> None:
-            job.storing = False
+            job.completion_in_flight = False
             if outcome is TransactionOutcome.APPLIED:
                 job.version = max(job.version, revision)
-                job.stored(list(job.finished))
+                job.on_completions_stored(list(job.unstored))
                 self.context.jobs.jobs.pop(job.spec.id, None)
-                self.job_ended(at, job)
+                self.on_job_completed(at, job)
             # On a conflict the watch brings the newer record; the next scan tries again.
 
         writes: list[Write] = [DeleteKey(key), PutKey(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
@@ -70,20 +70,20 @@
         """Store all ends that are not stored, nor being stored."""
         for job in self.state.own_jobs():
             # Also a job all of whose ends an earlier owner stored without ending it.
-            if (job.finished or job.ended()) and not job.storing:
+            if (job.unstored or job.all_completed()) and not job.completion_in_flight:
                 self.store(now, job)
 
-    def job_ended(self, now: float, job: Job) -> None:
+    def on_job_completed(self, now: float, job: Job) -> None:
         """The job's record is gone: nothing of it may start, and all of it must go."""
-        if not self.context.is_mine(job.spec.team):
+        if not self.context.schedules_team(job.spec.team):
             return
         self.completions.remove(job)
         self.tasks.stop_all(now, job, StopReason.JOB_OVER)
-        self.state.where.pop(job.spec.id, None)
+        self.state.machines_of_job.pop(job.spec.id, None)
         self.state.dirty = True
 
-    def mark_cancelled(self, now: float, job: Job) -> None:
+    def on_job_cancelled(self, now: float, job: Job) -> None:
         """A job's cancellation is stored, whatever the view shows: its tasks go, none starts."""
-        if self.context.is_mine(job.spec.team):
+        if self.context.schedules_team(job.spec.team):
             self.tasks.stop_all(now, job, StopReason.CANCELLED)
             self.state.dirty = True
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -215,7 +215,7 @@
         """Whether the free room is kept for another job."""
         return now < self.reserved_until and self.reserved_for_job != job_id
 
-    def usable(self, now: float, silence: float) -> bool:
+    def usable(self, now: float, heartbeat_timeout_s: float) -> bool:
         """Whether tasks may be started here."""
         return (
             self.up
@@ -229,7 +229,7 @@
             and not self.failed
             and self.notice_until is None
             and now >= self.backoff_until
-            and now - self.last_heartbeat_at <= silence
+            and now - self.last_heartbeat_at <= heartbeat_timeout_s
         )
 
 
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -50,21 +50,23 @@
     def start_deadline(self, job: Job, now: float) -> float:
         """When the next task must start for the nearest target that can still be met."""
         spec = job.spec
-        deadlines = [job.arrived + target for target in self.start_targets.get(spec.job_class, ())]
+        deadlines = [
+            job.arrived_at + target for target in self.start_targets.get(spec.job_class, ())
+        ]
         completion_targets = list(self.completion_targets.get(spec.job_class, ()))
         if self.guarantee_target_s is not None and job.guaranteed:
-            deadlines.append(job.arrived + self.guarantee_target_s)
+            deadlines.append(job.arrived_at + self.guarantee_target_s)
         if spec.deadline_s is not None:
             completion_targets.append(spec.deadline_s)
         # Estimates are often wrong by half and more: leave time for twice as long, if there is.
         for target in completion_targets:
-            deadlines += [job.arrived + target - runs * spec.estimate_s for runs in (2, 1)]
+            deadlines += [job.arrived_at + target - runs * spec.estimate_s for runs in (2, 1)]
         ahead = [deadline for deadline in deadlines if deadline >= now]
         if ahead:
             return min(ahead)
         # Without a target, or with none left, it comes last until it has waited for too long.
-        wait_bound = job.arrived + self.max_wait_s
-        return wait_bound if now > wait_bound else job.arrived + NO_DEADLINE_S
+        wait_bound = job.arrived_at + self.max_wait_s
+        return wait_bound if now > wait_bound else job.arrived_at + NO_DEADLINE_S
 
     def capacity_deadline(self, job: Job, now: float) -> float:
         """When there must be capacity for the next task: the start deadline, but always bounded.
@@ -74,10 +76,10 @@
         with work whose target was far off, and less than half of it was served.
         """
         deadline = self.start_deadline(job, now)
-        if deadline < job.arrived + NO_DEADLINE_S:
+        if deadline < job.arrived_at + NO_DEADLINE_S:
             return deadline
-        return job.arrived + self.max_wait_s
+        return job.arrived_at + self.max_wait_s
 
     def is_past_deadline(self, job: Job, now: float) -> bool:
         """Whether no target can be met any more and the job has waited beyond the bound."""
-        return now > job.arrived + self.max_wait_s and self.start_deadline(job, now) < now
+        return now > job.arrived_at + self.max_wait_s and self.start_deadline(job, now) < now
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -32,17 +32,17 @@
         """The leader's table has a route for a machine."""
         state, name = self.state, route.name
         machine = self.machines.get(name)
-        told = state.given.get(name)
+        told = state.released.get(name)
         if told is not None and (route.base_token != told.base_token or route.deleted):
-            del state.given[name]
+            del state.released[name]
         if route.shard != self.context.shard or route.deleted:
             self._on_foreign_route(now, route, machine)
             return
-        state.elsewhere.pop(name, None)
+        state.other_shard_machines.pop(name, None)
         if machine is not None and route.base_token > machine.base and not state.ready:
             self._forget(now, machine)
             machine = None
-        if machine is None and name not in state.given:
+        if machine is None and name not in state.released:
             machine = self._add(now, route)
         if machine is None:
             return
@@ -51,8 +51,8 @@
         if route.failed and not machine.failed:
             # It has stopped on its own: nothing runs there any more.
             machine.failed = True
-            state.unsettled.discard(name)
-            self.tasks.session_over(now, machine)
+            state.unreconciled.discard(name)
+            self.tasks.on_session_ended(now, machine)
         if route.reclaim_requested:
             self._give_back(now, machine, route.drain)
 
@@ -62,8 +62,8 @@
             self._gone(now, machine)
         other_shard = route.shard != self.context.shard and not route.deleted
         if route.occupancy == Occupancy.ANY_SHARD and other_shard and not route.failed:
-            self.state.elsewhere[route.name] = (route.type, route.zone, route.spot)
-        elif self.state.elsewhere.pop(route.name, None) is not None:
+            self.state.other_shard_machines[route.name] = (route.type, route.zone, route.spot)
+        elif self.state.other_shard_machines.pop(route.name, None) is not None:
             self.state.dirty = True
 
     def _forget(self, now: float, machine: Machine) -> None:
@@ -73,8 +73,8 @@
         """
         for placement in list(machine.tasks.values()):
             self.tasks.remove(now, machine, placement)
-        self.state.tally.drop(machine)
-        self.state.unsettled.discard(machine.name)
+        self.state.quota_usage.drop(machine)
+        self.state.unreconciled.discard(machine.name)
         del self.machines[machine.name]
 
     def _add(self, now: float, route: MachineRoute) -> Machine | None:
@@ -98,12 +98,12 @@
         elif route.recorded and route.occupancy != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
             machine.last_answer_at = now + self.state.timing.overlap_s
-            self.state.unsettled.add(route.name)
+            self.state.unreconciled.add(route.name)
         return machine
 
     def _give_back(self, now: float, machine: Machine, drain: bool) -> None:
         """The leader wants a machine for others: give it back if it is proven empty."""
-        if self.state.give_back_if_empty(machine) or not drain:
+        if self.state.release_if_empty(machine) or not drain:
             return
         machine.draining = True
         for placement in list(machine.starts):
@@ -116,15 +116,15 @@
     def _gone(self, now: float, machine: Machine) -> None:
         """The cloud has confirmed: the machine and all on it are gone."""
         machine.draining = False
-        self.state.unsettled.discard(machine.name)
-        self.tasks.session_over(now, machine)
-        self.state.tally.drop(machine)
+        self.state.unreconciled.discard(machine.name)
+        self.tasks.on_session_ended(now, machine)
+        self.state.quota_usage.drop(machine)
         self.machines.pop(machine.name, None)
         self.context.images.pop(machine.name, None)
 
     def statuses(self, now: float) -> list[MachineStatus]:
         """What the leader should know of the machines and has not been told."""
-        told = list(self.state.given.values())
+        told = list(self.state.released.values())
         for machine in self.machines.values():
             # What is held for somebody must not be taken for idle and given back.
             idle = (
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -69,7 +69,7 @@
                 continue
             if stopping is None:
                 stopping = self._count_stopping()
-            wanted = 1 if job.spec.gang else min(job.waiting(), MAX_TASKS_AT_ONCE)
+            wanted = 1 if job.spec.gang else min(job.pending_count(), MAX_TASKS_AT_ONCE)
             budget = wanted - stopping
             if budget > 0:
                 stopping += self._free_capacity(now, preemptor, usable, over_guarantee, budget)
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -44,8 +44,8 @@
         Capacity that is reserved for others must not let a job wait beside it without a bound,
         also when some of its tasks have completed before.
         """
-        without_placement = not job.placed and not job.finished
-        since = max(job.arrived, job.last_placed) if job.done_count else job.arrived
+        without_placement = not job.assigned and not job.unstored
+        since = max(job.arrived_at, job.last_assigned_at) if job.completed_count else job.arrived_at
         return without_placement and now - since > STARVATION_SHARE * self.tuning.patience_s
 
     def policy(self, job: Job, starving: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
@@ -69,7 +69,7 @@
         self.on_demand_peak.add(
             now,
             sum(
-                job.spec.cpus * (job.spec.tasks - job.done_count)
+                job.spec.cpus * (job.spec.tasks - job.completed_count)
                 for job in jobs
                 if needs_on_demand(job, slos, boot_s)
             ),
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -46,7 +46,7 @@
         )
         self.commands.on_answer = self.heartbeats.direct_answer
         self.ownership = Ownership(context, state, self.commands, tasks)
-        self.silence_scan = HeartbeatTimeoutScan(context, state, tasks)
+        self.heartbeat_timeouts = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
         placement = PlacementParts(
@@ -71,18 +71,18 @@
             context.has_authority,
         )
         self.machines: dict[str, Machine] = state.machines
-        self.unsettled: set[str] = state.unsettled
-        self.tally: QuotaUsage = state.tally
+        self.unreconciled: set[str] = state.unreconciled
+        self.quota_usage: QuotaUsage = state.quota_usage
         self.by_team: dict[str, Team] = state.by_team
         self.timing: Timing = state.timing
         self.zone_affinities: dict[str, str] = self.demand.zone_affinities
         self.completions: CompletionStore = self.results.completions
         for job in state.own_jobs():
-            job.forget_tasks()
+            job.reset_tasks()
 
     # -- events ------------------------------------------------------------------------
 
-    def begin(self, now: float) -> None:
+    def on_watch_synced(self, now: float) -> None:
         """The view has caught up: what is not in it is over."""
         self.state.ready = True
         self.heartbeats.match_jobs()
@@ -93,21 +93,21 @@
         self.ownership.on_route(now, route)
 
     def worker_heartbeat(
-        self, now: float, heartbeat: WorkerHeartbeat, handed: bool = False
+        self, now: float, heartbeat: WorkerHeartbeat, relayed: bool = False
     ) -> HeartbeatAnswer | None:
         """Take a worker's report; None when it must not be answered with 200.
 
-        `handed`: it came over another controller, since its worker doesn't reach this one.
+        `relayed`: it came over another controller, since its worker doesn't reach this one.
         """
-        return self.heartbeats.worker_heartbeat(now, heartbeat, handed)
+        return self.heartbeats.worker_heartbeat(now, heartbeat, relayed)
 
-    def job_ended(self, now: float, job: Job) -> None:
+    def on_job_completed(self, now: float, job: Job) -> None:
         """The job's record is gone: nothing of it may start, and all of it must go."""
-        self.results.job_ended(now, job)
+        self.results.on_job_completed(now, job)
 
-    def mark_cancelled(self, now: float, job: Job) -> None:
+    def on_job_cancelled(self, now: float, job: Job) -> None:
         """A job's cancellation is stored, whatever the view shows: its tasks go, none starts."""
-        self.results.mark_cancelled(now, job)
+        self.results.on_job_cancelled(now, job)
 
     # -- time --------------------------------------------------------------------------
 
@@ -118,7 +118,7 @@
         if now >= self.next_scan:
             self.next_scan = now + self.timing.report_s / 4
             self.scan(now)
-        if self.unsettled:
+        if self.unreconciled:
             self.commands.probe(now)
         self.completions.tick(now)
         if self.state.dirty and now >= self.dispatcher.next_round_at:
@@ -126,7 +126,7 @@
 
     def scan(self, now: float) -> None:
         """Look for leases that have ended, machines that are lost, and ends to be stored."""
-        self.silence_scan.scan(now)
+        self.heartbeat_timeouts.scan(now)
         self.results.store_outstanding(now)
         self.state.dirty = True
 
@@ -166,13 +166,13 @@
         return self.state.last_heartbeat_at
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether the ownership has passed."""
-        return self.state.over
+        return self.state.ended
 
-    @over.setter
-    def over(self, value: bool) -> None:
-        self.state.over = value
+    @ended.setter
+    def ended(self, value: bool) -> None:
+        self.state.ended = value
 
     @property
     def required_revision(self) -> int:
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -31,11 +31,11 @@
         self.by_team = {team.name: team for team in self.teams}
         # Jobs created after this revision can't have been started by an earlier owner.
         self.required_revision = revision
-        self.since = now
+        self.owned_since = now
         # The view has caught up with the revision at which the ownership began.
         self.ready = False
         # Set when the ownership has passed: answers that come later must not touch the jobs.
-        self.over = False
+        self.ended = False
         # Something has changed that the next dispatch round should look at.
         self.dirty = False
         # What the leader should be told at once: tasks in need of machines, machines given back.
@@ -43,18 +43,18 @@
         # Whether dear machines could go back: else they stay up, and any work may use them.
         self.on_demand_excess = True
         self.machines: dict[str, Machine] = {}
-        self.tally = QuotaUsage()
+        self.quota_usage = QuotaUsage()
         # Machines taken over that may hold tasks which haven't been reported yet.
-        self.unsettled: set[str] = set()
+        self.unreconciled: set[str] = set()
         # Machines of other shards where tasks of this shard may be, by the leader's word.
-        self.elsewhere: dict[str, tuple[str, str, bool]] = {}
+        self.other_shard_machines: dict[str, tuple[str, str, bool]] = {}
         # Machines given back: their last status is told until the leader has moved them.
-        self.given: dict[str, MachineStatus] = {}
+        self.released: dict[str, MachineStatus] = {}
         # The machines where a job has or had tasks.
-        self.where: dict[str, set[str]] = {}
+        self.machines_of_job: dict[str, set[str]] = {}
         self.slos = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
         # CPUs, GPUs and memory of the latest tasks started, by team.
-        self.recent: dict[str, deque[tuple[float, float, float]]] = {
+        self.recent_tasks: dict[str, deque[tuple[float, float, float]]] = {
             team.name: deque(maxlen=RECENT_TASKS) for team in self.teams
         }
         self.last_heartbeat_at = now
@@ -64,7 +64,7 @@
         by_team = self.by_team
         return [job for job in self.context.jobs.jobs.values() if job.spec.team in by_team]
 
-    def knows_over(self, placement: Placement) -> bool:
+    def is_certainly_completed(self, placement: Placement) -> bool:
         """Whether a task whose job is not in the view is certainly of a job that is over.
 
         The view is newer than our win, or than the report that showed the task: when it was
@@ -72,20 +72,20 @@
         """
         return self.ready or self.context.consistent_at() > placement.sent_at
 
-    def part_with(self, machine: Machine, last: MachineStatus) -> None:
+    def release(self, machine: Machine, last: MachineStatus) -> None:
         """Command a machine no more; its last status is told until the leader has moved it."""
         del self.machines[machine.name]
-        self.tally.drop(machine)
-        self.unsettled.discard(machine.name)
-        self.given[machine.name] = last
+        self.quota_usage.drop(machine)
+        self.unreconciled.discard(machine.name)
+        self.released[machine.name] = last
         self.returning = self.dirty = True
 
-    def give_back_if_empty(self, machine: Machine) -> bool:
+    def release_if_empty(self, machine: Machine) -> bool:
         """Give a machine back to the leader if it is proven empty; returns whether it was."""
         if not (machine.empty() and machine.settled and machine.unreachable_since is None):
             return False
         contact = MachineContact(machine.address, machine.agent_epoch, machine.sequence)
-        self.part_with(
+        self.release(
             machine,
             MachineStatus(
                 machine.name,
--- a/src/copperpass/core/scheduling/task_order.py
+++ b/src/copperpass/core/scheduling/task_order.py
@@ -22,7 +22,7 @@
     def key(job: Job) -> tuple[bool, float, float, str]:
         level = PRIORITY_LEVELS[job.spec.priority]
         deadline = slos.start_deadline(job, now) - level * bonus_s
-        return (level < PRIORITY_LEVELS["production"], deadline, job.arrived, job.spec.id)
+        return (level < PRIORITY_LEVELS["production"], deadline, job.arrived_at, job.spec.id)
 
     return sorted(jobs, key=key)
 
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -57,7 +57,11 @@
         placement.state = task.state
         if job is not None and job.spec.gang:
             self.gangs.on_task_active(now, job, placement)
-        if job is None and placement.stop_grace_s is None and self.state.knows_over(placement):
+        if (
+            job is None
+            and placement.stop_grace_s is None
+            and self.state.is_certainly_completed(placement)
+        ):
             placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
 
     def _exited(
@@ -74,7 +78,7 @@
         if placement.exit_cause != ExitCause.DONE:
             self._log_end(now, machine, placement, task)
         if placement.team == UNIDENTIFIED and job is None:
-            placement.stored = self.state.knows_over(placement)
+            placement.stored = self.state.is_certainly_completed(placement)
             return
         self.state.dirty = True
         if job is None:
@@ -100,30 +104,30 @@
     @staticmethod
     def _is_current(machine: Machine, placement: Placement, job: Job) -> bool:
         """Whether the placement is the one that the job counts on for its task."""
-        return job.placed.get(placement.index) == machine.name and runs_alone(machine, placement)
+        return job.assigned.get(placement.index) == machine.name and runs_alone(machine, placement)
 
     def _done(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
         current = self._is_current(machine, placement, job)
         if job.spec.gang:
             # They complete together: if one is done, all are. The others' machines may be lost with
             # their reports, and nothing is left that could run again.
-            job.finished.update(i for i in range(job.spec.tasks) if not job.is_done(i))
+            job.unstored.update(i for i in range(job.spec.tasks) if not job.is_completed(i))
         machine.failed_jobs.clear()
         job.failed_on.clear()
         job.failures = 0
         if current:
-            job.placed.pop(placement.index, None)
-        if job.is_done(placement.index):
+            job.assigned.pop(placement.index, None)
+        if job.is_completed(placement.index):
             placement.stored = True
         else:
-            job.finished.add(placement.index)
-            job.results.setdefault(placement.index, []).append(placement)
+            job.unstored.add(placement.index)
+            job.unstored_results.setdefault(placement.index, []).append(placement)
             self.results.store(now, job)
 
     def _ended_undone(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
         placement.stored = True
         if self._is_current(machine, placement, job):
-            job.release(placement.index)
+            job.requeue(placement.index)
         report_s = self.state.timing.report_s
         if placement.exit_cause == ExitCause.ERROR:
             self._failed(now, machine, job)
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -35,7 +35,11 @@
 
     def __init__(self, context: SchedulerContext, state: ShardState, commands: Commands) -> None:
         self.context, self.state, self.commands = context, state, commands
-        self.machines, self.where, self.tally = state.machines, state.where, state.tally
+        self.machines, self.machines_of_job, self.quota_usage = (
+            state.machines,
+            state.machines_of_job,
+            state.quota_usage,
+        )
         self.jobs = context.jobs
 
     def new_attempt(self, job: Job) -> int:
@@ -63,13 +67,13 @@
             sent_at=now,
         )
         machine.tasks[placement.key] = placement
-        self.where.setdefault(spec.id, set()).add(machine.name)
+        self.machines_of_job.setdefault(spec.id, set()).add(machine.name)
         machine.starts.append(placement)
         machine.idle_since = now
         machine.touch_image(spec.image, spec.image_gb)
-        self.tally.recount(machine)
-        job.placed[index] = machine.name
-        self.state.recent[spec.team].append((spec.cpus, spec.gpus, spec.memory_gb))
+        self.quota_usage.recount(machine)
+        job.assigned[index] = machine.name
+        self.state.recent_tasks[spec.team].append((spec.cpus, spec.gpus, spec.memory_gb))
 
     def remove(self, now: float, machine: Machine, placement: Placement) -> None:
         """A task is proven not to be on its machine."""
@@ -78,26 +82,32 @@
             machine.starts.remove(placement)
         job = self.jobs.jobs.get(placement.job_id)
         placed = (
-            placement.active and job is not None and job.placed.get(placement.index) == machine.name
+            placement.active
+            and job is not None
+            and job.assigned.get(placement.index) == machine.name
         )
         if placed and job is not None and runs_alone(machine, placement):
-            job.release(placement.index)
+            job.requeue(placement.index)
             if job.spec.gang:
-                if job.begun and placement.attempt == job.attempt and not job.ended():
+                if (
+                    job.gang_started
+                    and placement.attempt == job.attempt
+                    and not job.all_completed()
+                ):
                     # The others notice and exit; what they did since the last checkpoint is lost.
                     self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
-                job.settle_gang()
+                job.finish_attempt()
         self.state.dirty = True
-        self.tally.recount(machine)
+        self.quota_usage.recount(machine)
 
-    def session_over(self, now: float, machine: Machine) -> None:
+    def on_session_ended(self, now: float, machine: Machine) -> None:
         """A machine's session has ended, and with it all of its tasks."""
         for placement in list(machine.tasks.values()):
             self.remove(now, machine, placement)
         machine.starts.clear()
         machine.images.clear()
         if machine.draining:
-            self.state.give_back_if_empty(machine)
+            self.state.release_if_empty(machine)
 
     def stop(self, now: float, placement: Placement, reason: StopReason, save: bool = True) -> None:
         """Stop a task in order; of a gang that has begun all tasks, so that they save together.
@@ -105,7 +115,7 @@
         Unless `save`, it is ended at once, and only what its last checkpoint has is kept.
         """
         job = self.jobs.jobs.get(placement.job_id)
-        if job is None or not job.spec.gang or not job.begun or job.ending:
+        if job is None or not job.spec.gang or not job.gang_started or job.gang_ending:
             # A gang that hasn't begun waits for a replacement under the same attempt.
             grace = self._save_s(placement) if save else 0.0
             placement.stop_grace_s, placement.stop_reason = grace, reason
@@ -121,17 +131,17 @@
         Another begins only when every one of them is proven gone. `reported` is what the
         machine said of the task that ended it.
         """
-        if job.ending:
+        if job.gang_ending:
             return
-        job.ending = True
+        job.gang_ending = True
         self.context.out.log(
             LogLevel.INFO,
             LogEvent.GANG_ATTEMPT_STOPPED,
             job=job.spec.id,
             reason=reported or reason,
-            had_started=job.begun,
+            had_started=job.gang_started,
         )
-        for name in list(self.where.get(job.spec.id, ())):
+        for name in list(self.machines_of_job.get(job.spec.id, ())):
             machine = self.machines.get(name)
             if machine is None:
                 continue
@@ -147,11 +157,11 @@
                         0.0,
                     )
             self.commands.send(now, machine)
-        job.settle_gang()
+        job.finish_attempt()
 
     def stop_all(self, now: float, job: Job, reason: StopReason) -> None:
         """Take back a job's starts, and stop all that is or may be there."""
-        for name in list(self.where.get(job.spec.id, ())):
+        for name in list(self.machines_of_job.get(job.spec.id, ())):
             machine = self.machines.get(name)
             if machine is None:
                 continue
--- a/src/copperpass/core/scheduling/team_queues.py
+++ b/src/copperpass/core/scheduling/team_queues.py
@@ -36,7 +36,7 @@
         self.allocated = allocated
         # By team: CPUs and GPUs, and the number of placed tasks.
         self.used: dict[str, ResourceUsage] = demand.usage()
-        self.placed = {team.name: 0 for team in state.teams}
+        self.assigned = {team.name: 0 for team in state.teams}
         self.queues: dict[str, list[Job]] = {team.name: [] for team in state.teams}
         # The number of queued jobs at the beginning of the round.
         self.backlog = 0
@@ -51,8 +51,8 @@
         unreported_kinds = demand.unreported_kinds()
         for job in jobs:
             team = job.spec.team
-            self.placed[team] = self.placed.get(team, 0) + len(job.placed)
-            if job.waiting() > 0 and demand.is_startable(job, now, unreported_kinds):
+            self.assigned[team] = self.assigned.get(team, 0) + len(job.assigned)
+            if job.pending_count() > 0 and demand.is_startable(job, now, unreported_kinds):
                 self.queues.setdefault(team, []).append(job)
         self.backlog = sum(len(queue) for queue in self.queues.values())
         bonus_s = self.state.timing.boot_s / 2
@@ -60,7 +60,7 @@
             team: task_order(queue, slos, now, bonus_s) for team, queue in self.queues.items()
         }
         self.past_deadline_cpus = sum(
-            len(job.placed) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
+            len(job.assigned) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
         )
         for queue in self.queues.values():
             self._limit_past_deadline(queue)
@@ -75,7 +75,7 @@
     def _allocation_used(self, team: str) -> float:
         """How much of its allocation a team's tasks take."""
         allocated = self.allocated.get(team, 0.0)
-        placed = self.placed[team]
+        placed = self.assigned[team]
         return placed / allocated if allocated > 0 else float(placed) + NO_ALLOCATION
 
     def dequeue(self, job: Job) -> None:
@@ -86,7 +86,7 @@
         """Count started tasks against their team."""
         spec = job.spec
         self.used[spec.team] = self.used[spec.team].plus(tasks * spec.cpus, tasks * spec.gpus)
-        self.placed[spec.team] += tasks
+        self.assigned[spec.team] += tasks
 
     def count_past_deadline(self, job: Job) -> None:
         """Count a task that was started if its job is past its deadline."""
--- a/src/copperpass/core/shards/owned_shards.py
+++ b/src/copperpass/core/shards/owned_shards.py
@@ -21,7 +21,7 @@
     def begin_term(self) -> None:
         """The followed term has ended, and every ownership with it."""
         for scheduler in self.schedulers.values():
-            scheduler.over = True
+            scheduler.ended = True
         self.schedulers = {}
 
     def on_route(self, now: float, route: MachineRoute) -> None:
@@ -40,7 +40,7 @@
                 or assignment.member != self.member
                 or assignment.generation != scheduler.generation
             ):
-                scheduler.over = True
+                scheduler.ended = True
                 del self.schedulers[shard]
         for shard, assignment in current.items():
             if assignment.member != self.member:
@@ -67,6 +67,6 @@
                 and watch_revision >= assignment.required_revision
                 and applied_sequence >= assignment.required_sequence
             ):
-                scheduler.begin(now)
+                scheduler.on_watch_synced(now)
             scheduler.on_demand_excess = on_demand_excess
             scheduler.tick(now)
--- a/src/copperpass/core/storage/completion_segments.py
+++ b/src/copperpass/core/storage/completion_segments.py
@@ -53,21 +53,21 @@
         # A page that holds another cut's part of this job is left alone: its facts count.
         stored_keys = self.stored_keys.get(job_id, {})
         pages = self.pages_of[job_id] = []
-        for offset in range(0, len(job.done), step):
+        for offset in range(0, len(job.completed), step):
             key = stored_keys.get(offset) or (
                 self.free_keys.pop() if self.free_keys else self._new_key()
             )
             page = CompletionPage(key)
             page.jobs[job_id] = job
             page.byte_range = slice(offset, offset + step)
-            if any(job.done[page.byte_range]):
+            if any(job.completed[page.byte_range]):
                 page.changed_at = 0.0
             pages.append(page)
         return pages
 
     def touch(self, now: float, job: Job) -> None:
         """Tasks of a job have completed: the segments that they belong to have changed."""
-        changed = {index >> 3 for index in job.finished}
+        changed = {index >> 3 for index in job.unstored}
         for page in self.pages_of.get(job.spec.id, ()):
             part = page.byte_range or slice(0, 0)
             if page.changed_at is None and any(part.start <= byte < part.stop for byte in changed):
@@ -79,7 +79,7 @@
 
     def avoid_overwriting(self, page: CompletionPage) -> None:
         """Give a page another key if an earlier owner has stored another job's segment there."""
-        for entry in self.job_table.pages.get(page.key, ()):
+        for entry in self.job_table.completion_records.get(page.key, ()):
             job_id, offset = split_segment(entry)
             if job_id in self.job_table.jobs and job_id not in page.jobs:
                 self.stored_keys.setdefault(job_id, {})[offset] = page.key
@@ -95,4 +95,6 @@
         used = {key for keys in self.stored_keys.values() for key in keys.values()}
         used |= {page.key for page in self.pages()} | set(self.free_keys)
         keys = (f"{self.prefix}{number}" for number in itertools.count())
-        return next(key for key in keys if key not in used and key not in self.job_table.pages)
+        return next(
+            key for key in keys if key not in used and key not in self.job_table.completion_records
+        )
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from copperpass.core.jobs.job_table import Job, JobTable, pack_done, segment_key
+from copperpass.core.jobs.job_table import Job, JobTable, pack_mask, segment_key
 from copperpass.core.kvstore.keys import COMPLETIONS_PREFIX, FENCING_TOKEN_KEY
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
@@ -73,7 +73,7 @@
         """Take over the pages that are stored, and split those that are too large."""
         layout = self.layout
         duplicates: list[tuple[str, CompletionPage]] = []
-        for key, entries in sorted(self.job_table.pages.items()):
+        for key, entries in sorted(self.job_table.completion_records.items()):
             if not key.startswith(prefix):
                 continue
             if key.startswith(prefix + SEGMENT_MARK):
@@ -168,7 +168,7 @@
             self.segments.avoid_overwriting(page)
             return
         layout = self.layout
-        for job_id in self.job_table.pages.get(page.key, ()):
+        for job_id in self.job_table.completion_records.get(page.key, ()):
             job = self.job_table.jobs.get(job_id)
             if job is None or job_id in page.migrated_to or job_id in page.jobs:
                 continue
@@ -196,18 +196,18 @@
         part = page.byte_range
         if part is not None:
             return {
-                segment_key(job_id, part.start): pack_done(self._mask(page, job))
+                segment_key(job_id, part.start): pack_mask(self._mask(page, job))
                 for job_id, job in page.jobs.items()
             }
         return {
-            job_id: pack_done(self._mask(page, job))
+            job_id: pack_mask(self._mask(page, job))
             for job_id, job in page.jobs.items()
-            if job.done_count or job.finished
+            if job.completed_count or job.unstored
         }
 
     def _mask(self, page: CompletionPage, job: Job) -> bytearray:
         """What a page says of a job."""
-        mask = bytearray(job.done) if job.spec.id in page.arriving else job.mask()
+        mask = bytearray(job.completed) if job.spec.id in page.arriving else job.completion_mask()
         return mask if page.byte_range is None else mask[page.byte_range]
 
     def _made_certain(self, page: CompletionPage) -> list[JobCompletions]:
@@ -217,7 +217,7 @@
         for job_id, job in page.jobs.items():
             if job_id in page.arriving:
                 continue
-            indexes = set(job.finished)
+            indexes = set(job.unstored)
             if part is not None:
                 indexes = {index for index in indexes if part.start <= index >> 3 < part.stop}
             certain.append(JobCompletions(job, indexes))
@@ -226,4 +226,4 @@
     def _on_completions_stored(self, certain: list[JobCompletions]) -> None:
         for job, indexes in certain:
             if self.job_table.jobs.get(job.spec.id) is job:
-                job.stored(indexes)
+                job.on_completions_stored(indexes)
--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -17,21 +17,21 @@
         "submitted_at": "at",
         "final_state": "final",
         "done_tasks": "done",
-        "done_count": "count",
+        "completed_count": "count",
     },
 ):
     """The one record of a job: its spec while it is live, its final state afterwards.
 
     `submitted_at`: the time of day in seconds when it was submitted; 0 if that isn't known.
     `done_tasks`: the tasks that are done, as a bitmap in base64 without its trailing zeros.
-    `done_count`: how many were done when it reached its final state.
+    `completed_count`: how many were done when it reached its final state.
     """
 
     spec: JobSpec | None = None
     submitted_at: float = 0.0
     final_state: str = ""
     done_tasks: str = ""
-    done_count: int = 0
+    completed_count: int = 0
 
 
 def submitted_job_value(spec: JobSpec, submitted_at: float) -> dict[str, object]:
@@ -39,9 +39,9 @@
     return {"spec": msgspec.to_builtins(spec), "at": submitted_at}
 
 
-def completed_job_value(final_state: str, done_count: int) -> dict[str, object]:
+def completed_job_value(final_state: str, completed_count: int) -> dict[str, object]:
     """What is stored of a job when it reaches its final state."""
-    return {"final": final_state, "count": done_count}
+    return {"final": final_state, "count": completed_count}
 
 
 class LeaderRecord(msgspec.Struct):
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -40,6 +40,9 @@
     "Holder": {"has_authority": "entitled"},
 }
 
+# The same in a scheduler, for versions up to 0.5.0.
+FORMER_SCHEDULER_NAMES = {"quota_usage": "tally", "unreconciled": "unsettled"}
+
 
 def commit():
     """The commit that `deploy/service.toml` names."""
@@ -55,6 +58,11 @@
     return scheduler.shard if hasattr(scheduler, "shard") else scheduler.pool
 
 
+def scheduler_attribute(scheduler, name):
+    """An attribute of a scheduler of any version, by today's name."""
+    return getattr(scheduler, name if hasattr(scheduler, name) else FORMER_SCHEDULER_NAMES[name])
+
+
 class EarlierVersion:
     """Its modules, apart from ours."""
 
--- a/tests/scheduler_bench.py
+++ b/tests/scheduler_bench.py
@@ -40,17 +40,17 @@
             has_authority=lambda now: True,
             consistent_at=lambda: self.consistent_at,
         )
-        self.owner = ShardScheduler(context, revision=50, now=self.now)
+        self.scheduler = ShardScheduler(context, revision=50, now=self.now)
         self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
-        self.owner.on_route(self.now, self.entry)
-        self.owner.begin(self.now)
+        self.scheduler.on_route(self.now, self.entry)
+        self.scheduler.on_watch_synced(self.now)
         self.sequence = 0
         self.worker_heartbeat([], token=0)
         self.worker_heartbeat([])
 
     def take_over(self, name, **more):
         """Learn of a machine that an earlier commander may have used."""
-        self.owner.on_route(
+        self.scheduler.on_route(
             self.now,
             MachineRoute(
                 name,
@@ -64,14 +64,14 @@
                 **more,
             ),
         )
-        return self.owner.machines[name]
+        return self.scheduler.machines[name]
 
     def worker_heartbeat(self, tasks, token=None, agent_epoch=1, sequence=None):
         self.now += 1.0
         if sequence is None:
             self.sequence += 1
             sequence = self.sequence
-        return self.owner.worker_heartbeat(
+        return self.scheduler.worker_heartbeat(
             self.now, self.message(tasks, token, agent_epoch, sequence)
         )
 
@@ -100,11 +100,11 @@
 
     def add(self, number=1, tasks=1, version=70):
         record = json.dumps({"spec": job(number, tasks=tasks)}).encode()
-        self.jobs.saw(self.now, f"c/live/req-{number:06d}", record, version)
+        self.jobs.on_watch_event(self.now, f"c/live/req-{number:06d}", record, version)
 
     def start(self, tasks=1):
         self.add(tasks=tasks)
-        self.owner.dispatch_round(self.now)
+        self.scheduler.dispatch_round(self.now)
         (call,) = self.take("worker")
         orders = json.loads(call.body)["orders"]
         assert [o["verb"] for o in orders] == ["run"] * tasks
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -47,7 +47,9 @@
         if version is not None:
             self.nodes[name] = version.node(raw, seed, self.now)
         else:
-            self.nodes[name] = Node(settings_module.parse(raw), seed, self.now, day=1000.0)
+            self.nodes[name] = Node(
+                settings_module.parse(raw), seed, self.now, wall_clock_offset=1000.0
+            )
         self.tick(name, self.life[name])
 
     def crash(self, name, back_after=2.0):
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.scheduling.machines import UNIDENTIFIED
 from copperpass.protocol.users import JobState
-from tests.earlier_versions import shard_of
+from tests.earlier_versions import scheduler_attribute, shard_of
 from tests.simulation.faults import Faults
 
 
@@ -73,25 +73,25 @@
         """What owners keep up as they go must equal a count from the beginning."""
         assert self.task_index.matches(self.cloud.workers())
         for node in self.nodes.values():
-            for owner in node.schedulers:
-                for team in owner.by_team:
+            for scheduler in node.schedulers:
+                for team in scheduler.by_team:
                     active = [
                         p
-                        for m in owner.machines.values()
+                        for m in scheduler.machines.values()
                         for p in m.tasks.values()
                         if p.active and p.team == team
                     ]
                     counted = sum(p.cpus for p in active), sum(p.gpus for p in active)
-                    kept = owner.tally.of(team)
+                    kept = scheduler_attribute(scheduler, "quota_usage").of(team)
                     assert all(abs(a - b) < 1e-6 for a, b in zip(kept, counted, strict=True))
                 unidentified = {
                     m.name
-                    for m in owner.machines.values()
+                    for m in scheduler.machines.values()
                     for p in m.tasks.values()
                     if p.active and p.team == UNIDENTIFIED
                 }
-                assert owner.tally.unidentified == unidentified
-                assert owner.unsettled <= set(owner.machines)
+                assert scheduler_attribute(scheduler, "quota_usage").unidentified == unidentified
+                assert scheduler_attribute(scheduler, "unreconciled") <= set(scheduler.machines)
 
     def check_owners(self):
         """No shard has two members that may command its machines, whoever leads or has led."""
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from copperpass.core.jobs.job_table import JobTable, make_job, pack_done
+from copperpass.core.jobs.job_table import JobTable, make_job, pack_mask
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome
 from copperpass.core.storage.completions import CompletionContext, CompletionStore
@@ -29,7 +29,7 @@
 def watch_completions(harness, table, versions):
     for key, (value, version, _) in harness.state.data.items():
         if key.startswith("c/ends/"):
-            table.saw_completions(key, json.dumps(value).encode())
+            table.on_completions_event(key, json.dumps(value).encode())
             versions[key] = version
 
 
@@ -70,23 +70,23 @@
     """What a successor would know of each job's completed tasks."""
     table = live_jobs(harness, [j.spec.tasks for j in jobs.values()])
     watch_completions(harness, table, {})
-    return {i: {n for n in range(j.spec.tasks) if j.is_done(n)} for i, j in table.jobs.items()}
+    return {i: {n for n in range(j.spec.tasks) if j.is_completed(n)} for i, j in table.jobs.items()}
 
 
 def test_pages_that_are_too_large_are_split_and_no_completion_is_lost():
     harness = StorageHarness()
     harness.win()
     table = live_jobs(harness, [900] * 30)
-    harness.put("c/ends/0.0", {i: pack_done(bytearray(b"\xff" * 112)) for i in table.jobs})
+    harness.put("c/ends/0.0", {i: pack_mask(bytearray(b"\xff" * 112)) for i in table.jobs})
     store = make_store(harness, table)
     first = table.jobs["req-000001"]
     for some in table.jobs.values():
-        some.finished.add(899)
+        some.unstored.add(899)
         store.record(harness.now, some)
     run_store(harness, store)
     stored = stored_completions(harness, table.jobs)
     assert all(899 in ends and len(ends) == 897 for ends in stored.values())
-    assert not first.finished
+    assert not first.unstored
     pages = {k: v[0] for k, v in harness.state.data.items() if k.startswith("c/ends/")}
     assert max(len(json.dumps(v)) for v in pages.values()) <= 2048
     assert sorted(i for v in pages.values() for i in v) == sorted(table.jobs)
@@ -97,17 +97,17 @@
     harness.win()
     table = live_jobs(harness, [100_000, 40])
     big, small = table.jobs.values()
-    big.finished.update(range(0, 100_000, 7))
-    small.finished.add(3)
+    big.unstored.update(range(0, 100_000, 7))
+    small.unstored.add(3)
     store = make_store(harness, table)
     for some in table.jobs.values():
         store.record(harness.now, some)
     run_store(harness, store)
     # Until then it is stored as older versions do, which read it so.
-    assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.finished
+    assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.unstored
     harness.state.drop(**COMING)
     store = make_store(harness, table)
-    big.finished.add(99_999)
+    big.unstored.add(99_999)
     store.record(harness.now, big)
     run_store(harness, store, 6.0)
     expected = {*range(0, 100_000, 7), 99_999}
@@ -119,11 +119,11 @@
     store = make_store(harness, table)
     run_store(harness, store, 1.0)
     big, writes = table.jobs["req-000001"], harness.state.writes
-    big.finished.add(50_001)
+    big.unstored.add(50_001)
     store.record(harness.now, big)
     run_store(harness, store, 6.0)
     assert stored_completions(harness, table.jobs)[big.spec.id] == {*expected, 50_001}
-    assert harness.state.writes - writes <= len(pages) and not big.finished
+    assert harness.state.writes - writes <= len(pages) and not big.unstored
     # An older version takes no harm from the parts: it knows no such jobs, and keeps the pages.
     old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
     theirs = old.core.JobTable()
@@ -143,7 +143,7 @@
     earlier = make_store(harness, before)
     earlier.max_page_bytes = earlier.context.page_bytes
     first = before.jobs["req-000001"]
-    first.finished.update(range(0, 20_000, 3))
+    first.unstored.update(range(0, 20_000, 3))
     earlier.record(harness.now, first)
     earlier.tick(harness.now + 1.0)
     late, harness.out.calls = harness.out.calls, []
@@ -154,7 +154,7 @@
     owner = make_store(harness, table)
     owner.max_page_bytes = owner.context.page_bytes
     second = table.jobs["req-000002"]
-    second.finished.update(range(0, 40_000, 5))
+    second.unstored.update(range(0, 40_000, 5))
     owner.record(harness.now, second)
     refused = [harness.serve(call)[0] for call in late]
     watch_completions(harness, table, owner.context.versions)
@@ -169,7 +169,7 @@
     harness.win()
     table, refused = late_segments(harness, same_term=True)
     assert 200 in refused
-    seen = {i: {n for n in range(40_000) if j.is_done(n)} for i, j in table.jobs.items()}
+    seen = {i: {n for n in range(40_000) if j.is_completed(n)} for i, j in table.jobs.items()}
     assert seen["req-000001"] and len(seen["req-000002"]) == 8000
     assert stored_completions(harness, table.jobs) == seen
 
@@ -191,22 +191,22 @@
     table = live_jobs(harness, [40, 40])
     owner = make_store(harness, table)
     first, second = table.jobs.values()
-    first.finished.add(1)
+    first.unstored.add(1)
     owner.record(harness.now, first)
     run_store(harness, owner, 1.0)
     harness.put("c/ends/0.1", {first.spec.id: "IA=="})
     watch_completions(harness, table, owner.context.versions)
-    assert first.is_done(5)
+    assert first.is_completed(5)
     page = owner.layout.page("c/ends/0.1")
     owner.layout.put(second, page)
-    second.finished.add(2)
+    second.unstored.add(2)
     owner.record(harness.now, second)
     run_store(harness, owner, 3.0)
     assert stored_completions(harness, table.jobs) == {first.spec.id: {1, 5}, second.spec.id: {2}}
     # Nothing waits for anything any more: further completions are stored as ever.
-    first.finished.add(7)
+    first.unstored.add(7)
     owner.record(harness.now, first)
     run_store(harness, owner, 2.0)
     assert (
-        stored_completions(harness, table.jobs)[first.spec.id] == {1, 5, 7} and not first.finished
+        stored_completions(harness, table.jobs)[first.spec.id] == {1, 5, 7} and not first.unstored
     )
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -214,7 +214,7 @@
     node.user_api.poll(simulation.now, User(), "req-000001")
     (read,) = node.out.calls
     node.out.calls.clear()
-    node.user_api.note_removed("req-000001")
+    node.user_api.on_job_removed("req-000001")
     item = {"path": "c/live/req-000001", "value": {"spec": job(1)}, "stamp": 3}
     read.on_done(simulation.now, CallOutcome(200, json.dumps(item).encode()))
     assert not node.out.replies
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -83,12 +83,12 @@
     simulation.run_until(lambda: simulation.leader() is not None, 20)
     simulation.run(1.0)
     (known,) = simulation.nodes[simulation.leader()].jobs.jobs.values()
-    assert abs(known.arrived - at) < 2.0
+    assert abs(known.arrived_at - at) < 2.0
     # A record without the time, or a clock that runs ahead, makes a job new, never one of later.
     record = decode(json.dumps({"spec": job(2)}).encode(), JobRecord)
-    assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
+    assert make_job(record, 5, 50.0, 1000.0).arrived_at == 50.0
     record.submitted_at = 2000.0
-    assert make_job(record, 5, 50.0, 1000.0).arrived == 50.0
+    assert make_job(record, 5, 50.0, 1000.0).arrived_at == 50.0
 
 
 def test_tasks_outlive_a_state_outage_longer_than_their_lease():
@@ -156,7 +156,7 @@
     )
     simulation.run(3.0)
     assert (
-        not simulation.nodes[simulation.leader()].schedulers[0].unsettled
+        not simulation.nodes[simulation.leader()].schedulers[0].unreconciled
         and not simulation.violations
     )
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -238,10 +238,10 @@
 
     def holders():
         entitled = [
-            (owner.shard, name)
+            (scheduler.shard, name)
             for name, node in simulation.nodes.items()
-            for owner in node.schedulers
-            if owner.has_authority(simulation.now)
+            for scheduler in node.schedulers
+            if scheduler.has_authority(simulation.now)
         ]
         return dict(entitled)
 
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -28,7 +28,7 @@
     def __init__(self):
         super().__init__()
         record = json.dumps({"spec": gang(1, tasks=3, cpus=4.0)}).encode()
-        self.jobs.saw(self.now, "c/live/req-000001", record, 70)
+        self.jobs.on_watch_event(self.now, "c/live/req-000001", record, 70)
         self.shown = []
         self.attempt = self.starts()[0]
 
@@ -38,7 +38,7 @@
 
     def starts(self):
         """The attempts of the starts that a round sends, each answered."""
-        self.owner.dispatch_round(self.now)
+        self.scheduler.dispatch_round(self.now)
         found = []
         while calls := self.take("worker"):
             for call in calls:
@@ -70,8 +70,8 @@
 
 def test_the_bench_starts_a_gang_under_one_attempt():
     bench = GangBench()
-    assert len(bench.job.placed) == 3 and bench.job.attempt == bench.attempt
-    assert not bench.job.begun and bench.job.shown() == 0
+    assert len(bench.job.assigned) == 3 and bench.job.attempt == bench.attempt
+    assert not bench.job.gang_started and bench.job.displayed_running() == 0
 
 
 # Guards against words of a later protocol: a state is of a task that is there, a reason of one that
@@ -79,7 +79,7 @@
 def test_an_unknown_state_is_that_of_a_task_which_is_there():
     bench = GangBench()
     bench.tell("dreaming", "gathering", "gathering")
-    assert len(bench.job.placed) == 3 and not bench.job.begun and not bench.job.ending
+    assert len(bench.job.assigned) == 3 and not bench.job.gang_started and not bench.job.gang_ending
     assert bench.starts() == []
 
 
@@ -88,7 +88,7 @@
     bench = GangBench()
     bench.tell("running", "running", "running")
     bench.tell("running", f"!{exit_cause}", "running")
-    assert bench.job.ending and bench.starts() == []
+    assert bench.job.gang_ending and bench.starts() == []
     bench.tell("running", f"!{exit_cause}", "running")
     answer = bench.tell("running", f"!{exit_cause}", "!mates_gone")
     assert (CommandKind.STOP, "0") in bench.verbs(answer)
@@ -108,8 +108,8 @@
     old = bench.sequence
     bench.tell("running", "running", "running")
     answer = bench.tell(*words, sequence=old)
-    assert answer.commands == [] and bench.job.begun and not bench.job.ending
-    assert len(bench.job.placed) == 3 and bench.starts() == []
+    assert answer.commands == [] and bench.job.gang_started and not bench.job.gang_ending
+    assert len(bench.job.assigned) == 3 and bench.starts() == []
 
 
 @pytest.mark.parametrize("exit_cause", ["mates_gone", "alone"])
@@ -123,8 +123,8 @@
     there = [(f"req-000001/{i}", bench.attempt, "gathering", None) for i in range(3)]
     for tasks in (exits + there, there, exits + there):
         bench.worker_heartbeat(tasks)
-        assert bench.job.attempt == bench.attempt and not bench.job.ending
-        assert len(bench.job.placed) == 3 and bench.starts() == []
+        assert bench.job.attempt == bench.attempt and not bench.job.gang_ending
+        assert len(bench.job.assigned) == 3 and bench.starts() == []
 
 
 @pytest.mark.parametrize("after", [None, "!no_room", "!in_use", "!unknown", "!error"])
@@ -135,7 +135,7 @@
     bench.now += 3.0
     # Cleared, for the machine would ignore the start of what it still knows.
     bench.tell("gathering", None, "gathering")
-    assert not bench.job.ending and bench.starts() == [bench.attempt]
+    assert not bench.job.gang_ending and bench.starts() == [bench.attempt]
 
 
 # Guards against members of an attempt that is over which are seen only later: untold they would
@@ -147,7 +147,7 @@
     late = bench.take_over("m-2")
     heartbeat = bench.message([("req-000001/1", bench.attempt, "gathering", None)], late.base, 1, 1)
     heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
-    answer = bench.owner.worker_heartbeat(bench.now, heartbeat)
+    answer = bench.scheduler.worker_heartbeat(bench.now, heartbeat)
     assert bench.verbs(answer) == [(CommandKind.STOP, "1")]
 
 
@@ -157,7 +157,7 @@
     bench = GangBench()
     bench.tell("running", "gathering", "running")
     answer = bench.tell("running", after, "running")
-    assert bench.job.ending and bench.starts() == []
+    assert bench.job.gang_ending and bench.starts() == []
     assert {(CommandKind.STOP, "0"), (CommandKind.STOP, "2")} <= set(bench.verbs(answer))
 
 
@@ -170,15 +170,15 @@
         bench.now += 1.0
         heartbeat = bench.message(tasks, late.base, 1, sequence)
         heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
-        return bench.owner.worker_heartbeat(bench.now, heartbeat)
+        return bench.scheduler.worker_heartbeat(bench.now, heartbeat)
 
     older = ("req-000001/0", bench.attempt - 1, "gathering", None)
     answer = copy(1, older)
-    assert bench.verbs(answer) == [(CommandKind.STOP, "0")] and bench.job.ending
+    assert bench.verbs(answer) == [(CommandKind.STOP, "0")] and bench.job.gang_ending
     bench.tell("!halted", "!halted", "!halted")
     copy(2, older)
     bench.worker_heartbeat([])
-    assert not bench.job.placed and bench.starts() == []
+    assert not bench.job.assigned and bench.starts() == []
     copy(3)
     assert len(bench.starts()) == 3
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -45,35 +45,35 @@
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
     bench.now += 11.9
-    bench.owner.tick(bench.now)
+    bench.scheduler.tick(bench.now)
     for status, token, sequence in ((409, 1, 7), (200, machine.base, 8)):
         (probe,) = bench.take("worker")
         probe.on_done(bench.now, CallOutcome(status, heartbeat_body("m-9", [], token, 4, sequence)))
-        bench.owner.commands.probe(bench.now)
-    bench.owner.machines["m-1"].backoff_until = bench.now + 99.0
+        bench.scheduler.commands.probe(bench.now)
+    bench.scheduler.machines["m-1"].backoff_until = bench.now + 99.0
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
     call.on_done(bench.now, CallOutcome(200, heartbeat_body("m-9", tasks, machine.base, 4, 9)))
-    bench.owner.scan(taken + bench.owner.timing.lease_s + 0.1)
-    assert bench.job.placed == {0: "m-9"}
-    bench.owner.scan(bench.now + bench.owner.timing.lease_s + 0.1)
-    assert bench.job.placed == {}
+    bench.scheduler.scan(taken + bench.scheduler.timing.lease_s + 0.1)
+    assert bench.job.assigned == {0: "m-9"}
+    bench.scheduler.scan(bench.now + bench.scheduler.timing.lease_s + 0.1)
+    assert bench.job.assigned == {}
 
 
 def test_answers_to_commands_do_not_pass_for_reports():
     # Holds `full` in `_take`: a machine that only answers commands loses all it is given.
     bench = SchedulerBench()
-    machine = bench.owner.machines["m-1"]
+    machine = bench.scheduler.machines["m-1"]
     for second in range(1, 4):
         bench.now += 1.0
         bench.add(second)
-        bench.owner.heartbeats.take(
+        bench.scheduler.heartbeats.apply(
             bench.now, machine, bench.message([], sequence=bench.sequence + second), False
         )
-    assert not machine.usable(bench.now, bench.owner.timing.silence_s)
+    assert not machine.usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
-    bench.owner.worker_heartbeat(bench.now, bench.message([], sequence=1))
+    bench.scheduler.worker_heartbeat(bench.now, bench.message([], sequence=1))
     assert machine.last_answer_at == bench.now
 
 
@@ -85,25 +85,25 @@
     bench.worker_heartbeat(
         [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::turn]
     )
-    assert bench.job.placed == {0: "m-1"}
+    assert bench.job.assigned == {0: "m-1"}
     bench.worker_heartbeat([("req-000001/0", 6, "running", None)])
-    assert bench.job.placed == {0: "m-1"}
+    assert bench.job.assigned == {0: "m-1"}
     bench.worker_heartbeat([])
-    assert bench.job.placed == {}
+    assert bench.job.assigned == {}
 
 
 def test_ends_that_an_earlier_owner_stored_are_not_written_over():
-    # Holds the loop over `jobs.pages` in `CompletionStore._include_late`.
+    # Holds the loop over `jobs.completion_records` in `CompletionStore._include_late`.
     bench = SchedulerBench()
     bench.add(1, tasks=2)
     bench.add(2, tasks=2)
     key = "c/ends/0.0"
-    bench.jobs.saw_completions(key, b'{"req-000001":"AQ=="}')
-    bench.owner.completions.context.versions[key] = 66
-    bench.jobs.jobs["req-000002"].finished.add(1)
-    bench.owner.scan(bench.now)
-    bench.now += bench.owner.completions.context.interval_s
-    bench.owner.completions.tick(bench.now)
+    bench.jobs.on_completions_event(key, b'{"req-000001":"AQ=="}')
+    bench.scheduler.completions.context.versions[key] = 66
+    bench.jobs.jobs["req-000002"].unstored.add(1)
+    bench.scheduler.scan(bench.now)
+    bench.now += bench.scheduler.completions.context.interval_s
+    bench.scheduler.completions.tick(bench.now)
     (write,) = bench.take("state")
     body = json.loads(write.body)
     assert {"path": key, "stamp": 66} in body["guards"]
@@ -154,9 +154,9 @@
     # Holds `overlap_s`: the leader restarted at once, and that owner had not seen it.
     bench = SchedulerBench()
     bench.add(version=40)
-    bench.owner.timing.overlap_s = 1.5
+    bench.scheduler.timing.overlap_s = 1.5
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
-    bench.owner.scan(bench.now + 1.4 + bench.owner.timing.lease_s)
-    assert machine.name in bench.owner.unsettled
-    bench.owner.scan(bench.now + 1.6 + bench.owner.timing.lease_s)
-    assert machine.name not in bench.owner.unsettled
+    bench.scheduler.scan(bench.now + 1.4 + bench.scheduler.timing.lease_s)
+    assert machine.name in bench.scheduler.unreconciled
+    bench.scheduler.scan(bench.now + 1.6 + bench.scheduler.timing.lease_s)
+    assert machine.name not in bench.scheduler.unreconciled
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -129,7 +129,7 @@
                 chosen.used_cpus += each.spec.cpus
                 chosen.used_memory += each.spec.memory_gb
                 chosen.images[each.spec.image] = each.spec.image_gb
-                each.placed[index] = chosen.name
+                each.assigned[index] = chosen.name
                 log.append(chosen)
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -19,18 +19,18 @@
     def __init__(self, **more):
         super().__init__()
         self.submit(1, **{"tasks": 4, "run_s": 100.0, **PATIENT, **more})
-        self.owner.dispatch_round(self.now)
+        self.scheduler.dispatch_round(self.now)
         self.take("worker")
         self.run_all()
 
     def submit(self, number, **more):
         record = json.dumps({"spec": job(number, **more)}).encode()
-        self.jobs.saw(self.now, f"c/live/req-{number:06d}", record, 70 + number)
+        self.jobs.on_watch_event(self.now, f"c/live/req-{number:06d}", record, 70 + number)
 
     def run_all(self):
         """Report every task as running, and as halted those with a stop command."""
         statuses = []
-        for task in self.owner.machines["m-1"].tasks.values():
+        for task in self.scheduler.machines["m-1"].tasks.values():
             name = f"{task.job_id}/{task.index}"
             if task.active and task.stop_grace_s is None:
                 statuses.append((name, task.attempt, TaskState.RUNNING, None))
@@ -40,13 +40,13 @@
 
     def stopped(self):
         """The tasks with a stop command."""
-        tasks = self.owner.machines["m-1"].tasks.values()
+        tasks = self.scheduler.machines["m-1"].tasks.values()
         return sorted(
             f"{t.job_id}/{t.index}" for t in tasks if t.active and t.stop_grace_s is not None
         )
 
     def round(self):
-        self.owner.dispatch_round(self.now)
+        self.scheduler.dispatch_round(self.now)
         self.take("worker")
         return self.stopped()
 
@@ -99,7 +99,7 @@
 )
 def test_a_stopped_task_saves_only_what_is_worth_its_time(ran_s, slack_s, saves):
     bench = Crowded(**SAVES)
-    placement = next(iter(bench.owner.machines["m-1"].tasks.values()))
+    placement = next(iter(bench.scheduler.machines["m-1"].tasks.values()))
     spec = bench.jobs.jobs[placement.job_id].spec
     placement.running_at = 100.0
     assert worth_checkpointing(placement, spec, slack_s, 100.0 + ran_s) == saves
@@ -111,7 +111,7 @@
     bench.submit(2, tasks=1, **URGENT)
     bench.round()
     (stopped,) = [
-        t for t in bench.owner.machines["m-1"].tasks.values() if t.stop_grace_s is not None
+        t for t in bench.scheduler.machines["m-1"].tasks.values() if t.stop_grace_s is not None
     ]
     assert stopped.stop_grace_s == 0.0
 
@@ -119,7 +119,7 @@
 def test_what_a_stop_costs_counts_from_the_last_checkpoint():
     # Machines were compared without regard to checkpoints: tasks that save lost to ones that don't.
     bench = Crowded(tasks=1, **SAVES)
-    placement = next(iter(bench.owner.machines["m-1"].tasks.values()))
+    placement = next(iter(bench.scheduler.machines["m-1"].tasks.values()))
     spec = bench.jobs.jobs[placement.job_id].spec
     placement.running_at = 100.0
     costs = [preemption_cost(placement, spec, 100.0 + ran_s) for ran_s in (4.0, 9.0, 41.0)]
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -345,13 +345,13 @@
 def test_nothing_starts_on_a_machine_that_the_fleets_record_does_not_know_as_up():
     # The next leader would not know to ask it. Holds `recorded` in `Machine.usable`.
     bench = SchedulerBench()
-    machine = bench.owner.machines["m-1"]
+    machine = bench.scheduler.machines["m-1"]
     machine.recorded = False
     bench.add()
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     assert not bench.take("worker")
     machine.recorded = True
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     assert bench.take("worker")
 
 
@@ -362,10 +362,10 @@
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
     bench.worker_heartbeat([])
-    assert bench.job.placed == {0: "m-1"}, "it may yet be carried out"
+    assert bench.job.assigned == {0: "m-1"}, "it may yet be carried out"
     bench.worker_heartbeat([], token=0, agent_epoch=2, sequence=1)
-    assert bench.job.placed == {}
+    assert bench.job.assigned == {}
     bench.worker_heartbeat(
         [("req-000001/0", 99, "running", None)], agent_epoch=1, sequence=bench.sequence + 1
     )
-    assert bench.job.placed == {}, "an older session says nothing of the new one"
+    assert bench.job.assigned == {}, "an older session says nothing of the new one"
--- a/tests/test_shard_completions.py
+++ b/tests/test_shard_completions.py
@@ -28,7 +28,7 @@
     assert answer.commands == []
     bench.answer_state(0)
     assert bench.worker_heartbeat(ended).commands == [], "no answer: it may not be stored"
-    bench.owner.results.store(bench.now, bench.job)
+    bench.scheduler.results.store(bench.now, bench.job)
     bench.answer_state(200)
     answer = bench.worker_heartbeat(ended)
     assert answer.commands == [] and answer.token > bench.token
@@ -40,7 +40,7 @@
     bench = SchedulerBench()
     for number in (1, 2):
         bench.add(number, tasks=2)
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
@@ -48,16 +48,16 @@
         bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
-    bench.now += bench.owner.completions.context.interval_s
-    bench.owner.completions.tick(bench.now)
+    bench.now += bench.scheduler.completions.context.interval_s
+    bench.scheduler.completions.tick(bench.now)
     (write,) = bench.take("state")
     (put,) = json.loads(write.body)["writes"]
     assert put["put"].startswith("c/ends/") and set(put["value"]) == {"req-000001", "req-000002"}
     job = bench.jobs.jobs["req-000001"]
-    assert not any(p.stored for p in bench.owner.machines["m-1"].tasks.values())
+    assert not any(p.stored for p in bench.scheduler.machines["m-1"].tasks.values())
     write.on_done(bench.now, CallOutcome(200, b'{"issue":90}'))
-    assert job.is_done(0) and job.waiting() == 0
-    assert sum(p.stored for p in bench.owner.machines["m-1"].tasks.values()) == 2
+    assert job.is_completed(0) and job.pending_count() == 0
+    assert sum(p.stored for p in bench.scheduler.machines["m-1"].tasks.values()) == 2
 
 
 def test_an_applied_write_without_an_answer_is_learned_from_the_watch():
@@ -67,21 +67,21 @@
     call.on_done(
         bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
     )
-    bench.owner.completions.tick(bench.now + 5)
+    bench.scheduler.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
     put = json.loads(write.body)["writes"][0]
     write.on_done(bench.now, CallOutcome(0))
-    bench.jobs.saw_completions(put["put"], json.dumps(put["value"]).encode())
-    assert bench.job.is_done(0) and not bench.job.finished and not bench.job.results
+    bench.jobs.on_completions_event(put["put"], json.dumps(put["value"]).encode())
+    assert bench.job.is_completed(0) and not bench.job.unstored and not bench.job.unstored_results
 
 
 def test_a_job_whose_ends_were_all_stored_by_an_earlier_authority_still_ends():
     # The record of ends was written with the last end in it, and then that leader was gone.
     bench = SchedulerBench()
     bench.add(tasks=2)
-    bench.jobs.saw_completions("c/ends/0", b'{"req-000001":"Aw=="}')
-    assert bench.job.done_count == 2
-    bench.owner.scan(bench.now)
+    bench.jobs.on_completions_event("c/ends/0", b'{"req-000001":"Aw=="}')
+    assert bench.job.completed_count == 2
+    bench.scheduler.scan(bench.now)
     (write,) = bench.take("state")
     assert [w.get("put") for w in json.loads(write.body)["writes"]] == [None, "d/job/req-000001"]
 
@@ -93,19 +93,19 @@
     bench.add(tasks=2)
     # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
     bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
-    assert bench.job.placed == {0: "m-1"}
-    bench.jobs.saw_completions("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
-    assert bench.job.is_done(0) and 0 in bench.job.placed
-    assert bench.job.waiting() == 1
-    bench.owner.dispatch_round(bench.now)
+    assert bench.job.assigned == {0: "m-1"}
+    bench.jobs.on_completions_event("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
+    assert bench.job.is_completed(0) and 0 in bench.job.assigned
+    assert bench.job.pending_count() == 1
+    bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert [(o["verb"], o["page"]) for o in json.loads(call.body)["orders"]] == [
         ("run", "req-000001/1")
     ]
     # The same with an end that is reported and not stored, and with one that is stored by us.
-    bench.job.finished.add(1)
-    assert bench.job.waiting() == 0 and bench.job.ended()
-    bench.job.stored([1])
-    assert bench.job.waiting() == 0 and bench.job.placed == {0: "m-1", 1: "m-1"}
+    bench.job.unstored.add(1)
+    assert bench.job.pending_count() == 0 and bench.job.all_completed()
+    bench.job.on_completions_stored([1])
+    assert bench.job.pending_count() == 0 and bench.job.assigned == {0: "m-1", 1: "m-1"}
     bench.worker_heartbeat([("req-000001/0", 5, "exited", ExitCause.DONE)])
-    assert bench.job.waiting() == 0 and 0 not in bench.job.placed
+    assert bench.job.pending_count() == 0 and 0 not in bench.job.assigned
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -20,11 +20,11 @@
     call, _ = bench.start()
     call.on_done(bench.now, CallOutcome(0))
     answer = bench.worker_heartbeat([])
-    assert bench.job.placed == {0: "m-1"}, "an old token's report proves nothing"
+    assert bench.job.assigned == {0: "m-1"}, "an old token's report proves nothing"
     assert answer.token > bench.token
     bench.token = answer.token
     bench.worker_heartbeat([])
-    assert bench.job.placed == {} and bench.job.peek() == 0
+    assert bench.job.assigned == {} and bench.job.next_task() == 0
 
 
 def test_a_refused_start_is_free_at_once():
@@ -33,24 +33,24 @@
     call.on_done(
         bench.now, CallOutcome(409, encode(bench.message([], sequence=bench.sequence + 1)))
     )
-    assert bench.job.placed == {}
+    assert bench.job.assigned == {}
 
 
 def test_a_start_sent_with_an_answer_is_judged_by_the_next_report_only():
     bench = SchedulerBench()
     bench.add()
-    machine = bench.owner.machines["m-1"]
+    machine = bench.scheduler.machines["m-1"]
     machine.command_backoff_until = bench.now + 100
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     assert bench.take("worker") == []
     answer = bench.worker_heartbeat([])
     assert [c.kind for c in answer.commands] == [CommandKind.START]
     direct = bench.message([], sequence=bench.sequence + 1)
-    bench.owner.heartbeats.take(bench.now, machine, direct, False)
-    assert bench.job.placed == {0: "m-1"}, "an answer of /do may be older than the start"
+    bench.scheduler.heartbeats.apply(bench.now, machine, direct, False)
+    assert bench.job.assigned == {0: "m-1"}, "an answer of /do may be older than the start"
     bench.sequence += 1
     bench.worker_heartbeat([])
-    assert bench.job.placed == {}
+    assert bench.job.assigned == {}
 
 
 def test_an_old_report_changes_nothing():
@@ -58,7 +58,7 @@
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     late = bench.worker_heartbeat([], sequence=1)
-    assert late.commands == [] and bench.job.placed == {0: "m-1"}
+    assert late.commands == [] and bench.job.assigned == {0: "m-1"}
 
 
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
@@ -69,9 +69,9 @@
         bench.now, CallOutcome(200, encode(bench.message(running, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
-    gone, over = bench.jobs.saw(bench.now, "c/live/req-000001", None, 80)
+    gone, over = bench.jobs.on_watch_event(bench.now, "c/live/req-000001", None, 80)
     assert over
-    bench.owner.job_ended(bench.now, gone)
+    bench.scheduler.on_job_completed(bench.now, gone)
     (kill,) = bench.take("worker")
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.on_done(bench.now, CallOutcome(0))
@@ -83,12 +83,12 @@
     bench = SchedulerBench()
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
-    bench.owner.machines["m-1"].deletion_requested = True
-    bench.owner.scan(bench.now)
-    assert bench.job.placed == {0: "m-1"}
-    assert [s.deletion_requested for s in bench.owner.statuses(bench.now)] == [True]
-    bench.owner.on_route(bench.now, dataclasses.replace(bench.entry, deleted=True))
-    assert bench.job.placed == {} and "m-1" not in bench.owner.machines
+    bench.scheduler.machines["m-1"].deletion_requested = True
+    bench.scheduler.scan(bench.now)
+    assert bench.job.assigned == {0: "m-1"}
+    assert [s.deletion_requested for s in bench.scheduler.statuses(bench.now)] == [True]
+    bench.scheduler.on_route(bench.now, dataclasses.replace(bench.entry, deleted=True))
+    assert bench.job.assigned == {} and "m-1" not in bench.scheduler.machines
 
 
 def test_work_of_the_lease_ends_with_the_lease_not_before():
@@ -96,18 +96,20 @@
     _, attempt = bench.start()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     at = bench.now
-    bench.owner.scan(at + 11.9)
-    assert bench.job.placed == {0: "m-1"}
-    bench.owner.scan(at + 12.2)
-    assert bench.job.placed == {}
+    bench.scheduler.scan(at + 11.9)
+    assert bench.job.assigned == {0: "m-1"}
+    bench.scheduler.scan(at + 12.2)
+    assert bench.job.assigned == {}
 
 
 def test_work_without_an_aim_asks_for_machines_before_its_wait_is_over():
     # Never due, it counted on room that others keep taking: less than half of a class was served.
     bench = SchedulerBench()
     running = job(1, tasks=4, slot="none", run_s=100.0)
-    bench.jobs.saw(bench.now, "c/live/req-000001", json.dumps({"spec": running}).encode(), 70)
-    bench.owner.dispatch_round(bench.now)
+    bench.jobs.on_watch_event(
+        bench.now, "c/live/req-000001", json.dumps({"spec": running}).encode(), 70
+    )
+    bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
     call.on_done(
@@ -115,47 +117,51 @@
     )
     bench.sequence += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
-    bench.jobs.saw(bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71)
-    assert bench.owner.capacity_requests(bench.now) == [], (
+    bench.jobs.on_watch_event(
+        bench.now, "c/live/req-000002", json.dumps({"spec": waiting}).encode(), 71
+    )
+    assert bench.scheduler.capacity_requests(bench.now) == [], (
         "the room that ends before its wait does is enough"
     )
     later = bench.now + 100.0
-    bench.owner.machines["m-1"].last_heartbeat_at = later
-    ((name, count, left),) = bench.owner.capacity_requests(later)
+    bench.scheduler.machines["m-1"].last_heartbeat_at = later
+    ((name, count, left),) = bench.scheduler.capacity_requests(later)
     assert (name, count) == ("req-000002", 4) and 0 < left < 30
 
 
 def fleet_of(bench, zones):
     for number, zone in enumerate(zones):
-        machine = Machine(f"m-{number:03d}", bench.owner.context.types["box"], zone, True)
+        machine = Machine(f"m-{number:03d}", bench.scheduler.context.types["box"], zone, True)
         machine.up = machine.settled = True
         machine.up_at = bench.now
         machine.last_heartbeat_at = machine.last_answer_at = bench.now
-        bench.owner.machines[machine.name] = machine
-    return list(bench.owner.machines.values())[1:]
+        bench.scheduler.machines[machine.name] = machine
+    return list(bench.scheduler.machines.values())[1:]
 
 
 def test_a_zone_that_falls_silent_is_not_deleted_while_a_few_lost_machines_are():
     # A zone's machines were deleted early in a cut and rented anew where nobody hears them.
     bench = SchedulerBench()
     machines = fleet_of(bench, "aaaabbbbcccc")
-    owner, at = bench.owner, bench.now
-    bench.now = at + owner.timing.lost_s + 0.1
+    scheduler, at = bench.scheduler, bench.now
+    bench.now = at + scheduler.timing.unreachable_timeout_s + 0.1
     lost = machines[5]
     for machine in machines:
         if machine.zone != "a" and machine is not lost:
             machine.last_heartbeat_at = machine.last_answer_at = bench.now
-    owner.scan(bench.now)
+    scheduler.scan(bench.now)
     assert not any(m.deletion_requested for m in machines)
     # Once the zone speaks again, what stays silent alone goes.
     for machine in machines[:4]:
         machine.last_heartbeat_at = machine.last_answer_at = bench.now
-    owner.scan(bench.now)
+    scheduler.scan(bench.now)
     assert [m.name for m in machines if m.deletion_requested] == [lost.name]
     # A zone that stays silent for several leases is given up all the same.
     for machine in machines[4:]:
-        machine.last_heartbeat_at = machine.last_answer_at = bench.now + 5 * owner.timing.lease_s
-    owner.scan(bench.now + 5 * owner.timing.lease_s)
+        machine.last_heartbeat_at = machine.last_answer_at = (
+            bench.now + 5 * scheduler.timing.lease_s
+        )
+    scheduler.scan(bench.now + 5 * scheduler.timing.lease_s)
     assert all(m.deletion_requested for m in machines[:4])
 
 
@@ -165,10 +171,10 @@
     young = json.dumps({"spec": job(1, tasks=2)}).encode()
     old = json.dumps({"spec": job(2, tasks=2), "done": "AQ=="}).encode()
     for number, record in ((1, young), (2, old)):
-        bench.jobs.saw(bench.now, f"c/live/req-{number:06d}", record, 90)
+        bench.jobs.on_watch_event(bench.now, f"c/live/req-{number:06d}", record, 90)
     jobs = bench.jobs.jobs
-    assert bench.owner.demand.is_startable(jobs["req-000001"], bench.now)
-    assert not bench.owner.demand.is_startable(jobs["req-000002"], bench.now)
+    assert bench.scheduler.demand.is_startable(jobs["req-000001"], bench.now)
+    assert not bench.scheduler.demand.is_startable(jobs["req-000002"], bench.now)
 
 
 def test_what_is_unseen_holds_up_only_jobs_that_may_be_there():
@@ -176,9 +182,9 @@
     bench.take_over("m-9")
     for number, zone in ((1, None), (2, "b"), (3, "a")):
         record = json.dumps({"spec": job(number, hall=zone)}).encode()
-        bench.jobs.saw(bench.now, f"c/live/req-{number:06d}", record, 40)
+        bench.jobs.on_watch_event(bench.now, f"c/live/req-{number:06d}", record, 40)
     is_startable = {
-        i: bench.owner.demand.is_startable(j, bench.now) for i, j in bench.jobs.jobs.items()
+        i: bench.scheduler.demand.is_startable(j, bench.now) for i, j in bench.jobs.jobs.items()
     }
     assert is_startable == {"req-000001": False, "req-000002": True, "req-000003": False}
 
@@ -187,7 +193,7 @@
     bench = SchedulerBench()
     bench.add(version=40)
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
-    bench.owner.tick(bench.now)
+    bench.scheduler.tick(bench.now)
     (probe,) = bench.take("worker")
     sent = json.loads(probe.body)
     assert (probe.address, sent["shift"], sent["orders"]) == ("10.0.0.8:1", 3, [])
@@ -202,12 +208,12 @@
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
     probe.on_done(bench.now, CallOutcome(409, answer(4, 1, 7)))
-    assert not machine.settled and bench.owner.unsettled == {"m-9"}
-    bench.owner.tick(bench.now)
+    assert not machine.settled and bench.scheduler.unreconciled == {"m-9"}
+    bench.scheduler.tick(bench.now)
     (probe,) = bench.take("worker")
     assert json.loads(probe.body)["shift"] == 4
     probe.on_done(bench.now, CallOutcome(200, answer(4, machine.base, 8)))
-    assert machine.settled and not bench.owner.unsettled and bench.job.placed == {0: "m-9"}
+    assert machine.settled and not bench.scheduler.unreconciled and bench.job.assigned == {0: "m-9"}
 
 
 def test_an_unanswered_probe_proves_nothing_and_is_sent_again_later():
@@ -215,14 +221,14 @@
     bench.add(version=40)
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     for _ in range(3):
-        bench.owner.tick(bench.now)
+        bench.scheduler.tick(bench.now)
         (probe,) = bench.take("worker")
         probe.on_done(bench.now, CallOutcome(0))
-        bench.owner.tick(bench.now)
+        bench.scheduler.tick(bench.now)
         assert not bench.take("worker")
-        assert not bench.owner.demand.is_startable(bench.job, bench.now)
-        bench.now += bench.owner.timing.report_s
-    assert machine.name in bench.owner.unsettled and not machine.settled
+        assert not bench.scheduler.demand.is_startable(bench.job, bench.now)
+        bench.now += bench.scheduler.timing.report_s
+    assert machine.name in bench.scheduler.unreconciled and not machine.settled
 
 
 def test_a_higher_authority_is_not_talked_over():
@@ -241,14 +247,14 @@
     bench.sequence += 1
     bench.now += 60.0
     bench.worker_heartbeat(ended)
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     (again,) = bench.take("worker")
     assert json.loads(again.body)["orders"][0]["take"] > attempt
 
 
 def test_an_owner_that_has_not_begun_does_not_keep_alive_what_may_be_cancelled():
     bench = SchedulerBench()
-    bench.owner.state.ready = False
+    bench.scheduler.state.ready = False
     task = [("req-000009/0", 7, "running", None)]
     bench.consistent_at = bench.now
     assert bench.worker_heartbeat(task) is not None, "a moment's lag is no reason to lose a task"
@@ -262,17 +268,17 @@
 
 def test_a_job_left_out_for_long_gets_room_that_is_kept_for_others():
     bench = SchedulerBench()
-    machine = bench.owner.machines["m-1"]
+    machine = bench.scheduler.machines["m-1"]
     bench.add(tasks=3)
     machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another"
     for _ in range(80):
         bench.worker_heartbeat([])
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     assert not bench.take("worker"), "the rest of the room is still held"
 
 
@@ -280,20 +286,20 @@
     # Its first task had ended, so it didn't count as left out, and waited beside idle machines
     # that were kept for others until they were given back.
     bench = SchedulerBench()
-    machine = bench.owner.machines["m-1"]
+    machine = bench.scheduler.machines["m-1"]
     bench.add(tasks=3)
-    bench.job.mark_done(0)
-    bench.job.arrived = bench.now - 500.0
+    bench.job.mark_completed(0)
+    bench.job.arrived_at = bench.now - 500.0
     machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
-    bench.job.placed[1] = "m-1"
-    bench.owner.dispatch_round(bench.now)
-    bench.job.placed.clear()
+    bench.job.assigned[1] = "m-1"
+    bench.scheduler.dispatch_round(bench.now)
+    bench.job.assigned.clear()
     for _ in range(70):
         bench.worker_heartbeat([])
-        bench.owner.dispatch_round(bench.now)
+        bench.scheduler.dispatch_round(bench.now)
     assert not bench.take("worker"), "held for another, and it had a place not long ago"
     for _ in range(10):
         bench.worker_heartbeat([])
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -109,8 +109,8 @@
     node = simulation.nodes["n0"]
     for number in range(10_000):
         node.jobs.mark_cancelled(f"req-{number:06d}")
-        node.user_api.note_removed(f"req-{number:06d}")
-    assert "req-000000" in node.jobs.off and "req-000000" in node.user_api.removed
+        node.user_api.on_job_removed(f"req-{number:06d}")
+    assert "req-000000" in node.jobs.cancelled and "req-000000" in node.user_api.removed_jobs
 
 
 def test_a_plan_requests_more_machines_where_the_cloud_takes_more_calls():
@@ -160,12 +160,12 @@
     bench = SchedulerBench()
     for number in range(2, machines + 1):
         name = f"m-{number}"
-        bench.owner.on_route(
+        bench.scheduler.on_route(
             bench.now, MachineRoute(name, "box", "a", True, 0, bench.token, recorded=True)
         )
-        bench.owner.machines[name].settled = True
+        bench.scheduler.machines[name].settled = True
     bench.add(1, tasks=2)
-    bench.owner.dispatch_round(bench.now)
+    bench.scheduler.dispatch_round(bench.now)
     for _ in range(3):
         bench.worker_heartbeat([])
     lines = 0
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -239,9 +239,9 @@
     # A page of ends is a map of text: whatever another version calls its entries, the others count.
     table = JobTable()
     spec = json.loads(GANG_SPEC)
-    table.saw(0.0, "c/live/req-000001", json.dumps({"spec": spec}).encode(), 5)
-    table.saw_completions("c/ends/0.0", b'{"later:x:y":"?","req-000001":"Bg=="}')
-    assert table.jobs["req-000001"].done_count == 2
+    table.on_watch_event(0.0, "c/live/req-000001", json.dumps({"spec": spec}).encode(), 5)
+    table.on_completions_event("c/ends/0.0", b'{"later:x:y":"?","req-000001":"Bg=="}')
+    assert table.jobs["req-000001"].completed_count == 2
 
 
 def test_a_member_of_a_later_version_counts_as_proven():
