--- /dev/null
+++ b/src/copperpass/core/api/responses.py
@@ -0,0 +1,56 @@
+"""Answers to users: the state of a job, a refusal, or a request to try again."""
+
+from __future__ import annotations
+
+from copperpass.core.api.context import ApiContext
+from copperpass.core.api.validation import UNAVAILABLE, Rejection
+from copperpass.core.ports import Reply
+from copperpass.protocol.json_codec import encode, error_body
+from copperpass.protocol.records import JobRecord
+from copperpass.protocol.users import JobAnswer, JobState
+
+# Seconds after which a user should repeat a request that could not be decided.
+RETRY_AFTER_S = 1
+
+
+class Responder:
+    """Puts answers into the outbox; each request gets exactly one."""
+
+    def __init__(self, context: ApiContext) -> None:
+        self.out, self.task_counts = context.out, context.task_counts
+
+    def created(self, request: object, job_id: str) -> None:
+        """A submission is stored."""
+        self._reply(request, 201, encode(JobAnswer(job_id, JobState.QUEUED)))
+
+    def job_state(self, request: object, job_id: str, record: JobRecord | None) -> None:
+        """The state of a job by its record, or that there is none."""
+        if record is None:
+            self.not_found(request)
+            return
+        if record.final_state:
+            answer = JobAnswer(job_id, record.final_state, record.completed_count, 0)
+        else:
+            completed, running = self.task_counts(job_id)
+            state = JobState.RUNNING if running else JobState.QUEUED
+            answer = JobAnswer(job_id, state, completed, running)
+        self._reply(request, 200, encode(answer))
+
+    def not_found(self, request: object) -> None:
+        """No job has the id."""
+        self._reply(request, 404, error_body("no such job"))
+
+    def rejected(self, request: object, rejection: Rejection) -> None:
+        """A submission is refused."""
+        if rejection.status == UNAVAILABLE:
+            self.unavailable(request, rejection.reason)
+        else:
+            self._reply(request, rejection.status, error_body(rejection.reason))
+
+    def unavailable(self, request: object, reason: str) -> None:
+        """The request can't be decided now."""
+        reply = Reply(request, UNAVAILABLE, error_body(reason), RETRY_AFTER_S)
+        self.out.replies.append(reply)
+
+    def _reply(self, request: object, status: int, body: bytes) -> None:
+        self.out.replies.append(Reply(request, status, body))
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -4,6 +4,7 @@
 
 import random
 
+from copperpass.core.api.context import ApiContext
 from copperpass.core.api.user_api import UserApi
 from copperpass.core.autoscaling.cluster_manager import ClusterManager, ClusterManagerContext
 from copperpass.core.autoscaling.machine_groups import longest_boot
@@ -35,6 +36,9 @@
 from copperpass.settings import Settings
 from copperpass.tuning import Tuning
 
+# Users' requests are answered within this time, or refused for now, in seconds.
+API_READ_TIMEOUT_S = 1.6
+
 
 class Node:
     """The state machine that the reactor side feeds and drains.
@@ -79,7 +83,6 @@
         self.jobs = JobTable(wall_clock_offset=wall_clock_offset, max_cancelled=max_cancelled)
         self.cached_inventory = CachedInventory()
         self.completion_versions: dict[str, int] = {}
-        self.user_api = UserApi(self.cluster, self.out, self.transactions, 1.6, wall_clock_offset)
 
     def _wire_election(self, now: float) -> None:
         """The election and what is known of the other members."""
@@ -143,9 +146,18 @@
         self.cancellations = CancellationBroadcast(
             self.jobs, self.grant_client, self.version_registry, self.out
         )
-        self.user_api.types = self.machine_types.types
-        self.user_api.task_counts = self.running_counts.counts_of
-        self.user_api.on_cancelled = self.cancellations.announce
+        self.user_api = UserApi(
+            ApiContext(
+                cluster=self.cluster,
+                out=self.out,
+                transactions=self.transactions,
+                read_timeout_s=API_READ_TIMEOUT_S,
+                wall_clock_offset=self.jobs.wall_clock_offset,
+                types=self.machine_types.types,
+                task_counts=self.running_counts.counts_of,
+                on_job_cancelled=self.cancellations.announce,
+            )
+        )
 
     def _wire_routers(self) -> None:
         """Where inputs go."""
