--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -34,7 +34,7 @@
 from tests.simulation import Simulation
 from tests.storage_harness import StorageHarness
 from tests.test_machine_inventory import fill
-from tests.test_order import made
+from tests.test_task_placement import made
 
 MACHINES = 4200
 
--- a/tests/test_order.py
+++ b/tests/test_task_placement.py
@@ -1,4 +1,4 @@
-"""Who starts next and where: bounded waits, and room for the largest."""
+"""Task order, reserved types and the ranking of machines: waits are bounded, the largest fit."""
 
 import json
 import random
@@ -17,7 +17,10 @@
 from tests.deployments import TYPE, machine_types
 from tests.request_bodies import job
 
-AIMS = [Objective("wait", "quick", within_s=4.0), Objective("finished", "slow", within_s=100.0)]
+OBJECTIVES = [
+    Objective("wait", "quick", within_s=4.0),
+    Objective("finished", "slow", within_s=100.0),
+]
 
 
 def made(number, arrived, **more):
@@ -25,9 +28,9 @@
     return make_job(decode(body, JobRecord), number, arrived)
 
 
-def start_of_the_old_job(patience_s):
-    """One job's aims have passed; five fresh ones come each second and one starts."""
-    slos = ServiceLevelObjectives(AIMS, patience_s)
+def start_of_the_old_job(max_wait_s):
+    """One job's targets have passed; five new ones come each second and one starts."""
+    slos = ServiceLevelObjectives(OBJECTIVES, max_wait_s)
     waiting = [made(1, 0.0, slot="slow", run_s=30.0, urgency="normal")]
     number = 1
     for second in range(100, 400):
@@ -76,8 +79,8 @@
 
 
 def test_overdue_work_gets_a_part_of_the_room_and_no_more():
-    # Work without aims, overdue first, took all room from work whose one aim was far off.
-    slos = ServiceLevelObjectives(AIMS, 120.0)
+    # Work without targets, past its deadline, took all capacity from work whose target was far off.
+    slos = ServiceLevelObjectives(OBJECTIVES, 120.0)
     old, new = made(1, 0.0, slot="none"), made(2, 190.0, slot="slow")
     queue = task_order([new, old], slos, 200.0)
     assert queue == [old, new]
@@ -91,7 +94,7 @@
 
 
 def test_a_round_takes_the_machine_that_a_look_at_all_of_them_would_take():
-    # Machines are judged once a round and again where something was started: same choices, by seed.
+    # Machines are scored once a round and again where something was started: same choices, by seed.
     rng = random.Random(7)
     offer = types(("small", 8.0), ("large", 32.0))
     for _ in range(40):
