--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from copperpass.core.autoscaling.state import ManagedMachine, Shard
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling import allocation
 from copperpass.settings import Cluster
 
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -23,7 +23,7 @@
     ManagedMachine,
     Shard,
 )
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.prices import hourly_price
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import NO_SHARD
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -10,7 +10,8 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup, longest_boot
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.election.timings import GRANT_TTL_RATIO, worker_lease_expiry_s
-from copperpass.core.jobs.job_table import Job, JobTable
+from copperpass.core.jobs.job import Job
+from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.replication import (
--- a/src/copperpass/core/autoscaling/urgency.py
+++ b/src/copperpass/core/autoscaling/urgency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
 
 
--- a/src/copperpass/core/node/watch_router.py
+++ b/src/copperpass/core/node/watch_router.py
@@ -68,12 +68,12 @@
 
     def _on_live_job(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         targets = self.targets
-        job, completed = targets.jobs.on_watch_event(now, key, raw, version)
+        change = targets.jobs.on_watch_event(now, key, raw, version)
         if raw is None:
             targets.user_api.on_job_removed(key[len(LIVE_JOBS_PREFIX) :])
         for scheduler in list(targets.grant_client.schedulers.values()):
-            if completed and job is not None:
-                scheduler.on_job_completed(now, job)
+            if change.removed and change.job is not None:
+                scheduler.on_job_completed(now, change.job)
             scheduler.dirty = True
 
     def _on_completions(self, now: float, key: str, raw: bytes | None, version: int) -> None:
--- a/src/copperpass/core/scheduling/bin_packing/feasibility.py
+++ b/src/copperpass/core/scheduling/bin_packing/feasibility.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 
--- a/src/copperpass/core/scheduling/bin_packing/gang_placement.py
+++ b/src/copperpass/core/scheduling/bin_packing/gang_placement.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import (
     slots_in,
     tasks_by_zone,
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping, Set
 from dataclasses import dataclass, field
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import satisfies_constraints, zone_feasible
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.prices import hourly_price
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from copperpass.core.jobs.job_table import task_id
+from copperpass.core.jobs.task_ids import task_id
 from copperpass.core.ports import Call, CallOutcome
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -9,7 +9,7 @@
     without_exhausted,
 )
 from copperpass.core.autoscaling.free_capacity import free_capacities
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling import allocation
 from copperpass.core.scheduling.bin_packing.feasibility import (
     CAPACITY_TOLERANCE,
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within
 from copperpass.core.scheduling.bin_packing.ranking import Ranking
 from copperpass.core.scheduling.gang_placer import GangPlacer
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling import allocation
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.demand import Demand
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.machines import Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.gang_placement import plan_gang
 from copperpass.core.scheduling.bin_packing.ranking import Ranking
 from copperpass.core.scheduling.machines import Machine, StopReason
--- a/src/copperpass/core/scheduling/guarantees.py
+++ b/src/copperpass/core/scheduling/guarantees.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within
 
 
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job, parse_task
+from copperpass.core.jobs.job import Job
+from copperpass.core.jobs.task_ids import parse_task_id
 from copperpass.core.ports import NOT_SENT, CallOutcome
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
@@ -146,7 +147,7 @@
         """Bring the machine's tasks up to those that are listed."""
         listed = set()
         for task in heartbeat.tasks:
-            name = parse_task(task.task)
+            name = parse_task_id(task.task)
             if name is None:
                 continue
             key = (name[0], name[1], task.attempt)
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.operations import Operation, TransactionOutcome
 from copperpass.core.scheduling.context import SchedulerContext
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.settings import Objective
 
 # Added to the arrival of a job without a deadline, so that it comes after all that have one.
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -5,7 +5,7 @@
 import heapq
 from dataclasses import dataclass
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within, zone_feasible
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import (
     feasible_when_empty,
     fits_within,
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -4,7 +4,7 @@
 
 from copperpass.core.autoscaling.sliding_maximum import SlidingMaximum
 from copperpass.core.autoscaling.urgency import needs_on_demand
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.machines import Machine, Placement, QuotaUsage
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.job_results import JobResults
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement, StopReason
--- a/src/copperpass/core/scheduling/team_queues.py
+++ b/src/copperpass/core/scheduling/team_queues.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.demand import Demand
 from copperpass.core.scheduling.guarantees import assess_guarantees
 from copperpass.core.scheduling.quota import ResourceUsage
--- a/src/copperpass/core/storage/completion_pages.py
+++ b/src/copperpass/core/storage/completion_pages.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.jobs.job_table import Job
+from copperpass.core.jobs.job import Job
 
 EMPTY_PAGE_BYTES = 2
 # Bytes that a page holds of a job besides its id and its mask.
--- a/src/copperpass/core/storage/completion_segments.py
+++ b/src/copperpass/core/storage/completion_segments.py
@@ -10,7 +10,9 @@
 import itertools
 from collections.abc import Iterable, Iterator
 
-from copperpass.core.jobs.job_table import Job, JobTable, split_segment
+from copperpass.core.jobs.completion_mask import split_segment
+from copperpass.core.jobs.job import Job
+from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.storage.completion_pages import CompletionPage
 
 # What marks the key of a page that holds a segment.
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -11,7 +11,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from copperpass.core.jobs.job_table import Job, JobTable, pack_mask, segment_key
+from copperpass.core.jobs.completion_mask import pack_mask, segment_key
+from copperpass.core.jobs.job import Job
+from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.keys import COMPLETIONS_PREFIX, FENCING_TOKEN_KEY
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -4,7 +4,9 @@
 
 import msgspec
 
-from copperpass.core.jobs.job_table import JobTable, make_job, pack_mask
+from copperpass.core.jobs.completion_mask import pack_mask
+from copperpass.core.jobs.job import make_job
+from copperpass.core.jobs.job_table import JobTable
 from copperpass.core.kvstore.transactions import TransactionQueue
 from copperpass.core.ports import CallOutcome
 from copperpass.core.storage.completions import CompletionContext, CompletionStore
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -2,7 +2,7 @@
 
 import json
 
-from copperpass.core.jobs.job_table import make_job
+from copperpass.core.jobs.job import make_job
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 from tests.fakes.worker import WorkerRequest
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -69,9 +69,9 @@
         bench.now, CallOutcome(200, encode(bench.message(running, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
-    gone, over = bench.jobs.on_watch_event(bench.now, "c/live/req-000001", None, 80)
-    assert over
-    bench.scheduler.on_job_completed(bench.now, gone)
+    change = bench.jobs.on_watch_event(bench.now, "c/live/req-000001", None, 80)
+    assert change.removed
+    bench.scheduler.on_job_completed(bench.now, change.job)
     (kill,) = bench.take("worker")
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.on_done(bench.now, CallOutcome(0))
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from copperpass.core.jobs.job_table import make_job
+from copperpass.core.jobs.job import make_job
 from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy, Ranking
 from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
