--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -25,7 +25,7 @@
         """A task of a gang is reported as active."""
         if job.gang_ending and placement.stop_grace_s is None:
             # Its machine was taken over only after the attempt had ended and the rest were stopped.
-            self.tasks.stop(now, placement, StopReason.ATTEMPT_OVER)
+            self.tasks.stop(now, placement, StopReason.ATTEMPT_ENDED)
         if not job.attempt and not job.gang_ending:
             if placement.stop_grace_s is not None:
                 # The second copy of a task, which must go: no other task may join its attempt.
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -59,7 +59,7 @@
                 self.tasks.on_session_ended(now, machine)
             if machine.deletion_requested:
                 continue
-            reason = self._hopeless(now, machine, ended, silence)
+            reason = self._deletion_reason(now, machine, ended, silence)
             if reason:
                 self.out.log(
                     LogLevel.INFO,
@@ -69,7 +69,7 @@
                 )
                 machine.deletion_requested = True
 
-    def _hopeless(
+    def _deletion_reason(
         self, now: float, machine: Machine, ended: bool, silence: Silence
     ) -> DeletionReason | None:
         """Why a machine should be deleted, if it should."""
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -180,7 +180,7 @@
                 return
         for placement in foreign:
             if placement.active and placement.stop_grace_s is None:
-                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.FOREIGN
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.OTHER_SHARD
 
     def _adopt(self, now: float, machine: Machine, key: tuple[str, int, int]) -> Placement:
         """A task of an earlier authority."""
@@ -222,7 +222,7 @@
             return
         if self.state.is_certainly_completed(placement):
             if placement.active:
-                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_COMPLETED
             else:
                 placement.stored = True
 
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -78,7 +78,7 @@
         if not self.context.schedules_team(job.spec.team):
             return
         self.completions.remove(job)
-        self.tasks.stop_all(now, job, StopReason.JOB_OVER)
+        self.tasks.stop_all(now, job, StopReason.JOB_COMPLETED)
         self.state.machines_of_job.pop(job.spec.id, None)
         self.state.dirty = True
 
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -28,16 +28,16 @@
 class StopReason(StrEnum):
     """Why a task is told to stop; the values go into the log."""
 
-    JOB_OVER = "job completed"
+    JOB_COMPLETED = "job completed"
     CANCELLED = "job cancelled"
     PREEMPTED = "preempted"
     RECLAIMED = "reclaimed"
     NOTICE = "interruption notice"
     DUPLICATE = "duplicate attempt"
-    FOREIGN = "task of another shard"
-    SICK_MACHINE = "machine quarantined"
+    OTHER_SHARD = "task of another shard"
+    FAULTY_MACHINE = "machine quarantined"
     # Of gangs: the attempt has ended, a task of it is gone, two attempts or no room for the rest.
-    ATTEMPT_OVER = "attempt ended"
+    ATTEMPT_ENDED = "attempt ended"
     TASK_LOST = "task lost"
     TASK_EXITED = "task exited"
     TWO_ATTEMPTS = "two attempts"
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -40,7 +40,7 @@
             return
         state.other_shard_machines.pop(name, None)
         if machine is not None and route.base_token > machine.base and not state.ready:
-            self._forget(now, machine)
+            self._discard(now, machine)
             machine = None
         if machine is None and name not in state.released:
             machine = self._add(now, route)
@@ -59,14 +59,14 @@
     def _on_foreign_route(self, now: float, route: MachineRoute, machine: Machine | None) -> None:
         """The machine is another shard's, or gone."""
         if route.deleted and machine is not None:
-            self._gone(now, machine)
+            self._on_machine_deleted(now, machine)
         other_shard = route.shard != self.context.shard and not route.deleted
         if route.occupancy == Occupancy.ANY_SHARD and other_shard and not route.failed:
             self.state.other_shard_machines[route.name] = (route.type, route.zone, route.spot)
         elif self.state.other_shard_machines.pop(route.name, None) is not None:
             self.state.dirty = True
 
-    def _forget(self, now: float, machine: Machine) -> None:
+    def _discard(self, now: float, machine: Machine) -> None:
         """Drop what was known of a machine under an earlier ownership.
 
         The share came before the table: under that token the machine would not be heard ever again.
@@ -113,7 +113,7 @@
                 self.tasks.stop(now, placement, StopReason.RECLAIMED)
         self.commands.send(now, machine)
 
-    def _gone(self, now: float, machine: Machine) -> None:
+    def _on_machine_deleted(self, now: float, machine: Machine) -> None:
         """The cloud has confirmed: the machine and all on it are gone."""
         machine.draining = False
         self.state.unreconciled.discard(machine.name)
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -202,13 +202,13 @@
         self.state.needs_machines = value
 
     @property
-    def returning(self) -> bool:
+    def has_new_releases(self) -> bool:
         """Whether the leader should be told of returned machines at once."""
-        return self.state.returning
+        return self.state.has_new_releases
 
-    @returning.setter
-    def returning(self, value: bool) -> None:
-        self.state.returning = value
+    @has_new_releases.setter
+    def has_new_releases(self, value: bool) -> None:
+        self.state.has_new_releases = value
 
     @property
     def next_round_at(self) -> float:
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -39,7 +39,7 @@
         # Something has changed that the next dispatch round should look at.
         self.dirty = False
         # What the leader should be told at once: tasks in need of machines, machines given back.
-        self.needs_machines = self.returning = False
+        self.needs_machines = self.has_new_releases = False
         # Whether dear machines could go back: else they stay up, and any work may use them.
         self.on_demand_excess = True
         self.machines: dict[str, Machine] = {}
@@ -78,7 +78,7 @@
         self.quota_usage.drop(machine)
         self.unreconciled.discard(machine.name)
         self.released[machine.name] = last
-        self.returning = self.dirty = True
+        self.has_new_releases = self.dirty = True
 
     def release_if_empty(self, machine: Machine) -> bool:
         """Give a machine back to the leader if it is proven empty; returns whether it was."""
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -15,7 +15,7 @@
 # A job that has failed on as many machines has probably a mistake of its own.
 FAILED_MACHINES = 3
 # As many such jobs that fail on one machine show that the machine is sick.
-SICK_JOBS = 2
+FAULTY_MACHINE_JOBS = 2
 # The wait after a failure doubles this often at most.
 MOST_DOUBLINGS = 6
 
@@ -62,7 +62,7 @@
             and placement.stop_grace_s is None
             and self.state.is_certainly_completed(placement)
         ):
-            placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_OVER
+            placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_COMPLETED
 
     def _exited(
         self,
@@ -160,7 +160,7 @@
         alone = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
         if machine.quarantined:
             return
-        if len(suspects) >= SICK_JOBS or alone:
+        if len(suspects) >= FAULTY_MACHINE_JOBS or alone:
             self._quarantine(now, machine, len(suspects))
         else:
             machine.backoff_until = now + 2 * timing.report_s
@@ -173,7 +173,7 @@
         )
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
-                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.SICK_MACHINE
+                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.FAULTY_MACHINE
                 placement.stop_sent_at = 0.0
         for placement in list(machine.starts):
             self.tasks.remove(now, machine, placement)
--- a/src/copperpass/core/shards/owner_reports.py
+++ b/src/copperpass/core/shards/owner_reports.py
@@ -32,19 +32,21 @@
 
     def statuses_due(self, now: float, schedulers: Iterable[ShardScheduler]) -> bool:
         """Whether to report statuses: at an interval, and at once when machines are released."""
-        return now >= self.next_status_at or any(owner.returning for owner in schedulers)
+        return now >= self.next_status_at or any(
+            scheduler.has_new_releases for scheduler in schedulers
+        )
 
     def capacity_due(self, now: float, schedulers: Iterable[ShardScheduler]) -> bool:
         """Whether to request capacity: at an interval, and at once when tasks lack machines."""
-        urgent = any(owner.needs_machines for owner in schedulers)
+        urgent = any(scheduler.needs_machines for scheduler in schedulers)
         return now >= self.next_capacity_request_at or urgent
 
     def report_statuses(self, now: float, schedulers: Iterable[ShardScheduler]) -> None:
         """Send the statuses that have changed."""
         self.next_status_at = now + self.interval_s
-        for owner in schedulers:
-            owner.returning = False
-            for status in owner.statuses(now):
+        for scheduler in schedulers:
+            scheduler.has_new_releases = False
+            for status in scheduler.statuses(now):
                 self.replication_log.put(status)
         while self.replication_sender.has_unsent:
             batch = self.replication_sender.next_batch(BATCH)
@@ -74,20 +76,20 @@
     ) -> None:
         """Send what each shard's pending tasks lack, and in which zones."""
         self.next_capacity_request_at = now + self.context.capacity_interval_s
-        for shard, owner in schedulers.items():
-            owner.needs_machines = False
-            if not owner.ready:
+        for shard, scheduler in schedulers.items():
+            scheduler.needs_machines = False
+            if not scheduler.ready:
                 continue
-            requests = tuple(owner.capacity_requests(now)[:MAX_REQUESTS_PER_FRAME])
-            self._send_zone_affinities(shard, owner, requests)
+            requests = tuple(scheduler.capacity_requests(now)[:MAX_REQUESTS_PER_FRAME])
+            self._send_zone_affinities(shard, scheduler, requests)
             frame = CapacityRequests(self.term.epoch, shard, acknowledged_sequence, requests)
             self.term.send_capacity_requests(now, self.context, frame)
 
     def _send_zone_affinities(
-        self, shard: int, owner: ShardScheduler, requests: tuple[PendingTasks, ...]
+        self, shard: int, scheduler: ShardScheduler, requests: tuple[PendingTasks, ...]
     ) -> None:
         """Send in which zones the jobs of the requests must have their machines."""
-        zones = owner.zone_affinities
+        zones = scheduler.zone_affinities
         frame = ZoneAffinities(
             self.term.epoch,
             shard,
