--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -49,20 +49,7 @@
         self.heartbeat_timeouts = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
-        placement = PlacementParts(
-            state=state,
-            tuning=context.tuning,
-            tasks=tasks,
-            reservations=reservations,
-            gangs=GangPlacer(state, tasks, reservations),
-        )
-        parts = DispatchParts(
-            placement=placement,
-            commands=self.commands,
-            demand=self.demand,
-            preemption=Preemption(context, state, self.commands, tasks),
-        )
-        self.dispatcher = Dispatcher(parts, now)
+        self.dispatcher = Dispatcher(self._dispatch_parts(tasks, reservations), now)
         self.next_scan = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
         self.shard, self.generation, self.has_authority = (
@@ -80,6 +67,23 @@
         for job in state.own_jobs():
             job.reset_tasks()
 
+    def _dispatch_parts(self, tasks: TaskLifecycle, reservations: Reservations) -> DispatchParts:
+        """What the dispatcher works with."""
+        state = self.state
+        placement = PlacementParts(
+            state=state,
+            tuning=self.context.tuning,
+            tasks=tasks,
+            reservations=reservations,
+            gangs=GangPlacer(state, tasks, reservations),
+        )
+        return DispatchParts(
+            placement=placement,
+            commands=self.commands,
+            demand=self.demand,
+            preemption=Preemption(self.context, state, self.commands, tasks),
+        )
+
     # -- events ------------------------------------------------------------------------
 
     def on_watch_synced(self, now: float) -> None:
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -8,7 +8,7 @@
 from copperpass.core.scheduling.job_results import JobResults
 from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
-from copperpass.core.scheduling.tasks import TaskLifecycle, runs_alone
+from copperpass.core.scheduling.tasks import TaskLifecycle, request_stop, runs_alone
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
@@ -62,7 +62,7 @@
             and placement.stop_grace_s is None
             and self.state.is_certainly_completed(placement)
         ):
-            placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.JOB_COMPLETED
+            request_stop(placement, StopReason.JOB_COMPLETED)
 
     def _exited(
         self,
@@ -173,7 +173,6 @@
         )
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
-                placement.stop_grace_s, placement.stop_reason = 0.0, StopReason.FAULTY_MACHINE
-                placement.stop_sent_at = 0.0
+                request_stop(placement, StopReason.FAULTY_MACHINE)
         for placement in list(machine.starts):
             self.tasks.remove(now, machine, placement)
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -30,6 +30,12 @@
     )
 
 
+def request_stop(placement: Placement, reason: StopReason, grace_s: float = 0.0) -> None:
+    """Stop a task with its machine's next commands, also if an earlier stop was sent."""
+    placement.stop_grace_s, placement.stop_reason = grace_s, reason
+    placement.stop_sent_at = 0.0
+
+
 class TaskLifecycle:
     """Places tasks on machines and takes them off; of a gang, all tasks of an attempt together."""
 
@@ -52,18 +58,18 @@
         """Place a task on a machine; it is sent with the machine's next commands."""
         spec = job.spec
         placement = Placement(
-            spec.id,
-            index,
-            job.attempt if spec.gang else self.new_attempt(job),
-            machine.name,
-            spec.team,
-            spec.job_class,
-            PRIORITY_LEVELS[spec.priority],
-            spec.cpus,
-            spec.gpus,
-            spec.memory_gb,
-            spec.image,
-            spec.estimate_s,
+            job_id=spec.id,
+            index=index,
+            attempt=job.attempt if spec.gang else self.new_attempt(job),
+            machine=machine.name,
+            team=spec.team,
+            job_class=spec.job_class,
+            priority=PRIORITY_LEVELS[spec.priority],
+            cpus=spec.cpus,
+            gpus=spec.gpus,
+            memory_gb=spec.memory_gb,
+            image=spec.image,
+            estimate_s=spec.estimate_s,
             sent_at=now,
         )
         machine.tasks[placement.key] = placement
@@ -117,9 +123,7 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is None or not job.spec.gang or not job.gang_started or job.gang_ending:
             # A gang that hasn't begun waits for a replacement under the same attempt.
-            grace = self._save_s(placement) if save else 0.0
-            placement.stop_grace_s, placement.stop_reason = grace, reason
-            placement.stop_sent_at = 0.0
+            request_stop(placement, reason, self._save_s(placement) if save else 0.0)
         else:
             self.end_gang(now, job, reason, self._save_s(placement))
 
@@ -151,11 +155,7 @@
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.stop_grace_s is None:
-                    placement.stop_grace_s, placement.stop_reason, placement.stop_sent_at = (
-                        grace,
-                        reason,
-                        0.0,
-                    )
+                    request_stop(placement, reason, grace)
             self.commands.send(now, machine)
         job.finish_attempt()
 
@@ -173,8 +173,7 @@
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.active:
-                    placement.stop_grace_s, placement.stop_reason = 0.0, reason
-                    placement.stop_sent_at = 0.0
+                    request_stop(placement, reason)
                 elif job.spec.id not in self.jobs.jobs:
                     placement.stored = True
             if touched:
