--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -15,9 +15,9 @@
 from copperpass.protocol.users import JobState
 
 # The part of the limits of a record that is used, which leaves room for what is estimated.
-USED_PART = 0.8
+RECORD_FILL_RATIO = 0.8
 # Ends are gathered for the time that as many writes take.
-GATHERED_WRITES = 4
+BATCHED_WRITES = 4
 
 
 class JobResults:
@@ -33,10 +33,10 @@
                 token_version=context.token_version,
                 versions=context.versions,
                 shard=context.shard,
-                page_bytes=USED_PART * limits.least_value_bytes,
-                interval_s=max(state.timing.report_s / 2, GATHERED_WRITES / limits.least_write_rps),
+                page_bytes=RECORD_FILL_RATIO * limits.least_value_bytes,
+                interval_s=max(state.timing.report_s / 2, BATCHED_WRITES / limits.least_write_rps),
                 deadline_s=cluster.workers.lease_s,
-                max_page_bytes=USED_PART * limits.value_kb * 1024,
+                max_page_bytes=RECORD_FILL_RATIO * limits.value_kb * 1024,
             )
         )
 
@@ -50,18 +50,21 @@
             return
         job.completion_in_flight = True
         key = LIVE_JOBS_PREFIX + job.spec.id
-        final = completed_job_value(JobState.DONE, job.spec.tasks)
+        completed = completed_job_value(JobState.DONE, job.spec.tasks)
 
-        def on_done(at: float, outcome: TransactionOutcome, revision: int) -> None:
+        def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             job.completion_in_flight = False
             if outcome is TransactionOutcome.APPLIED:
                 job.version = max(job.version, revision)
                 job.on_completions_stored(list(job.unstored))
                 self.context.jobs.jobs.pop(job.spec.id, None)
-                self.on_job_completed(at, job)
+                self.on_job_completed(done_at, job)
             # On a conflict the watch brings the newer record; the next scan tries again.
 
-        writes: list[Write] = [DeleteKey(key), PutKey(COMPLETED_JOBS_PREFIX + job.spec.id, final)]
+        writes: list[Write] = [
+            DeleteKey(key),
+            PutKey(COMPLETED_JOBS_PREFIX + job.spec.id, completed),
+        ]
         deadline = now + 2 * self.state.timing.lease_s
         operation = Operation({key: job.version}, writes, on_done, deadline)
         self.context.transactions.submit(now, operation)
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -50,7 +50,7 @@
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
         self.dispatcher = Dispatcher(self._dispatch_parts(tasks, reservations), now)
-        self.next_scan = now
+        self.next_scan_at = now
         # What doesn't change hands, within easy reach of those who look at a scheduler.
         self.shard, self.generation, self.has_authority = (
             context.shard,
@@ -119,8 +119,8 @@
         """Everything that the passing of time asks for."""
         if not self.state.ready or not self.context.has_authority(now):
             return
-        if now >= self.next_scan:
-            self.next_scan = now + self.timing.report_s / 4
+        if now >= self.next_scan_at:
+            self.next_scan_at = now + self.timing.report_s / 4
             self.scan(now)
         if self.unreconciled:
             self.commands.probe(now)
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -12,7 +12,7 @@
 from copperpass.settings import Team
 
 # How many of a team's latest tasks tell what its next ones will ask for.
-RECENT_TASKS = 64
+RECENT_TASKS_PER_TEAM = 64
 
 
 class ShardState:
@@ -26,7 +26,7 @@
         self.context = context
         self.timing = Timing.of(context)
         self.teams: list[Team] = [
-            t for t in cluster.teams if context.shards[t.name] == context.shard
+            team for team in cluster.teams if context.shards[team.name] == context.shard
         ]
         self.by_team = {team.name: team for team in self.teams}
         # Jobs created after this revision can't have been started by an earlier owner.
@@ -55,7 +55,7 @@
         self.slos = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
         # CPUs, GPUs and memory of the latest tasks started, by team.
         self.recent_tasks: dict[str, deque[tuple[float, float, float]]] = {
-            team.name: deque(maxlen=RECENT_TASKS) for team in self.teams
+            team.name: deque(maxlen=RECENT_TASKS_PER_TEAM) for team in self.teams
         }
         self.last_heartbeat_at = now
 
@@ -72,12 +72,12 @@
         """
         return self.ready or self.context.consistent_at() > placement.sent_at
 
-    def release(self, machine: Machine, last: MachineStatus) -> None:
+    def release(self, machine: Machine, last_status: MachineStatus) -> None:
         """Command a machine no more; its last status is told until the leader has moved it."""
         del self.machines[machine.name]
         self.quota_usage.drop(machine)
         self.unreconciled.discard(machine.name)
-        self.released[machine.name] = last
+        self.released[machine.name] = last_status
         self.has_new_releases = self.dirty = True
 
     def release_if_empty(self, machine: Machine) -> bool:
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -17,7 +17,7 @@
 # As many such jobs that fail on one machine show that the machine is sick.
 FAULTY_MACHINE_JOBS = 2
 # The wait after a failure doubles this often at most.
-MOST_DOUBLINGS = 6
+MAX_BACKOFF_DOUBLINGS = 6
 
 
 class TaskStatusHandler:
@@ -34,27 +34,29 @@
         self.state, self.tasks, self.gangs, self.results = state, tasks, gangs, results
         self.out, self.jobs = context.out, context.jobs
 
-    def update(self, now: float, machine: Machine, placement: Placement, task: TaskStatus) -> None:
+    def update(
+        self, now: float, machine: Machine, placement: Placement, status: TaskStatus
+    ) -> None:
         """A task is reported as being on a machine."""
         was_active = placement.active
         placement.reported = True
         if placement.of_other_shard:
-            placement.state = task.state
+            placement.state = status.state
             machine.usage_stale = True
             return
         job = self.jobs.jobs.get(placement.job_id)
-        if task.state == TaskState.EXITED:
+        if status.state == TaskState.EXITED:
             if was_active:
-                self._exited(now, machine, placement, task, job)
+                self._on_exited(now, machine, placement, status, job)
         elif was_active:
-            self._is_active(now, placement, task, job)
+            self._on_active(now, placement, status, job)
 
-    def _is_active(
-        self, now: float, placement: Placement, task: TaskStatus, job: Job | None
+    def _on_active(
+        self, now: float, placement: Placement, status: TaskStatus, job: Job | None
     ) -> None:
-        if task.state in (TaskState.RUNNING, TaskState.SAVING) and not placement.running_at:
+        if status.state in (TaskState.RUNNING, TaskState.SAVING) and not placement.running_at:
             placement.running_at = now
-        placement.state = task.state
+        placement.state = status.state
         if job is not None and job.spec.gang:
             self.gangs.on_task_active(now, job, placement)
         if (
@@ -64,19 +66,19 @@
         ):
             request_stop(placement, StopReason.JOB_COMPLETED)
 
-    def _exited(
+    def _on_exited(
         self,
         now: float,
         machine: Machine,
         placement: Placement,
-        task: TaskStatus,
+        status: TaskStatus,
         job: Job | None,
     ) -> None:
         """A task that was active is reported as ended."""
-        placement.state, placement.exit_cause = TaskState.EXITED, task.exit_cause or ""
+        placement.state, placement.exit_cause = TaskState.EXITED, status.exit_cause or ""
         machine.usage_stale = True
         if placement.exit_cause != ExitCause.DONE:
-            self._log_end(now, machine, placement, task)
+            self._log_exit(now, machine, placement, status)
         if placement.team == UNIDENTIFIED and job is None:
             placement.stored = self.state.is_certainly_completed(placement)
             return
@@ -84,17 +86,17 @@
         if job is None:
             placement.stored = True
         elif placement.exit_cause == ExitCause.DONE:
-            self._done(now, machine, placement, job)
+            self._on_completed(now, machine, placement, job)
         else:
-            self._ended_undone(now, machine, placement, job)
+            self._on_not_completed(now, machine, placement, job)
 
-    def _log_end(
-        self, now: float, machine: Machine, placement: Placement, task: TaskStatus
+    def _log_exit(
+        self, now: float, machine: Machine, placement: Placement, status: TaskStatus
     ) -> None:
         self.out.log(
             LogLevel.DEBUG,
             LogEvent.TASK_EXITED,
-            task=task.task,
+            task=status.task,
             exit_cause=placement.exit_cause,
             stop_reason=placement.stop_reason,
             machine=machine.name,
@@ -106,7 +108,7 @@
         """Whether the placement is the one that the job counts on for its task."""
         return job.assigned.get(placement.index) == machine.name and runs_alone(machine, placement)
 
-    def _done(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
+    def _on_completed(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
         current = self._is_current(machine, placement, job)
         if job.spec.gang:
             # They complete together: if one is done, all are. The others' machines may be lost with
@@ -124,13 +126,15 @@
             job.unstored_results.setdefault(placement.index, []).append(placement)
             self.results.store(now, job)
 
-    def _ended_undone(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
+    def _on_not_completed(
+        self, now: float, machine: Machine, placement: Placement, job: Job
+    ) -> None:
         placement.stored = True
         if self._is_current(machine, placement, job):
             job.requeue(placement.index)
         report_s = self.state.timing.report_s
         if placement.exit_cause == ExitCause.ERROR:
-            self._failed(now, machine, job)
+            self._on_failed(now, machine, job)
         elif placement.exit_cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
             machine.backoff_until = now + report_s
         elif placement.exit_cause == ExitCause.UNKNOWN:
@@ -139,7 +143,7 @@
         if job.spec.gang:
             self.gangs.on_task_exited(now, job, placement)
 
-    def _failed(self, now: float, machine: Machine, job: Job) -> None:
+    def _on_failed(self, now: float, machine: Machine, job: Job) -> None:
         """Tell a sick machine (many jobs fail there) from a job with a mistake."""
         timing = self.state.timing
         job.failures += 1
@@ -147,7 +151,7 @@
         machine.failed_jobs.add(job.spec.id)
         if len(job.failed_on) >= FAILED_MACHINES:
             # Guards the fleet against a job that fails everywhere: back off, longer each time.
-            wait = timing.report_s * 2 ** min(job.failures, MOST_DOUBLINGS)
+            wait = timing.report_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
             job.backoff_until = max(job.backoff_until, now + min(wait, timing.lease_s))
         jobs = self.jobs.jobs
         suspects = [
@@ -157,10 +161,10 @@
         ]
         # A gang that fails here alone, again, while its other machines do well, finds nowhere else
         # to go: it is the machine. One with a mistake fails on others too.
-        alone = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
+        only_here = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
         if machine.quarantined:
             return
-        if len(suspects) >= FAULTY_MACHINE_JOBS or alone:
+        if len(suspects) >= FAULTY_MACHINE_JOBS or only_here:
             self._quarantine(now, machine, len(suspects))
         else:
             machine.backoff_until = now + 2 * timing.report_s
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -11,9 +11,9 @@
 from copperpass.protocol.users import PRIORITY_LEVELS
 
 # Attempts are told apart by term, then by ownership within the term, then counted.
-EPOCH_SHIFT, SERIAL_SHIFT = 44, 28
+EPOCH_SHIFT, GENERATION_SHIFT = 44, 28
 # What a task is given to save itself, as a multiple of what its job says that it takes.
-SAVE_MARGIN = 1.2
+CHECKPOINT_GRACE_RATIO = 1.2
 
 
 def runs_alone(machine: Machine, placement: Placement) -> bool:
@@ -52,7 +52,9 @@
         """Count one more attempt of a job; attempts of different owners never equal."""
         job.attempts += 1
         context = self.context
-        return (context.epoch << EPOCH_SHIFT) + (context.generation << SERIAL_SHIFT) + job.attempts
+        return (
+            (context.epoch << EPOCH_SHIFT) + (context.generation << GENERATION_SHIFT) + job.attempts
+        )
 
     def start(self, now: float, job: Job, index: int, machine: Machine) -> None:
         """Place a task on a machine; it is sent with the machine's next commands."""
@@ -87,12 +89,12 @@
         if placement in machine.starts:
             machine.starts.remove(placement)
         job = self.jobs.jobs.get(placement.job_id)
-        placed = (
+        assigned = (
             placement.active
             and job is not None
             and job.assigned.get(placement.index) == machine.name
         )
-        if placed and job is not None and runs_alone(machine, placement):
+        if assigned and job is not None and runs_alone(machine, placement):
             job.requeue(placement.index)
             if job.spec.gang:
                 if (
@@ -123,16 +125,16 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is None or not job.spec.gang or not job.gang_started or job.gang_ending:
             # A gang that hasn't begun waits for a replacement under the same attempt.
-            request_stop(placement, reason, self._save_s(placement) if save else 0.0)
+            request_stop(placement, reason, self._checkpoint_grace_s(placement) if save else 0.0)
         else:
-            self.end_gang(now, job, reason, self._save_s(placement))
+            self.end_gang(now, job, reason, self._checkpoint_grace_s(placement))
 
     def end_gang(
-        self, now: float, job: Job, reason: StopReason, grace: float, reported: str = ""
+        self, now: float, job: Job, reason: StopReason, grace_s: float, exit_cause: str = ""
     ) -> None:
         """An attempt is over: all its tasks go, told as close together as can be.
 
-        Another begins only when every one of them is proven gone. `reported` is what the
+        Another begins only when every one of them is proven gone. `exit_cause` is what the
         machine said of the task that ended it.
         """
         if job.gang_ending:
@@ -142,7 +144,7 @@
             LogLevel.INFO,
             LogEvent.GANG_ATTEMPT_STOPPED,
             job=job.spec.id,
-            reason=reported or reason,
+            reason=exit_cause or reason,
             had_started=job.gang_started,
         )
         for name in list(self.machines_of_job.get(job.spec.id, ())):
@@ -155,7 +157,7 @@
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.stop_grace_s is None:
-                    request_stop(placement, reason, grace)
+                    request_stop(placement, reason, grace_s)
             self.commands.send(now, machine)
         job.finish_attempt()
 
@@ -165,21 +167,23 @@
             machine = self.machines.get(name)
             if machine is None:
                 continue
-            touched = False
+            affected = False
             for placement in list(machine.tasks.values()):
                 if placement.job_id != job.spec.id:
                     continue
-                touched = True
+                affected = True
                 if placement in machine.starts:
                     self.remove(now, machine, placement)
                 elif placement.active:
                     request_stop(placement, reason)
                 elif job.spec.id not in self.jobs.jobs:
                     placement.stored = True
-            if touched:
+            if affected:
                 self.commands.send(now, machine)
 
-    def _save_s(self, placement: Placement) -> float:
+    def _checkpoint_grace_s(self, placement: Placement) -> float:
         """What a task is given to save itself when it is stopped."""
         job = self.jobs.jobs.get(placement.job_id)
-        return SAVE_MARGIN * job.spec.save_s if job and job.spec.checkpoint_s > 0 else 0.0
+        return (
+            CHECKPOINT_GRACE_RATIO * job.spec.save_s if job and job.spec.checkpoint_s > 0 else 0.0
+        )
