--- a/src/copperpass/core/api/job_lookup.py
+++ b/src/copperpass/core/api/job_lookup.py
@@ -8,7 +8,7 @@
 
 from copperpass.core.api.context import ApiContext
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
-from copperpass.core.ports import Call, CallOutcome, OnCallDone
+from copperpass.core.ports import Call, CallOutcome, ExternalService, OnCallDone
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyValue, key_path
 from copperpass.protocol.records import JobRecord
@@ -104,5 +104,7 @@
             self.removed_jobs.popitem(last=False)
 
     def _get(self, key: str, on_done: OnCallDone) -> None:
-        call = Call("state", "GET", key_path(key), on_done, b"", self.read_timeout_s / 2)
+        call = Call(
+            ExternalService.STATE, "GET", key_path(key), on_done, b"", self.read_timeout_s / 2
+        )
         self.out.calls.append(call)
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -8,7 +8,7 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
 from copperpass.core.autoscaling.state import ClusterManagerContext, ClusterState
-from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.protocol.cloud import ListedMachine, MachineList, machines_path
 from copperpass.protocol.frames.messages import NO_SHARD, Occupancy
 from copperpass.protocol.json_codec import decode
@@ -54,7 +54,9 @@
                 return
             self.reading = False
 
-        call = Call("cloud", "GET", machines_path(after), on_done, b"", CALL_TIMEOUT_S)
+        call = Call(
+            ExternalService.CLOUD, "GET", machines_path(after), on_done, b"", CALL_TIMEOUT_S
+        )
         self.out.calls.append(call)
 
     def _on_listed(self, now: float, item: ListedMachine) -> None:
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -11,7 +11,7 @@
     ManagedMachine,
 )
 from copperpass.core.kvstore.token_bucket import TokenBucket
-from copperpass.core.ports import NO_ANSWER, Call, CallOutcome
+from copperpass.core.ports import NO_ANSWER, Call, CallOutcome, ExternalService
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.cloud import (
     INSTANCES_PATH,
@@ -98,7 +98,9 @@
         body = instance_request_body(
             request_id, group.type, group.zone, group.spot, request.machines
         )
-        self.out.calls.append(Call("cloud", "POST", INSTANCES_PATH, on_done, body, CALL_TIMEOUT_S))
+        self.out.calls.append(
+            Call(ExternalService.CLOUD, "POST", INSTANCES_PATH, on_done, body, CALL_TIMEOUT_S)
+        )
 
     def _on_machines(
         self, now: float, request_id: str, request: InstanceRequest, body: bytes
@@ -147,4 +149,6 @@
                     self.records.mark_deleted(done_at, machine)
 
         body = release_body([machine.route.name for machine in unconfirmed])
-        self.out.calls.append(Call("cloud", "POST", RELEASE_PATH, on_done, body, CALL_TIMEOUT_S))
+        self.out.calls.append(
+            Call(ExternalService.CLOUD, "POST", RELEASE_PATH, on_done, body, CALL_TIMEOUT_S)
+        )
--- a/src/copperpass/core/autoscaling/machine_types.py
+++ b/src/copperpass/core/autoscaling/machine_types.py
@@ -12,7 +12,7 @@
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, MACHINE_TYPES_KEY
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Call, CallOutcome, Outbox
+from copperpass.core.ports import Call, CallOutcome, ExternalService, Outbox
 from copperpass.protocol.cloud import MACHINE_TYPES_PATH, MachineType, MachineTypes
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import PutKey
@@ -63,7 +63,14 @@
         if not self._fetching and now >= self._next_fetch_at:
             self._fetching = True
             context.out.calls.append(
-                Call("cloud", "GET", MACHINE_TYPES_PATH, self._on_fetched, b"", FETCH_TIMEOUT_S)
+                Call(
+                    ExternalService.CLOUD,
+                    "GET",
+                    MACHINE_TYPES_PATH,
+                    self._on_fetched,
+                    b"",
+                    FETCH_TIMEOUT_S,
+                )
             )
 
     def _on_fetched(self, now: float, outcome: CallOutcome) -> None:
--- a/src/copperpass/core/election/campaign.py
+++ b/src/copperpass/core/election/campaign.py
@@ -12,7 +12,7 @@
 from copperpass.core.election.token_counter import FencingTokenCounter
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY, LEADER_KEY
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
-from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import LEASES_PATH, LeaseCreated, PutKey
 from copperpass.protocol.records import LeaderRecord
@@ -88,7 +88,7 @@
         ttl = self.context.timings.leader_ttl_s
         body = encode({"ttl_ms": int(ttl * 1000)})
         self.context.out.calls.append(
-            Call("state", "POST", LEASES_PATH, self._on_lease_created, body, ttl / 3)
+            Call(ExternalService.STATE, "POST", LEASES_PATH, self._on_lease_created, body, ttl / 3)
         )
 
     def _on_lease_created(self, now: float, outcome: CallOutcome) -> None:
--- a/src/copperpass/core/election/leader_lease.py
+++ b/src/copperpass/core/election/leader_lease.py
@@ -7,7 +7,7 @@
 from copperpass.core.election.context import ElectionContext
 from copperpass.core.election.lease_extension import LeaseExtension
 from copperpass.core.election.timings import CLOCK_DRIFT
-from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import lease_path, renew_lease_path
 from copperpass.protocol.records import LeaderRecord
@@ -82,7 +82,9 @@
             self._on_renewed(done_at, outcome, lease_id, now)
 
         path = renew_lease_path(lease_id)
-        self.context.out.calls.append(Call("state", "POST", path, on_done, b"{}", ttl / 3))
+        self.context.out.calls.append(
+            Call(ExternalService.STATE, "POST", path, on_done, b"{}", ttl / 3)
+        )
 
     def _on_renewed(self, now: float, outcome: CallOutcome, lease_id: int, sent_at: float) -> None:
         self._renewing = False
@@ -131,5 +133,5 @@
 
         ttl = self.context.timings.leader_ttl_s
         self.context.out.calls.append(
-            Call("state", "DELETE", lease_path(lease_id), on_done, b"", ttl)
+            Call(ExternalService.STATE, "DELETE", lease_path(lease_id), on_done, b"", ttl)
         )
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -8,7 +8,7 @@
 from copperpass.core.kvstore.batches import Batch
 from copperpass.core.kvstore.operations import Operation, Priority, RefusedBatch, TransactionOutcome
 from copperpass.core.kvstore.token_bucket import TokenBucket
-from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, Outbox
+from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, ExternalService, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import (
     TRANSACTION_PATH,
@@ -41,14 +41,14 @@
 
     IN_FLIGHT = 3
 
-    def __init__(self, out: Outbox, write_rps: float, max_writes: int, timeout: float) -> None:
+    def __init__(self, out: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
         self.out = out
         self.queues: tuple[deque[Operation], ...] = tuple(deque() for _ in Priority)
         self.in_flight = 0
         self.budget = TokenBucket(write_rps * RATE_PART, max(write_rps * RATE_PART, LEAST_BURST))
         # The most writes of a transaction; reduced when the store turns out to allow fewer.
         self.max_writes = max_writes
-        self.timeout = timeout
+        self.timeout_s = timeout_s
         self.paused_until = 0.0
         self.pause = PAUSE_S
 
@@ -94,12 +94,12 @@
         self.in_flight += 1
         self.out.calls.append(
             Call(
-                "state",
+                ExternalService.STATE,
                 "POST",
                 TRANSACTION_PATH,
                 lambda now, answer: self._on_answer(now, operations, answer),
                 transaction_body(batch.guards, batch.writes),
-                self.timeout,
+                self.timeout_s,
             )
         )
 
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from copperpass.core.kvstore.keys import WATCHED_PREFIX
-from copperpass.core.ports import Call, CallOutcome, Outbox
+from copperpass.core.ports import Call, CallOutcome, ExternalService, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyPage, WatchAnswer, list_path, watch_path
 
@@ -29,10 +29,12 @@
     Invariants: at most one request is in flight; the version of a key never decreases.
     """
 
-    def __init__(self, out: Outbox, on_event: OnWatchEvent, wait_s: float, timeout: float) -> None:
+    def __init__(
+        self, out: Outbox, on_event: OnWatchEvent, wait_s: float, timeout_s: float
+    ) -> None:
         self.out, self.on_event = out, on_event
         # How long a watch waits for a change, and any request for its answer beside that.
-        self.wait_s, self.timeout = wait_s, timeout
+        self.wait_s, self.timeout_s = wait_s, timeout_s
         # All changes up to this revision of the store are applied.
         self.revision = 0
         # Whether the keys have been listed in full, so that changes can be followed.
@@ -65,7 +67,9 @@
 
     def _list(self, after: str) -> None:
         path = list_path(WATCHED_PREFIX, after)
-        self.out.calls.append(Call("state", "GET", path, self._on_list_page, b"", self.timeout))
+        self.out.calls.append(
+            Call(ExternalService.STATE, "GET", path, self._on_list_page, b"", self.timeout_s)
+        )
 
     def _on_list_page(self, now: float, outcome: CallOutcome) -> None:
         page = decode(outcome.body, KeyPage) if outcome.status == HTTP_OK else None
@@ -97,7 +101,14 @@
     def _watch(self) -> None:
         path = watch_path(WATCHED_PREFIX, self.revision, int(self.wait_s * 1000))
         self.out.calls.append(
-            Call("state", "GET", path, self._on_watch_answer, b"", self.wait_s + self.timeout)
+            Call(
+                ExternalService.STATE,
+                "GET",
+                path,
+                self._on_watch_answer,
+                b"",
+                self.wait_s + self.timeout_s,
+            )
         )
 
     def _on_watch_answer(self, now: float, outcome: CallOutcome) -> None:
@@ -139,4 +150,4 @@
 
     def _retry_later(self, now: float) -> None:
         self.request_in_flight = False
-        self.next_request_at = now + self.timeout / 4
+        self.next_request_at = now + self.timeout_s / 4
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -14,7 +14,7 @@
 from copperpass.core.kvstore.keys import MEMBER_VERSIONS_PREFIX
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
-from copperpass.core.ports import Call, CallOutcome, Outbox
+from copperpass.core.ports import Call, CallOutcome, ExternalService, Outbox
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import KeyValue, PutKey, key_path
 from copperpass.protocol.records import VersionRecord
@@ -71,7 +71,9 @@
             self._on_read(now, member, outcome)
 
         path = key_path(MEMBER_VERSIONS_PREFIX + member)
-        self.out.calls.append(Call("state", "GET", path, on_done, b"", self.timeout_s))
+        self.out.calls.append(
+            Call(ExternalService.STATE, "GET", path, on_done, b"", self.timeout_s)
+        )
 
     def _on_read(self, now: float, member: str, outcome: CallOutcome) -> None:
         item = decode(outcome.body, KeyValue) if outcome.status == 200 else None
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -1,45 +1,71 @@
-"""What the core asks of the outside: calls and answers, as plain values."""
+"""The core's output ports: HTTP calls, replies, frames and log records as plain values.
+
+The core does no I/O. It leaves values of these types in its `Outbox`; the reactor side
+(`copperpass.net`), or the tests' simulation, carries them out in the order in which they were left.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.protocol.frames.messages import Frame
 
-# A call without an answer may have been carried out, or be carried out yet. One that was not sent,
-# because no connection could be made, never will be.
-NO_ANSWER, NOT_SENT = 0, -1
+# Statuses of a call without an HTTP response. Without an answer it may have been carried out, or
+# may still be. One that was not sent, because no connection could be made, never will be.
+NO_ANSWER = 0
+NOT_SENT = -1
+
+
+class ExternalService(StrEnum):
+    """The systems that a controller calls over HTTP."""
+
+    STATE = "state"
+    CLOUD = "cloud"
+    WORKER = "worker"
 
 
 @dataclass(slots=True)
 class CallOutcome:
-    """How a call ended: an HTTP status, `NO_ANSWER` or `NOT_SENT`."""
+    """How a call ended: `status` is an HTTP status, `NO_ANSWER` or `NOT_SENT`.
+
+    The reactor side passes `NOT_SENT` on for workers only; for the others it is `NO_ANSWER`.
+    """
 
     status: int
     body: bytes = b""
 
 
+# Called exactly once for each call, with the monotonic time in seconds and the outcome.
 OnCallDone = Callable[[float, CallOutcome], None]
 
 
 @dataclass(slots=True)
 class Call:
-    """A request to the state service, the cloud or a worker."""
+    """An HTTP request to an external service.
+
+    `path` contains the query. `address` (`host:port`) is set for workers only: the settings name
+    the others'. Without a response after `timeout_s` seconds the call ends as `NO_ANSWER`.
+    """
 
-    service: str
+    service: ExternalService
     method: str
     path: str
     on_done: OnCallDone
     body: bytes = b""
-    timeout: float = 1.0
+    timeout_s: float = 1.0
     address: str = ""
 
 
 @dataclass(slots=True)
 class Reply:
-    """The answer to a user's request."""
+    """The response to a request of a user or a worker.
+
+    `request` is the handle that came in with the request: the core returns it unexamined.
+    `retry_after` is the header of that name, in seconds.
+    """
 
     request: object
     status: int
@@ -49,7 +75,7 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Everything the core wants done after an input."""
+    """Everything that the core has left to be carried out after an input, each kind in order."""
 
     calls: list[Call] = field(default_factory=list)
     replies: list[Reply] = field(default_factory=list)
@@ -57,9 +83,9 @@
     logs: list[LogRecord] = field(default_factory=list)
 
     def send(self, member: str, frame: Frame) -> None:
-        """Send a frame to another controller."""
+        """Queue a frame for another controller."""
         self.frames.append((member, frame))
 
     def log(self, level: LogLevel, event: LogEvent, **fields: object) -> None:
-        """Log an event with its fields."""
+        """Queue a log record: an event with its fields."""
         self.logs.append(LogRecord(level, event, fields))
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from copperpass.core.jobs.task_ids import task_id
-from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine, Placement
 from copperpass.core.scheduling.state import ShardState
@@ -153,9 +153,17 @@
             self._answered(at, outcome, machine, starts, ordered)
 
         body = encode(DirectCommands(machine.token, max(1, machine.agent_epoch), commands))
-        timeout = self.timing.report_s / 2 + 0.25
+        timeout_s = self.timing.report_s / 2 + 0.25
         self.context.out.calls.append(
-            Call("worker", "POST", COMMANDS_PATH, on_done, body, timeout, machine.address)
+            Call(
+                ExternalService.WORKER,
+                "POST",
+                COMMANDS_PATH,
+                on_done,
+                body,
+                timeout_s,
+                machine.address,
+            )
         )
 
     def _answered(
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -12,7 +12,7 @@
 )
 from copperpass.core.election.timings import CLOCK_DRIFT
 from copperpass.core.kvstore.keys import FENCING_TOKEN_KEY
-from copperpass.core.ports import Call, CallOutcome
+from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.core.shards.replication import ReplicationReceiver, ReplicationSender
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.frames.messages import (
@@ -247,7 +247,7 @@
 
         self.out.calls.append(
             Call(
-                "state",
+                ExternalService.STATE,
                 "POST",
                 TRANSACTION_PATH,
                 on_done,
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -14,7 +14,7 @@
 
 from copperpass import __version__
 from copperpass.core.node.node import Node
-from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome
+from copperpass.core.ports import NO_ANSWER, NOT_SENT, Call, CallOutcome, ExternalService
 from copperpass.log import write
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.net.client import HttpClient
@@ -57,8 +57,8 @@
             reactor, 1, max(16, max_connections // 4), 2 * settings.cluster.workers.lease_s
         )
         self.addresses = {
-            "state": settings.services.state,
-            "cloud": settings.services.cloud,
+            ExternalService.STATE: settings.services.state,
+            ExternalService.CLOUD: settings.services.cloud,
         }
         self.tick_s = min(0.1, settings.cluster.workers.report_s / 20)
         self.round_timer: Any = None
@@ -167,7 +167,7 @@
     def _send(self, call: Call) -> None:
         def on_response(status: int, body: bytes) -> None:
             try:
-                if status == NOT_SENT and call.service != "worker":
+                if status == NOT_SENT and call.service is not ExternalService.WORKER:
                     status = NO_ANSWER
                 call.on_done(self.now(), CallOutcome(status, body))
             except Exception:
@@ -175,8 +175,8 @@
             self._flush_outbox()
 
         address = call.address or self.addresses[call.service]
-        client = self.worker_client if call.service == "worker" else self.client
-        client.call(call.method, address, call.path, call.body, call.timeout, on_response)
+        client = self.worker_client if call.service is ExternalService.WORKER else self.client
+        client.call(call.method, address, call.path, call.body, call.timeout_s, on_response)
 
 
 def run(settings: Settings, tuning: Tuning) -> None:
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -35,7 +35,7 @@
 
 # The same for the classes of a node's parts.
 FORMER_PART_NAMES = {
-    "Call": {"on_done": "then"},
+    "Call": {"on_done": "then", "timeout_s": "timeout"},
     "Authority": {"has_authority": "entitled"},
     "Holder": {"has_authority": "entitled"},
 }
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -131,12 +131,12 @@
         for call in calls:
             self.output(
                 name,
-                call.service,
+                str(call.service),
                 call.address,
                 call.method,
                 call.path,
                 call.body,
-                call.timeout,
+                call.timeout_s,
             )
             self.send(name, life, call)
 
@@ -178,7 +178,7 @@
                 self.command(call, reply)
 
         self.carry(name, call.address or call.service, arrive)
-        self.after(call.timeout, lambda: finish(0, b""))
+        self.after(call.timeout_s, lambda: finish(0, b""))
 
     def serve_state(self, name, call, reply):
         """Have the state service carry a request out, as the failures of the moment let it."""
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -146,7 +146,7 @@
 
         late = self.rng.random() < 0.05
         self.after(self.rng.uniform(1.0, 8.0) if late else self.rng.uniform(0, 0.1), arrive)
-        self.after(call.timeout, lambda: finish(0, b""))
+        self.after(call.timeout_s, lambda: finish(0, b""))
 
     def inject_fault(self):
         act = self.rng.random()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -16,7 +16,7 @@
 
 def test_urgent_operations_do_not_queue_behind_batched_ones():
     out, order = Outbox(), []
-    transactions = TransactionQueue(out, write_rps=10.0, max_writes=4, timeout=1.0)
+    transactions = TransactionQueue(out, write_rps=10.0, max_writes=4, timeout_s=1.0)
     for n in range(30):
         transactions.submit(
             0.0,
