--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard's scheduler share and never change: collaborators, identity, times."""
+"""Collaborators, identity and timings that the parts of a shard's scheduler share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
-# The images that each machine has, with their sizes; kept beyond a single ownership.
+# The images that each machine has, with their sizes in GB; kept beyond a shard assignment.
 Images = dict[str, "OrderedDict[str, float]"]
 
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerContext:
-    """What a scheduler is given for one ownership of a shard."""
+    """The collaborators and identity of the scheduler of one shard assignment."""
 
     cluster: Cluster
     out: Outbox
@@ -44,33 +44,33 @@
     epoch: int
     generation: int
     token_version: Callable[[], int]
-    # Whether the shard is still owned at a moment.
+    # Whether this member still owns the shard at a moment.
     has_authority: Callable[[float], bool]
     tuning: Tuning = field(default_factory=Tuning)
     images: Images = field(default_factory=dict)
-    # What was confirmed before this moment is in the view.
+    # The watch cache has every change that was confirmed before this moment.
     consistent_at: Callable[[], float] = _never
 
     def schedules_team(self, team: str) -> bool:
-        """Whether a team is of this shard; teams that are not known count as its own."""
+        """Whether a team belongs to this shard; unknown teams count as belonging to it."""
         return self.shards.get(team, self.shard) == self.shard
 
 
 @dataclass(slots=True)
 class Timing:
-    """Times in seconds that follow from the settings; all but `boot_s` stay as they are."""
+    """Times in seconds that follow from the settings; all but `boot_s` are constant."""
 
     report_s: float
-    # After this long without an answer a worker has certainly ended its tasks.
+    # A worker that has had no answer for this long has certainly ended its tasks.
     lease_s: float
-    # For how long an owner of the term before may still answer workers.
+    # For this long an owner of the term before may still answer workers.
     overlap_s: float
-    # A machine that hasn't been heard for this long gets no new tasks.
+    # A machine without a heartbeat for this long gets no new tasks.
     heartbeat_timeout_s: float
-    # A worker that loses its way is back, over another node, after this long at most: to delete
-    # its machine sooner would cost its tasks.
+    # A worker whose controller is unreachable has found another one after this long at most: to
+    # delete its machine sooner would lose its tasks.
     unreachable_timeout_s: float
-    # The longest boot of any machine type; set again by the node when types have come.
+    # The longest boot of any machine type; the node updates it with the machine types.
     boot_s: float
     gang_notice_s: float
     gang_wait_s: float
@@ -81,9 +81,9 @@
         cluster, workers = context.cluster, context.cluster.workers
         report_s = workers.report_s
         heartbeat_timeout_s = context.tuning.silence_reports * report_s
-        # A leader of an older version that gives up, or comes back within a moment, ends its key
-        # before its grants: an owner of that term that hasn't seen it may answer workers for as
-        # long as a grant.
+        # A leader of an older version that resigns, or is re-elected at once, deletes its key
+        # before its grants have expired: an owner of that term that has no event of it yet may
+        # answer workers for the duration of a grant.
         partitioned = len(set(context.shards.values())) > 1
         rerouted_s = 1.25 * report_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -1,4 +1,4 @@
-"""Ends of tasks and jobs: stored in the state service, and what follows when a job is over."""
+"""Completions of tasks and jobs: storing them, and cleaning up after a completed job."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from copperpass.protocol.records import completed_job_value
 from copperpass.protocol.users import JobState
 
-# The part of the limits of a record that is used, which leaves room for what is estimated.
+# The part of a record's size limit that is used: sizes are estimates.
 RECORD_FILL_RATIO = 0.8
-# Ends are gathered for the time that as many writes take.
+# Completions are batched for the time that as many writes take at the lowest write rate.
 BATCHED_WRITES = 4
 
 
 class JobResults:
-    """Stores ends; the last end of a job makes it done."""
+    """Stores completions; a job is completed when all of its tasks are."""
 
     def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
         self.context, self.state, self.tasks = context, state, tasks
@@ -41,7 +41,7 @@
         )
 
     def store(self, now: float, job: Job) -> None:
-        """Store ends: the last makes the job done at once, the others are gathered."""
+        """Store a job's completions: at once if all tasks have completed, otherwise batched."""
         if job.completion_in_flight:
             return
         if not job.all_completed():
@@ -59,7 +59,7 @@
                 job.on_completions_stored(list(job.unstored))
                 self.context.jobs.jobs.pop(job.spec.id, None)
                 self.on_job_completed(done_at, job)
-            # On a conflict the watch brings the newer record; the next scan tries again.
+            # On a conflict the watch delivers the newer record, and the next scan retries.
 
         writes: list[Write] = [
             DeleteKey(key),
@@ -70,14 +70,14 @@
         self.context.transactions.submit(now, operation)
 
     def store_outstanding(self, now: float) -> None:
-        """Store all ends that are not stored, nor being stored."""
+        """Store all completions that are not stored, nor being stored."""
         for job in self.state.own_jobs():
-            # Also a job all of whose ends an earlier owner stored without ending it.
+            # Also a job whose completions were all stored by an earlier owner, but not its own.
             if (job.unstored or job.all_completed()) and not job.completion_in_flight:
                 self.store(now, job)
 
     def on_job_completed(self, now: float, job: Job) -> None:
-        """The job's record is gone: nothing of it may start, and all of it must go."""
+        """The job's record is deleted: no task of it may start, and all of them are stopped."""
         if not self.context.schedules_team(job.spec.team):
             return
         self.completions.remove(job)
@@ -86,7 +86,7 @@
         self.state.dirty = True
 
     def on_job_cancelled(self, now: float, job: Job) -> None:
-        """A job's cancellation is stored, whatever the view shows: its tasks go, none starts."""
+        """A job's cancellation is stored, though the watch cache may lag behind: stop its tasks."""
         if self.context.schedules_team(job.spec.team):
             self.tasks.stop_all(now, job, StopReason.CANCELLED)
             self.state.dirty = True
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of one shard of teams: their tasks on its machines, from reports to commands.
+"""The scheduler of one shard of teams: from heartbeats and job changes to commands for workers.
 
-The work is done by the parts in `core.scheduling`; here they are wired, and their interface to the
-node, the grants and the users is kept in one place.
+The work is done by the parts in `core.scheduling`; this module wires them, and is their only
+interface to the node, the grant client and the user API.
 """
 
 from __future__ import annotations
@@ -31,7 +31,10 @@
 
 
 class ShardScheduler:
-    """Commands the machines of one shard of teams; a new one is made for each ownership."""
+    """Schedules the tasks of one shard on its machines, for the time of one shard assignment.
+
+    Moments (`now`) are of the steady clock, in seconds.
+    """
 
     def __init__(self, context: SchedulerContext, *, revision: int, now: float) -> None:
         self.context = context
@@ -51,7 +54,7 @@
         self.demand = Demand(context, state, reservations)
         self.dispatcher = Dispatcher(self._dispatch_parts(tasks, reservations), now)
         self.next_scan_at = now
-        # What doesn't change hands, within easy reach of those who look at a scheduler.
+        # References that never change, for the node, the grant client and the tests.
         self.shard, self.generation, self.has_authority = (
             context.shard,
             context.generation,
@@ -87,36 +90,36 @@
     # -- events ------------------------------------------------------------------------
 
     def on_watch_synced(self, now: float) -> None:
-        """The view has caught up: what is not in it is over."""
+        """The watch cache has caught up: a job that is not in it has completed."""
         self.state.ready = True
         self.heartbeats.match_jobs()
         self.state.dirty = True
 
     def on_route(self, now: float, route: MachineRoute) -> None:
-        """The leader's table has a route for a machine."""
+        """The leader has replicated a route of a machine."""
         self.ownership.on_route(now, route)
 
     def worker_heartbeat(
         self, now: float, heartbeat: WorkerHeartbeat, relayed: bool = False
     ) -> HeartbeatAnswer | None:
-        """Take a worker's report; None when it must not be answered with 200.
+        """Handle a worker's heartbeat; None if it must not be answered with 200.
 
-        `relayed`: it came over another controller, since its worker doesn't reach this one.
+        `relayed`: another controller forwarded it, since its worker can't reach this one.
         """
         return self.heartbeats.worker_heartbeat(now, heartbeat, relayed)
 
     def on_job_completed(self, now: float, job: Job) -> None:
-        """The job's record is gone: nothing of it may start, and all of it must go."""
+        """The job's record is deleted: no task of it may start, and all of them are stopped."""
         self.results.on_job_completed(now, job)
 
     def on_job_cancelled(self, now: float, job: Job) -> None:
-        """A job's cancellation is stored, whatever the view shows: its tasks go, none starts."""
+        """A job's cancellation is stored, though the watch cache may lag behind: stop its tasks."""
         self.results.on_job_cancelled(now, job)
 
     # -- time --------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Everything that the passing of time asks for."""
+        """Run what is due: the scan, probes, batched completions, a dispatch round."""
         if not self.state.ready or not self.context.has_authority(now):
             return
         if now >= self.next_scan_at:
@@ -129,7 +132,7 @@
             self.dispatch_round(now)
 
     def scan(self, now: float) -> None:
-        """Look for leases that have ended, machines that are lost, and ends to be stored."""
+        """Check for expired worker leases, unresponsive machines and completions to be stored."""
         self.heartbeat_timeouts.scan(now)
         self.results.store_outstanding(now)
         self.state.dirty = True
@@ -138,26 +141,26 @@
         """One dispatch round."""
         self.dispatcher.run_round(now)
 
-    # -- what the leader is told -------------------------------------------------------
+    # -- reports to the leader ---------------------------------------------------------
 
     def statuses(self, now: float) -> list[MachineStatus]:
-        """What the leader should know of the machines and has not been told."""
+        """The statuses to report: changed ones, and those of released machines."""
         return self.ownership.statuses(now)
 
     def capacity_requests(self, now: float) -> list[PendingTasks]:
-        """Tasks that the machines have no room for in time: job, count, seconds left."""
+        """Pending tasks that the machines have no capacity for in time."""
         return self.demand.capacity_requests(now)
 
-    # -- state that others look at or set ------------------------------------------------
+    # -- state for the node and the grant client -----------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Whether the view has caught up with the beginning of the ownership."""
+        """Whether the watch cache has reached the revision at which the assignment began."""
         return self.state.ready
 
     @property
     def dirty(self) -> bool:
-        """Whether a dispatch round has something new to look at."""
+        """Whether something has changed that a dispatch round must consider."""
         return self.state.dirty
 
     @dirty.setter
@@ -166,12 +169,12 @@
 
     @property
     def last_heartbeat_at(self) -> float:
-        """When a worker was last heard in both directions."""
+        """When a worker last sent a heartbeat that proves connectivity in both directions."""
         return self.state.last_heartbeat_at
 
     @property
     def ended(self) -> bool:
-        """Whether the ownership has passed."""
+        """Whether the shard assignment has ended."""
         return self.state.ended
 
     @ended.setter
@@ -180,7 +183,7 @@
 
     @property
     def required_revision(self) -> int:
-        """Jobs created after it were not started by an earlier owner."""
+        """The revision after which created jobs were not started by an earlier owner."""
         return self.state.required_revision
 
     @required_revision.setter
@@ -189,7 +192,7 @@
 
     @property
     def on_demand_excess(self) -> bool:
-        """Whether dear machines could go back."""
+        """Whether on-demand machines could be scaled in."""
         return self.state.on_demand_excess
 
     @on_demand_excess.setter
@@ -198,7 +201,7 @@
 
     @property
     def needs_machines(self) -> bool:
-        """Whether the leader should be told of wants at once."""
+        """Whether capacity requests should be sent to the leader at once."""
         return self.state.needs_machines
 
     @needs_machines.setter
@@ -207,7 +210,7 @@
 
     @property
     def has_new_releases(self) -> bool:
-        """Whether the leader should be told of returned machines at once."""
+        """Whether released machines should be reported to the leader at once."""
         return self.state.has_new_releases
 
     @has_new_releases.setter
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -11,14 +11,14 @@
 from copperpass.protocol.frames.messages import MachineContact, MachineStatus
 from copperpass.settings import Team
 
-# How many of a team's latest tasks tell what its next ones will ask for.
+# How many of a team's latest tasks the resources of its next ones are estimated from.
 RECENT_TASKS_PER_TEAM = 64
 
 
 class ShardState:
-    """Machines, tasks and flags of one ownership.
+    """Machines, placements and flags of one shard assignment.
 
-    The containers are never replaced, so that the parts may hold on to them.
+    Invariant: the containers are never replaced, so that the parts may keep references to them.
     """
 
     def __init__(self, context: SchedulerContext, revision: int, now: float) -> None:
@@ -29,28 +29,29 @@
             team for team in cluster.teams if context.shards[team.name] == context.shard
         ]
         self.by_team = {team.name: team for team in self.teams}
-        # Jobs created after this revision can't have been started by an earlier owner.
+        # Jobs created after this revision can't have been started by an earlier owner of the shard.
         self.required_revision = revision
         self.owned_since = now
-        # The view has caught up with the revision at which the ownership began.
+        # The watch cache has reached the revision at which the assignment began.
         self.ready = False
-        # Set when the ownership has passed: answers that come later must not touch the jobs.
+        # The assignment has ended: answers that arrive later must not change the jobs.
         self.ended = False
-        # Something has changed that the next dispatch round should look at.
+        # Something has changed that a dispatch round must consider.
         self.dirty = False
-        # What the leader should be told at once: tasks in need of machines, machines given back.
+        # To be reported to the leader at once: tasks without capacity, released machines.
         self.needs_machines = self.has_new_releases = False
-        # Whether dear machines could go back: else they stay up, and any work may use them.
+        # On-demand machines could be scaled in; otherwise they stay up, and any work may use them.
         self.on_demand_excess = True
         self.machines: dict[str, Machine] = {}
         self.quota_usage = QuotaUsage()
-        # Machines taken over that may hold tasks which haven't been reported yet.
+        # Machines that were assigned with unknown tasks, which haven't been reported completely.
         self.unreconciled: set[str] = set()
-        # Machines of other shards where tasks of this shard may be, by the leader's word.
+        # Machines of other shards where tasks of this shard may be, by the leader's routes: type,
+        # zone, and whether it is a spot machine.
         self.other_shard_machines: dict[str, tuple[str, str, bool]] = {}
-        # Machines given back: their last status is told until the leader has moved them.
+        # Released machines: their last status is reported until the leader has reassigned them.
         self.released: dict[str, MachineStatus] = {}
-        # The machines where a job has or had tasks.
+        # The machines where each job has or had tasks.
         self.machines_of_job: dict[str, set[str]] = {}
         self.slos = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
         # CPUs, GPUs and memory of the latest tasks started, by team.
@@ -65,15 +66,15 @@
         return [job for job in self.context.jobs.jobs.values() if job.spec.team in by_team]
 
     def is_certainly_completed(self, placement: Placement) -> bool:
-        """Whether a task whose job is not in the view is certainly of a job that is over.
+        """Whether a task whose job is not in the watch cache is certainly of a completed job.
 
-        The view is newer than our win, or than the report that showed the task: when it was
-        started its job was there.
+        The cache is newer than the shard assignment, or than the heartbeat that listed the task:
+        the job's record existed when the task was started.
         """
         return self.ready or self.context.consistent_at() > placement.sent_at
 
     def release(self, machine: Machine, last_status: MachineStatus) -> None:
-        """Command a machine no more; its last status is told until the leader has moved it."""
+        """Send a machine no more commands; its last status is reported until it is reassigned."""
         del self.machines[machine.name]
         self.quota_usage.drop(machine)
         self.unreconciled.discard(machine.name)
@@ -81,7 +82,7 @@
         self.has_new_releases = self.dirty = True
 
     def release_if_empty(self, machine: Machine) -> bool:
-        """Give a machine back to the leader if it is proven empty; returns whether it was."""
+        """Release a machine to the leader if it is proven empty; returns whether it was."""
         if not (machine.empty() and machine.settled and machine.unreachable_since is None):
             return False
         contact = MachineContact(machine.address, machine.agent_epoch, machine.sequence)
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -1,4 +1,4 @@
-"""What reports say of single tasks: running, ended, refused; and of machines where tasks fail."""
+"""Statuses of single tasks in heartbeats, and the quarantine of machines where tasks fail."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
-# A job that has failed on as many machines has probably a mistake of its own.
+# A job that has failed on as many machines probably has a fault of its own.
 FAILED_MACHINES = 3
-# As many such jobs that fail on one machine show that the machine is sick.
+# As many jobs without such a fault that fail on one machine show that the machine is faulty.
 FAULTY_MACHINE_JOBS = 2
-# The wait after a failure doubles this often at most.
+# The backoff after a failure doubles at most this often.
 MAX_BACKOFF_DOUBLINGS = 6
 
 
 class TaskStatusHandler:
-    """Brings placements and jobs up to what reports say of their tasks."""
+    """Updates placements and jobs by the task statuses in heartbeats."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     def update(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
     ) -> None:
-        """A task is reported as being on a machine."""
+        """A heartbeat lists the placement, in any state."""
         was_active = placement.active
         placement.reported = True
         if placement.of_other_shard:
@@ -74,7 +74,7 @@
         status: TaskStatus,
         job: Job | None,
     ) -> None:
-        """A task that was active is reported as ended."""
+        """A task that was active is reported as exited."""
         placement.state, placement.exit_cause = TaskState.EXITED, status.exit_cause or ""
         machine.usage_stale = True
         if placement.exit_cause != ExitCause.DONE:
@@ -105,14 +105,14 @@
 
     @staticmethod
     def _is_current(machine: Machine, placement: Placement, job: Job) -> bool:
-        """Whether the placement is the one that the job counts on for its task."""
+        """Whether the placement is the one that the job has assigned for its task."""
         return job.assigned.get(placement.index) == machine.name and runs_alone(machine, placement)
 
     def _on_completed(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
         current = self._is_current(machine, placement, job)
         if job.spec.gang:
-            # They complete together: if one is done, all are. The others' machines may be lost with
-            # their reports, and nothing is left that could run again.
+            # They complete together: if one has completed, all have. The others' machines may be
+            # lost before they report it, and no task is left that could run again.
             job.unstored.update(i for i in range(job.spec.tasks) if not job.is_completed(i))
         machine.failed_jobs.clear()
         job.failed_on.clear()
@@ -138,19 +138,19 @@
         elif placement.exit_cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
             machine.backoff_until = now + report_s
         elif placement.exit_cause == ExitCause.UNKNOWN:
-            # The worker fetches the description itself and may have been told nothing yet.
+            # The worker reads the job's specification itself, and its read may lag behind.
             job.backoff_until = now + report_s
         if job.spec.gang:
             self.gangs.on_task_exited(now, job, placement)
 
     def _on_failed(self, now: float, machine: Machine, job: Job) -> None:
-        """Tell a sick machine (many jobs fail there) from a job with a mistake."""
+        """Back off, and distinguish a faulty machine, where many jobs fail, from a faulty job."""
         timing = self.state.timing
         job.failures += 1
         job.failed_on.add(machine.name)
         machine.failed_jobs.add(job.spec.id)
         if len(job.failed_on) >= FAILED_MACHINES:
-            # Guards the fleet against a job that fails everywhere: back off, longer each time.
+            # Guards the fleet against a job that fails everywhere: exponential backoff.
             wait = timing.report_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
             job.backoff_until = max(job.backoff_until, now + min(wait, timing.lease_s))
         jobs = self.jobs.jobs
@@ -159,8 +159,8 @@
             for name in machine.failed_jobs
             if name in jobs and len(jobs[name].failed_on) < FAILED_MACHINES
         ]
-        # A gang that fails here alone, again, while its other machines do well, finds nowhere else
-        # to go: it is the machine. One with a mistake fails on others too.
+        # A gang that fails repeatedly, and on this machine only, would be placed here again and
+        # again: the machine is faulty. A faulty gang fails on its other machines too.
         only_here = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
         if machine.quarantined:
             return
@@ -170,7 +170,7 @@
             machine.backoff_until = now + 2 * timing.report_s
 
     def _quarantine(self, now: float, machine: Machine, suspects: int) -> None:
-        """Give a sick machine nothing new, and take back what doesn't run there yet."""
+        """Start nothing more on a faulty machine, and stop the tasks that don't run there yet."""
         machine.quarantined = True
         self.out.log(
             LogLevel.INFO, LogEvent.MACHINE_QUARANTINED, machine=machine.name, jobs=suspects
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -1,4 +1,7 @@
-"""The life of tasks on machines: started, stopped, or proven not to be there."""
+"""The lifecycle of placements: started on a machine, stopped, or proven not to be there.
+
+Invariant: a task is requeued only once it is proven gone from the machine it was assigned to.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
 
-# Attempts are told apart by term, then by ownership within the term, then counted.
+# The bits of an attempt number: the term, the generation of the shard assignment in it, a count.
 EPOCH_SHIFT, GENERATION_SHIFT = 44, 28
-# What a task is given to save itself, as a multiple of what its job says that it takes.
+# The grace period of a stopped task, as a multiple of the checkpoint time that its job states.
 CHECKPOINT_GRACE_RATIO = 1.2
 
 
 def runs_alone(machine: Machine, placement: Placement) -> bool:
     """Whether no other attempt of the task runs on the machine.
 
-    Guards the attempt that runs: an ended one that was not cleared yet would free its task.
+    Guards the running attempt: an exited one that was not cleared yet would free its task.
     """
     return not any(
         other is not placement
@@ -37,7 +40,10 @@
 
 
 class TaskLifecycle:
-    """Places tasks on machines and takes them off; of a gang, all tasks of an attempt together."""
+    """Starts, stops and removes placements; a started gang is stopped as a whole.
+
+    Changes are sent with each machine's next commands.
+    """
 
     def __init__(self, context: SchedulerContext, state: ShardState, commands: Commands) -> None:
         self.context, self.state, self.commands = context, state, commands
@@ -49,7 +55,7 @@
         self.jobs = context.jobs
 
     def new_attempt(self, job: Job) -> int:
-        """Count one more attempt of a job; attempts of different owners never equal."""
+        """The number of the job's next attempt; it is unique over terms and shard assignments."""
         job.attempts += 1
         context = self.context
         return (
@@ -57,7 +63,7 @@
         )
 
     def start(self, now: float, job: Job, index: int, machine: Machine) -> None:
-        """Place a task on a machine; it is sent with the machine's next commands."""
+        """Assign a task to a machine; its start is sent with the machine's next commands."""
         spec = job.spec
         placement = Placement(
             job_id=spec.id,
@@ -84,7 +90,7 @@
         self.state.recent_tasks[spec.team].append((spec.cpus, spec.gpus, spec.memory_gb))
 
     def remove(self, now: float, machine: Machine, placement: Placement) -> None:
-        """A task is proven not to be on its machine."""
+        """A task is proven not to be on its machine: it may start elsewhere."""
         machine.tasks.pop(placement.key, None)
         if placement in machine.starts:
             machine.starts.remove(placement)
@@ -102,7 +108,7 @@
                     and placement.attempt == job.attempt
                     and not job.all_completed()
                 ):
-                    # The others notice and exit; what they did since the last checkpoint is lost.
+                    # The others exit without a checkpoint: the work since the last one is lost.
                     self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
                 job.finish_attempt()
         self.state.dirty = True
@@ -118,13 +124,13 @@
             self.state.release_if_empty(machine)
 
     def stop(self, now: float, placement: Placement, reason: StopReason, save: bool = True) -> None:
-        """Stop a task in order; of a gang that has begun all tasks, so that they save together.
+        """Stop a task gracefully; of a started gang all tasks, so that they checkpoint together.
 
-        Unless `save`, it is ended at once, and only what its last checkpoint has is kept.
+        Unless `save`, it has no grace period, and only its last checkpoint is kept.
         """
         job = self.jobs.jobs.get(placement.job_id)
         if job is None or not job.spec.gang or not job.gang_started or job.gang_ending:
-            # A gang that hasn't begun waits for a replacement under the same attempt.
+            # A gang that hasn't started waits for a replacement under the same attempt.
             request_stop(placement, reason, self._checkpoint_grace_s(placement) if save else 0.0)
         else:
             self.end_gang(now, job, reason, self._checkpoint_grace_s(placement))
@@ -132,10 +138,10 @@
     def end_gang(
         self, now: float, job: Job, reason: StopReason, grace_s: float, exit_cause: str = ""
     ) -> None:
-        """An attempt is over: all its tasks go, told as close together as can be.
+        """End an attempt: all its tasks are stopped, as close together in time as possible.
 
-        Another begins only when every one of them is proven gone. `exit_cause` is what the
-        machine said of the task that ended it.
+        Another begins only when every one of them is proven gone. `exit_cause` is that of the task
+        that ended the attempt, if one did.
         """
         if job.gang_ending:
             return
@@ -162,7 +168,7 @@
         job.finish_attempt()
 
     def stop_all(self, now: float, job: Job, reason: StopReason) -> None:
-        """Take back a job's starts, and stop all that is or may be there."""
+        """Withdraw a job's unsent starts, and stop its tasks wherever they may be."""
         for name in list(self.machines_of_job.get(job.spec.id, ())):
             machine = self.machines.get(name)
             if machine is None:
@@ -182,7 +188,7 @@
                 self.commands.send(now, machine)
 
     def _checkpoint_grace_s(self, placement: Placement) -> float:
-        """What a task is given to save itself when it is stopped."""
+        """The grace period of a stopped task in seconds: 0 if its job writes no checkpoints."""
         job = self.jobs.jobs.get(placement.job_id)
         return (
             CHECKPOINT_GRACE_RATIO * job.spec.save_s if job and job.spec.checkpoint_s > 0 else 0.0
