--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -7,7 +7,8 @@
 from copperpass.core.jobs.task_ids import task_id
 from copperpass.core.ports import Call, CallOutcome, ExternalService
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import Machine, Placement
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import Placement
 from copperpass.core.scheduling.state import ShardState
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.json_codec import encode
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job import Job
-from copperpass.core.scheduling.machines import Placement, StopReason
+from copperpass.core.scheduling.placements import Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.workers import ExitCause, TaskState
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -5,7 +5,8 @@
 from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.gang_placement import plan_gang
 from copperpass.core.scheduling.bin_packing.ranking import Ranking
-from copperpass.core.scheduling.machines import Machine, StopReason
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import StopReason
 from copperpass.core.scheduling.quota import ResourceUsage, exceeds_limit
 from copperpass.core.scheduling.reservation_planning import plan_gang_reservation
 from copperpass.core.scheduling.reservations import Reservations, reserve_machine
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -8,7 +8,8 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gang_monitor import GangMonitor
-from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import UNIDENTIFIED, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -6,7 +6,7 @@
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.operations import Operation, TransactionOutcome
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import StopReason
+from copperpass.core.scheduling.placements import StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionContext, CompletionStore
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -1,93 +1,21 @@
-"""Machines, and the tasks that are or may be on them.
-
-A task is where it may be. A placement ends only when a report proves the task
-gone, when its machine's session has ended, or when the cloud has confirmed that
-the machine is gone.
-"""
+"""Machines of a shard: their state, and the capacity that the tasks on them use."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
-from enum import StrEnum
 
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within
+from copperpass.core.scheduling.placements import UNIDENTIFIED, Key, Placement
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.frames.messages import MachineStatus
 from copperpass.protocol.users import JobSpec
-from copperpass.protocol.workers import TaskState
 
-Key = tuple[str, int, int]
-# The team of a task whose job is not known.
-UNIDENTIFIED = "?"
 # A machine type that names no rate is taken to fetch images at this one.
 MIN_FETCH_GB_PER_S = 1e-3
 NO_PRIORITY = 99
 
 
-class StopReason(StrEnum):
-    """Why a task is told to stop; the values go into the log."""
-
-    JOB_COMPLETED = "job completed"
-    CANCELLED = "job cancelled"
-    PREEMPTED = "preempted"
-    RECLAIMED = "reclaimed"
-    NOTICE = "interruption notice"
-    DUPLICATE = "duplicate attempt"
-    OTHER_SHARD = "task of another shard"
-    FAULTY_MACHINE = "machine quarantined"
-    # Of gangs: the attempt has ended, a task of it is gone, two attempts or no room for the rest.
-    ATTEMPT_ENDED = "attempt ended"
-    TASK_LOST = "task lost"
-    TASK_EXITED = "task exited"
-    TWO_ATTEMPTS = "two attempts"
-    NO_ROOM = "no capacity for the rest"
-
-
-@dataclass(slots=True)
-class Placement:
-    """One attempt of a task on one machine."""
-
-    job_id: str
-    index: int
-    attempt: int
-    machine: str
-    team: str
-    job_class: str
-    priority: int
-    cpus: float
-    gpus: float
-    memory_gb: float
-    image: str
-    estimate_s: float
-    state: str = ""
-    exit_cause: str = ""
-    sent_at: float = 0.0
-    running_at: float = 0.0
-    reported: bool = False
-    sent_sequence: int = -1
-    sent_directly: bool = False
-    barrier_token: int = 0
-    start_token: int = 0
-    stop_grace_s: float | None = None
-    stop_sent_at: float = 0.0
-    stop_reason: StopReason | None = None
-    stored: bool = False
-    # A task of another shard, which only its owner may judge.
-    of_other_shard: bool = False
-    shard: int = 255
-
-    @property
-    def key(self) -> Key:
-        """How the machine tells attempts apart."""
-        return (self.job_id, self.index, self.attempt)
-
-    @property
-    def active(self) -> bool:
-        """Whether the task takes room on its machine."""
-        return self.state != TaskState.EXITED
-
-
 @dataclass(slots=True)
 class Machine:
     """A rented machine."""
@@ -231,38 +159,3 @@
             and now >= self.backoff_until
             and now - self.last_heartbeat_at <= heartbeat_timeout_s
         )
-
-
-class QuotaUsage:
-    """What each team's tasks take on an owner's machines: sums kept up machine by machine."""
-
-    def __init__(self) -> None:
-        self.teams: dict[str, list[float]] = {}
-        self.unidentified: set[str] = set()
-
-    def recount(self, machine: Machine) -> None:
-        """Bring the sums up to a machine whose tasks have changed."""
-        self._add(machine, -1.0)
-        machine.recount()
-        self._add(machine, 1.0)
-        if machine.holds_unidentified:
-            self.unidentified.add(machine.name)
-        else:
-            self.unidentified.discard(machine.name)
-
-    def drop(self, machine: Machine) -> None:
-        """A machine is not the owner's any more."""
-        self._add(machine, -1.0)
-        machine.by_team = {}
-        self.unidentified.discard(machine.name)
-
-    def _add(self, machine: Machine, sign: float) -> None:
-        for team, (cpus, gpus) in machine.by_team.items():
-            sums = self.teams.setdefault(team, [0.0, 0.0])
-            sums[0] += sign * cpus
-            sums[1] += sign * gpus
-
-    def of(self, team: str) -> tuple[float, float]:
-        """CPUs and GPUs that a team's tasks take or may take."""
-        cpus, gpus = self.teams.get(team, (0.0, 0.0))
-        return cpus, gpus
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -4,7 +4,8 @@
 
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import Machine, StopReason
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.protocol.frames.messages import (
--- /dev/null
+++ b/src/copperpass/core/scheduling/placements.py
@@ -0,0 +1,79 @@
+"""Placements: the attempts of tasks that are, or may be, on a machine, and why they are stopped.
+
+A placement ends only when a heartbeat proves the task gone, when its machine's agent session has
+ended, or when the cloud has confirmed that the machine is deleted.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from copperpass.protocol.workers import TaskState
+
+Key = tuple[str, int, int]
+# The team of a task whose job is not known.
+UNIDENTIFIED = "?"
+
+
+class StopReason(StrEnum):
+    """Why a task is told to stop; the values go into the log."""
+
+    JOB_COMPLETED = "job completed"
+    CANCELLED = "job cancelled"
+    PREEMPTED = "preempted"
+    RECLAIMED = "reclaimed"
+    NOTICE = "interruption notice"
+    DUPLICATE = "duplicate attempt"
+    OTHER_SHARD = "task of another shard"
+    FAULTY_MACHINE = "machine quarantined"
+    # Of gangs: the attempt has ended, a task of it is gone, two attempts or no room for the rest.
+    ATTEMPT_ENDED = "attempt ended"
+    TASK_LOST = "task lost"
+    TASK_EXITED = "task exited"
+    TWO_ATTEMPTS = "two attempts"
+    NO_ROOM = "no capacity for the rest"
+
+
+@dataclass(slots=True)
+class Placement:
+    """One attempt of a task on one machine."""
+
+    job_id: str
+    index: int
+    attempt: int
+    machine: str
+    team: str
+    job_class: str
+    priority: int
+    cpus: float
+    gpus: float
+    memory_gb: float
+    image: str
+    estimate_s: float
+    state: str = ""
+    exit_cause: str = ""
+    sent_at: float = 0.0
+    running_at: float = 0.0
+    reported: bool = False
+    sent_sequence: int = -1
+    sent_directly: bool = False
+    barrier_token: int = 0
+    start_token: int = 0
+    stop_grace_s: float | None = None
+    stop_sent_at: float = 0.0
+    stop_reason: StopReason | None = None
+    stored: bool = False
+    # A task of another shard, which only its owner may judge.
+    of_other_shard: bool = False
+    shard: int = 255
+
+    @property
+    def key(self) -> Key:
+        """How the machine tells attempts apart."""
+        return (self.job_id, self.index, self.attempt)
+
+    @property
+    def active(self) -> bool:
+        """Whether the task takes room on its machine."""
+        return self.state != TaskState.EXITED
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -9,7 +9,8 @@
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within, zone_feasible
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import NO_PRIORITY, Machine, Placement, StopReason
+from copperpass.core.scheduling.machines import NO_PRIORITY, Machine
+from copperpass.core.scheduling.placements import Placement, StopReason
 from copperpass.core.scheduling.quota import ResourceUsage
 from copperpass.core.scheduling.reservations import reserve_machine
 from copperpass.core.scheduling.state import ShardState
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -17,9 +17,10 @@
 from copperpass.core.scheduling.heartbeat_timeouts import HeartbeatTimeoutScan
 from copperpass.core.scheduling.heartbeats import HeartbeatHandler
 from copperpass.core.scheduling.job_results import JobResults
-from copperpass.core.scheduling.machines import Machine, QuotaUsage
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.ownership import Ownership
 from copperpass.core.scheduling.preemption import Preemption
+from copperpass.core.scheduling.quota_usage import QuotaUsage
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -6,8 +6,10 @@
 
 from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.context import SchedulerContext, Timing
-from copperpass.core.scheduling.machines import Machine, Placement, QuotaUsage
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.core.scheduling.placements import Placement
+from copperpass.core.scheduling.quota_usage import QuotaUsage
 from copperpass.protocol.frames.messages import MachineContact, MachineStatus
 from copperpass.settings import Team
 
--- a/src/copperpass/core/scheduling/task_estimates.py
+++ b/src/copperpass/core/scheduling/task_estimates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.scheduling.machines import Placement
+from copperpass.core.scheduling.placements import Placement
 from copperpass.protocol.users import JobSpec
 
 # A task beyond its estimate is taken to need this part of what it has run already.
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -6,7 +6,8 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.job_results import JobResults
-from copperpass.core.scheduling.machines import UNIDENTIFIED, Machine, Placement, StopReason
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import UNIDENTIFIED, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.tasks import TaskLifecycle, request_stop, runs_alone
 from copperpass.log_events import LogEvent, LogLevel
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -8,7 +8,8 @@
 from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
-from copperpass.core.scheduling.machines import Machine, Placement, StopReason
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
--- a/src/copperpass/core/scheduling/victims.py
+++ b/src/copperpass/core/scheduling/victims.py
@@ -6,7 +6,8 @@
 
 from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.bin_packing.feasibility import fits_within, satisfies_constraints
-from copperpass.core.scheduling.machines import Machine, Placement
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import Placement
 from copperpass.core.scheduling.task_estimates import preemption_cost
 from copperpass.protocol.users import PRIORITY_LEVELS
 
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from copperpass.core.scheduling.machines import UNIDENTIFIED
+from copperpass.core.scheduling.placements import UNIDENTIFIED
 from copperpass.protocol.users import JobState
 from tests.earlier_versions import scheduler_attribute, shard_of
 from tests.simulation.faults import Faults
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -7,8 +7,9 @@
 
 from copperpass.core.jobs.job import make_job
 from copperpass.core.scheduling.bin_packing.ranking import PlacementPolicy, Ranking
-from copperpass.core.scheduling.machines import Machine, Placement
+from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.objectives import ServiceLevelObjectives
+from copperpass.core.scheduling.placements import Placement
 from copperpass.core.scheduling.reserved_types import ReservedTypes
 from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 from copperpass.protocol.json_codec import decode
