--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -80,7 +80,7 @@
         if machine.draining or machine.notice_until is not None:
             continue
         unresponsive = now - machine.last_heartbeat_at > heartbeat_timeout_s
-        if machine.up and (unresponsive or machine.unreachable_since is not None):
+        if machine.registered and (unresponsive or machine.unreachable_since is not None):
             continue
         cpus, gpus, memory_gb = machine.free_capacity()
         expected_releases = [
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -94,7 +94,7 @@
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> list[Command]:
         commands = []
-        for placement in machine.starts:
+        for placement in machine.pending_starts:
             placement.sent_sequence, placement.sent_directly, placement.sent_at = (
                 heartbeat.sequence,
                 False,
@@ -103,7 +103,7 @@
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
             commands.append(Command(CommandKind.START, name, placement.attempt))
-        machine.starts.clear()
+        machine.pending_starts.clear()
         return commands
 
     def send(self, now: float, machine: Machine) -> None:
@@ -127,8 +127,8 @@
             and placement.stop_grace_s is not None
             and placement.stop_sent_at == 0.0
         ]
-        if stops or machine.starts:
-            self._direct(now, machine, stops, list(machine.starts))
+        if stops or machine.pending_starts:
+            self._direct(now, machine, stops, list(machine.pending_starts))
 
     def _direct(
         self, now: float, machine: Machine, stops: list[Placement], starts: list[Placement]
@@ -145,7 +145,7 @@
             placement.start_token = machine.token
             name = task_id(placement.job_id, placement.index)
             commands.append(Command(CommandKind.START, name, placement.attempt))
-        machine.starts.clear()
+        machine.pending_starts.clear()
         machine.command_in_flight = True
         self.directs += 1
         ordered = bool(commands)
@@ -192,7 +192,7 @@
                 break
             machine = self.state.machines[name]
             if (
-                machine.settled
+                machine.reconciled
                 or machine.command_in_flight
                 or machine.deletion_requested
                 or not machine.address
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -22,7 +22,7 @@
     ) -> None:
         self.zones: dict[str, list[int]] = {}
         for machine in machines:
-            if machine.up or machine.name in unreconciled:
+            if machine.registered or machine.name in unreconciled:
                 counts = self.zones.setdefault(machine.zone, [0, 0])
                 counts[0] += now - machine.last_contact_at > silence
                 counts[1] += 1
@@ -83,17 +83,25 @@
             and waited > timing.unreachable_timeout_s
             and few
         )
-        if not machine.up and machine.recorded and (lost or (ended and waited > patience)):
+        if not machine.registered and machine.recorded and (lost or (ended and waited > patience)):
             # Known by its record alone, and silent for longer than a worker takes to find its way
             # while others are heard, or for a whole lease: it is gone or cut off. Its record would
             # hold up all older jobs, and the next change of leader too.
             return DeletionReason.NEVER_REGISTERED
-        if machine.up and quiet > timing.unreachable_timeout_s and (few or quiet > patience):
+        if (
+            machine.registered
+            and quiet > timing.unreachable_timeout_s
+            and (few or quiet > patience)
+        ):
             # A silent machine among speaking ones: have the cloud end it, which frees its tasks
             # sooner than its lease would. A whole zone is rather cut off than dead: its machines
             # are worth more when it is back than new ones, which would report to nobody either.
             return DeletionReason.HEARTBEAT_TIMEOUT
-        if machine.up and not machine.settled and now - machine.up_at > timing.lease_s:
+        if (
+            machine.registered
+            and not machine.reconciled
+            and now - machine.registered_at > timing.lease_s
+        ):
             # It speaks, but for a whole lease no answer has reached it: its session is over by
             # then, and a machine that can be commanded is worth more.
             return DeletionReason.ANSWERS_UNDELIVERED
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -31,7 +31,7 @@
     """Whether a report without the task proves that it is not, and will not be, there."""
     if placement.reported:
         return True
-    if placement in machine.starts:
+    if placement in machine.pending_starts:
         return False
     if placement.barrier_token:
         # The start went unanswered: only a report that has seen a higher token passes it.
@@ -67,7 +67,10 @@
         `relayed`: it came over another controller, since its worker doesn't reach this one.
         """
         machine = self.machines.get(heartbeat.machine)
-        if machine is None or heartbeat.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
+        if (
+            machine is None
+            or heartbeat.token >> HANDOVER_SHIFT > machine.base_token >> HANDOVER_SHIFT
+        ):
             return None
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             # A late copy: it changes nothing, and its answer carries no orders. What its answer
@@ -81,7 +84,7 @@
         self.apply(now, machine, heartbeat, True)
         if self._doubtful(now, machine):
             return None
-        if machine.settled:
+        if machine.reconciled:
             # Only two-way contact counts as hearing workers: a report alone may be a late copy.
             self.state.last_heartbeat_at = now
         machine.last_answer_at = max(machine.last_answer_at, now)
@@ -103,7 +106,7 @@
             self._mind_foreign(machine)
         else:
             machine.holds_other_shard = False
-            if machine.draining and not machine.starts:
+            if machine.draining and not machine.pending_starts:
                 self.state.release_if_empty(machine)
 
     def _apply_agent_epoch(
@@ -122,12 +125,12 @@
         machine.sequence = heartbeat.sequence
         machine.address = heartbeat.address
         machine.last_message_at = now
-        if full or not machine.up:
+        if full or not machine.registered:
             # Guards against a machine that can be commanded but can't report: nothing renews its
             # lease, so all that it is given is lost, and it must count as silent.
             machine.last_heartbeat_at = now
-        if not machine.up:
-            machine.up, machine.up_at, machine.idle_since = True, now, now
+        if not machine.registered:
+            machine.registered, machine.registered_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
     def _apply_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
@@ -137,8 +140,8 @@
             self._noticed(now, machine, until - now)
         if machine.unreachable_since is not None and heartbeat.token >= machine.probe_token:
             machine.unreachable_since, self.state.dirty = None, True
-        if not machine.settled and heartbeat.token >= machine.base:
-            machine.settled = True
+        if not machine.reconciled and heartbeat.token >= machine.base_token:
+            machine.reconciled = True
             self.state.unreconciled.discard(machine.name)
             self.state.dirty = True
 
@@ -175,7 +178,7 @@
             shard = next((p.shard for p in foreign if p.shard != NO_SHARD), NO_SHARD)
             if shard != NO_SHARD:
                 last = MachineStatus(
-                    machine.name, machine.base, registered=True, released=True, shard=shard
+                    machine.name, machine.base_token, registered=True, released=True, shard=shard
                 )
                 self.state.release(machine, last)
                 return
@@ -263,7 +266,7 @@
     def _noticed(self, now: float, machine: Machine, left: float) -> None:
         """The cloud takes the machine soon: let end what can end, move the rest in time."""
         self.state.dirty = True
-        for placement in list(machine.starts):
+        for placement in list(machine.pending_starts):
             self.tasks.remove(now, machine, placement)
         for placement in list(machine.tasks.values()):
             if not placement.active or placement.stop_grace_s is not None:
@@ -321,7 +324,7 @@
         """Take what an answer reports, if it is newer than what is known."""
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             return
-        if heartbeat.token >> HANDOVER_SHIFT > machine.base >> HANDOVER_SHIFT:
+        if heartbeat.token >> HANDOVER_SHIFT > machine.base_token >> HANDOVER_SHIFT:
             return
         if heartbeat.agent_epoch != machine.agent_epoch:
             # It was asked under a session that is over; now the right one is known.
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -25,13 +25,13 @@
     zone: str
     spot: bool
     # The lowest token of this handover; `token` is raised above it when needed.
-    base: int = 0
+    base_token: int = 0
     address: str = ""
     token: int = 0
     agent_epoch: int = 0
     sequence: int = 0
     recorded: bool = False
-    settled: bool = False
+    reconciled: bool = False
     # Tasks of another shard are here.
     holds_other_shard: bool = False
     # The leader wants it back as soon as it is empty.
@@ -40,8 +40,8 @@
     unreachable_since: float | None = None
     probe_token: int = 0
     relayed_until: float = float("-inf")
-    up: bool = False
-    up_at: float = 0.0
+    registered: bool = False
+    registered_at: float = 0.0
     last_heartbeat_at: float = float("-inf")
     # The same, answers of `/do` included: those a machine gives that reaches no controller itself.
     last_message_at: float = float("-inf")
@@ -63,7 +63,7 @@
     command_backoff_until: float = 0.0
     failed_jobs: set[str] = field(default_factory=set)
     tasks: dict[Key, Placement] = field(default_factory=dict)
-    starts: list[Placement] = field(default_factory=list)
+    pending_starts: list[Placement] = field(default_factory=list)
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     # What the active tasks take, added up by `recount` whenever they have changed: in all, and by
     # team; the lowest priority among them; whether one is of a job that is not known.
@@ -88,7 +88,7 @@
 
     def empty(self) -> bool:
         """Whether nothing is here, nor on its way, for certain."""
-        return not (self.tasks or self.starts or self.command_in_flight)
+        return not (self.tasks or self.pending_starts or self.command_in_flight)
 
     def recount(self) -> None:
         """Add up what the active tasks take."""
@@ -146,9 +146,9 @@
     def usable(self, now: float, heartbeat_timeout_s: float) -> bool:
         """Whether tasks may be started here."""
         return (
-            self.up
+            self.registered
             and self.recorded
-            and self.settled
+            and self.reconciled
             and self.unreachable_since is None
             and not self.deletion_requested
             and not self.draining
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -40,7 +40,7 @@
             self._on_foreign_route(now, route, machine)
             return
         state.other_shard_machines.pop(name, None)
-        if machine is not None and route.base_token > machine.base and not state.ready:
+        if machine is not None and route.base_token > machine.base_token and not state.ready:
             self._discard(now, machine)
             machine = None
         if machine is None and name not in state.released:
@@ -94,8 +94,8 @@
         if route.proven_empty and route.contact is not None:
             # It can be commanded at once.
             machine.sequence = route.contact.sequence
-            machine.settled = machine.up = True
-            machine.up_at = machine.last_heartbeat_at = machine.last_answer_at = now
+            machine.reconciled = machine.registered = True
+            machine.registered_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif route.recorded and route.occupancy != Occupancy.EMPTY:
             # An earlier commander may have answered the worker up to this moment, or may yet.
             machine.last_answer_at = now + self.state.timing.overlap_s
@@ -107,7 +107,7 @@
         if self.state.release_if_empty(machine) or not drain:
             return
         machine.draining = True
-        for placement in list(machine.starts):
+        for placement in list(machine.pending_starts):
             self.tasks.remove(now, machine, placement)
         for placement in list(machine.tasks.values()):
             if placement.active and placement.stop_grace_s is None:
@@ -129,9 +129,12 @@
         for machine in self.machines.values():
             # What is held for somebody must not be taken for idle and given back.
             idle = (
-                machine.up and machine.recorded and machine.empty() and now >= machine.retain_until
+                machine.registered
+                and machine.recorded
+                and machine.empty()
+                and now >= machine.retain_until
             )
-            settled = machine.settled and not machine.holds_other_shard
+            settled = machine.reconciled and not machine.holds_other_shard
             if self._is_news(machine, idle, settled):
                 machine.last_status_session = machine.agent_epoch
                 machine.last_status = self._status(machine, idle, settled)
@@ -143,8 +146,8 @@
         last = machine.last_status
         return (
             last is None
-            or last.base_token != machine.base
-            or last.registered != machine.up
+            or last.base_token != machine.base_token
+            or last.registered != machine.registered
             or last.idle != idle
             or last.reconciled != settled
             or last.deletion_requested != machine.deletion_requested
@@ -154,11 +157,11 @@
 
     @staticmethod
     def _status(machine: Machine, idle: bool, settled: bool) -> MachineStatus:
-        known = machine.address and machine.up
+        known = machine.address and machine.registered
         return MachineStatus(
             machine.name,
-            machine.base,
-            machine.up,
+            machine.base_token,
+            machine.registered,
             settled,
             idle,
             deletion_requested=machine.deletion_requested,
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -85,14 +85,14 @@
 
     def release_if_empty(self, machine: Machine) -> bool:
         """Release a machine to the leader if it is proven empty; returns whether it was."""
-        if not (machine.empty() and machine.settled and machine.unreachable_since is None):
+        if not (machine.empty() and machine.reconciled and machine.unreachable_since is None):
             return False
         contact = MachineContact(machine.address, machine.agent_epoch, machine.sequence)
         self.release(
             machine,
             MachineStatus(
                 machine.name,
-                machine.base,
+                machine.base_token,
                 registered=True,
                 reconciled=True,
                 idle=True,
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -179,5 +179,5 @@
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
                 request_stop(placement, StopReason.FAULTY_MACHINE)
-        for placement in list(machine.starts):
+        for placement in list(machine.pending_starts):
             self.tasks.remove(now, machine, placement)
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -83,7 +83,7 @@
         )
         machine.tasks[placement.key] = placement
         self.machines_of_job.setdefault(spec.id, set()).add(machine.name)
-        machine.starts.append(placement)
+        machine.pending_starts.append(placement)
         machine.idle_since = now
         machine.touch_image(spec.image, spec.image_gb)
         self.quota_usage.recount(machine)
@@ -93,8 +93,8 @@
     def remove(self, now: float, machine: Machine, placement: Placement) -> None:
         """A task is proven not to be on its machine: it may start elsewhere."""
         machine.tasks.pop(placement.key, None)
-        if placement in machine.starts:
-            machine.starts.remove(placement)
+        if placement in machine.pending_starts:
+            machine.pending_starts.remove(placement)
         job = self.jobs.jobs.get(placement.job_id)
         assigned = (
             placement.active
@@ -119,7 +119,7 @@
         """A machine's session has ended, and with it all of its tasks."""
         for placement in list(machine.tasks.values()):
             self.remove(now, machine, placement)
-        machine.starts.clear()
+        machine.pending_starts.clear()
         machine.images.clear()
         if machine.draining:
             self.state.release_if_empty(machine)
@@ -161,7 +161,7 @@
             for placement in list(machine.tasks.values()):
                 if placement.job_id != job.spec.id or not placement.active:
                     continue
-                if placement in machine.starts:
+                if placement in machine.pending_starts:
                     self.remove(now, machine, placement)
                 elif placement.stop_grace_s is None:
                     request_stop(placement, reason, grace_s)
@@ -179,7 +179,7 @@
                 if placement.job_id != job.spec.id:
                     continue
                 affected = True
-                if placement in machine.starts:
+                if placement in machine.pending_starts:
                     self.remove(now, machine, placement)
                 elif placement.active:
                     request_stop(placement, reason)
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -145,7 +145,9 @@
     bench.tell("running", "running", "running")
     bench.tell("running", "!mates_gone", "running")
     late = bench.take_over("m-2")
-    heartbeat = bench.message([("req-000001/1", bench.attempt, "gathering", None)], late.base, 1, 1)
+    heartbeat = bench.message(
+        [("req-000001/1", bench.attempt, "gathering", None)], late.base_token, 1, 1
+    )
     heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
     answer = bench.scheduler.worker_heartbeat(bench.now, heartbeat)
     assert bench.verbs(answer) == [(CommandKind.STOP, "1")]
@@ -168,7 +170,7 @@
 
     def copy(sequence, *tasks):
         bench.now += 1.0
-        heartbeat = bench.message(tasks, late.base, 1, sequence)
+        heartbeat = bench.message(tasks, late.base_token, 1, sequence)
         heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
         return bench.scheduler.worker_heartbeat(bench.now, heartbeat)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -46,7 +46,7 @@
     taken = bench.now
     bench.now += 11.9
     bench.scheduler.tick(bench.now)
-    for status, token, sequence in ((409, 1, 7), (200, machine.base, 8)):
+    for status, token, sequence in ((409, 1, 7), (200, machine.base_token, 8)):
         (probe,) = bench.take("worker")
         probe.on_done(bench.now, CallOutcome(status, heartbeat_body("m-9", [], token, 4, sequence)))
         bench.scheduler.commands.probe(bench.now)
@@ -54,7 +54,9 @@
     call, attempt = bench.start()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
-    call.on_done(bench.now, CallOutcome(200, heartbeat_body("m-9", tasks, machine.base, 4, 9)))
+    call.on_done(
+        bench.now, CallOutcome(200, heartbeat_body("m-9", tasks, machine.base_token, 4, 9))
+    )
     bench.scheduler.scan(taken + bench.scheduler.timing.lease_s + 0.1)
     assert bench.job.assigned == {0: "m-9"}
     bench.scheduler.scan(bench.now + bench.scheduler.timing.lease_s + 0.1)
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -132,8 +132,8 @@
 def fleet_of(bench, zones):
     for number, zone in enumerate(zones):
         machine = Machine(f"m-{number:03d}", bench.scheduler.context.types["box"], zone, True)
-        machine.up = machine.settled = True
-        machine.up_at = bench.now
+        machine.registered = machine.reconciled = True
+        machine.registered_at = bench.now
         machine.last_heartbeat_at = machine.last_answer_at = bench.now
         bench.scheduler.machines[machine.name] = machine
     return list(bench.scheduler.machines.values())[1:]
@@ -208,12 +208,14 @@
 
     # Its session has changed since: that answer shows no new token, so it proves nothing.
     probe.on_done(bench.now, CallOutcome(409, answer(4, 1, 7)))
-    assert not machine.settled and bench.scheduler.unreconciled == {"m-9"}
+    assert not machine.reconciled and bench.scheduler.unreconciled == {"m-9"}
     bench.scheduler.tick(bench.now)
     (probe,) = bench.take("worker")
     assert json.loads(probe.body)["shift"] == 4
-    probe.on_done(bench.now, CallOutcome(200, answer(4, machine.base, 8)))
-    assert machine.settled and not bench.scheduler.unreconciled and bench.job.assigned == {0: "m-9"}
+    probe.on_done(bench.now, CallOutcome(200, answer(4, machine.base_token, 8)))
+    assert (
+        machine.reconciled and not bench.scheduler.unreconciled and bench.job.assigned == {0: "m-9"}
+    )
 
 
 def test_an_unanswered_probe_proves_nothing_and_is_sent_again_later():
@@ -228,7 +230,7 @@
         assert not bench.take("worker")
         assert not bench.scheduler.demand.is_startable(bench.job, bench.now)
         bench.now += bench.scheduler.timing.report_s
-    assert machine.name in bench.scheduler.unreconciled and not machine.settled
+    assert machine.name in bench.scheduler.unreconciled and not machine.reconciled
 
 
 def test_a_higher_authority_is_not_talked_over():
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -163,7 +163,7 @@
         bench.scheduler.on_route(
             bench.now, MachineRoute(name, "box", "a", True, 0, bench.token, recorded=True)
         )
-        bench.scheduler.machines[name].settled = True
+        bench.scheduler.machines[name].reconciled = True
     bench.add(1, tasks=2)
     bench.scheduler.dispatch_round(bench.now)
     for _ in range(3):
