--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -9,7 +9,7 @@
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.placements import UNIDENTIFIED, Placement, StopReason
 from copperpass.core.scheduling.state import ShardState
-from copperpass.core.scheduling.tasks import TaskLifecycle, request_stop, runs_alone
+from copperpass.core.scheduling.tasks import TaskLifecycle, is_current, request_stop
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
@@ -104,13 +104,8 @@
             runtime_s=round(now - placement.running_at, 1) if placement.running_at else 0,
         )
 
-    @staticmethod
-    def _is_current(machine: Machine, placement: Placement, job: Job) -> bool:
-        """Whether the placement is the one that the job has assigned for its task."""
-        return job.assigned.get(placement.index) == machine.name and runs_alone(machine, placement)
-
     def _on_completed(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
-        current = self._is_current(machine, placement, job)
+        current = is_current(machine, placement, job)
         if job.spec.gang:
             # They complete together: if one has completed, all have. The others' machines may be
             # lost before they report it, and no task is left that could run again.
@@ -131,7 +126,7 @@
         self, now: float, machine: Machine, placement: Placement, job: Job
     ) -> None:
         placement.stored = True
-        if self._is_current(machine, placement, job):
+        if is_current(machine, placement, job):
             job.requeue(placement.index)
         report_s = self.state.timing.report_s
         if placement.exit_cause == ExitCause.ERROR:
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -20,12 +20,13 @@
 CHECKPOINT_GRACE_RATIO = 1.2
 
 
-def runs_alone(machine: Machine, placement: Placement) -> bool:
-    """Whether no other attempt of the task runs on the machine.
+def is_current(machine: Machine, placement: Placement, job: Job) -> bool:
+    """Whether the placement is the one that the job has assigned for its task.
 
-    Guards the running attempt: an exited one that was not cleared yet would free its task.
+    Not if another attempt of the task runs on the machine: an exited one that was not cleared yet
+    would free the task of the running one.
     """
-    return not any(
+    return job.assigned.get(placement.index) == machine.name and not any(
         other is not placement
         and other.active
         and other.index == placement.index
@@ -96,25 +97,19 @@
         if placement in machine.pending_starts:
             machine.pending_starts.remove(placement)
         job = self.jobs.jobs.get(placement.job_id)
-        assigned = (
-            placement.active
-            and job is not None
-            and job.assigned.get(placement.index) == machine.name
-        )
-        if assigned and job is not None and runs_alone(machine, placement):
+        if job is not None and placement.active and is_current(machine, placement, job):
             job.requeue(placement.index)
             if job.spec.gang:
-                if (
-                    job.gang_started
-                    and placement.attempt == job.attempt
-                    and not job.all_completed()
-                ):
-                    # The others exit without a checkpoint: the work since the last one is lost.
-                    self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
-                job.finish_attempt()
+                self._on_gang_task_lost(now, job, placement)
         self.state.dirty = True
         self.quota_usage.recount(machine)
 
+    def _on_gang_task_lost(self, now: float, job: Job, placement: Placement) -> None:
+        if job.gang_started and placement.attempt == job.attempt and not job.all_completed():
+            # The others exit without a checkpoint: the work since the last one is lost.
+            self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
+        job.finish_attempt()
+
     def on_session_ended(self, now: float, machine: Machine) -> None:
         """A machine's session has ended, and with it all of its tasks."""
         for placement in list(machine.tasks.values()):
