--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from copperpass.core.jobs.job import Job
 from copperpass.core.scheduling.context import SchedulerContext, Timing
@@ -17,6 +18,14 @@
 RECENT_TASKS_PER_TEAM = 64
 
 
+class TaskResources(NamedTuple):
+    """What one task takes of its machine."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
 class ShardState:
     """Machines, placements and flags of one shard assignment.
 
@@ -56,8 +65,8 @@
         # The machines where each job has or had tasks.
         self.machines_of_job: dict[str, set[str]] = {}
         self.slos = ServiceLevelObjectives(cluster.objectives, context.tuning.patience_s)
-        # CPUs, GPUs and memory of the latest tasks started, by team.
-        self.recent_tasks: dict[str, deque[tuple[float, float, float]]] = {
+        # The latest tasks started, by team.
+        self.recent_tasks: dict[str, deque[TaskResources]] = {
             team.name: deque(maxlen=RECENT_TASKS_PER_TEAM) for team in self.teams
         }
         self.last_heartbeat_at = now
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -10,7 +10,7 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.placements import Placement, StopReason
-from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.state import ShardState, TaskResources
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
 
@@ -89,7 +89,9 @@
         machine.touch_image(spec.image, spec.image_gb)
         self.quota_usage.recount(machine)
         job.assigned[index] = machine.name
-        self.state.recent_tasks[spec.team].append((spec.cpus, spec.gpus, spec.memory_gb))
+        self.state.recent_tasks[spec.team].append(
+            TaskResources(spec.cpus, spec.gpus, spec.memory_gb)
+        )
 
     def remove(self, now: float, machine: Machine, placement: Placement) -> None:
         """A task is proven not to be on its machine: it may start elsewhere."""
