--- /dev/null
+++ b/src/copperpass/core/scheduling/command_results.py
@@ -0,0 +1,76 @@
+"""Results of direct commands: what has become of the starts, and the status in the answer."""
+
+from __future__ import annotations
+
+from copperpass.core.ports import NOT_SENT
+from copperpass.core.scheduling.commands import Commands, DirectResult
+from copperpass.core.scheduling.heartbeats import HeartbeatHandler
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.core.shards.fencing_tokens import HANDOVER_SHIFT
+from copperpass.protocol.json_codec import decode
+from copperpass.protocol.workers import WorkerHeartbeat
+
+
+class CommandResultHandler:
+    """Applies the results of direct requests; an answer carries the same status as a heartbeat."""
+
+    def __init__(
+        self,
+        state: ShardState,
+        commands: Commands,
+        tasks: TaskLifecycle,
+        heartbeats: HeartbeatHandler,
+    ) -> None:
+        self.state, self.commands, self.tasks = state, commands, tasks
+        self.heartbeats = heartbeats
+
+    def on_result(self, now: float, machine: Machine, result: DirectResult) -> None:
+        """A direct request was answered, or has failed: settle its starts, send what waits."""
+        status = result.outcome.status
+        heartbeat = None
+        if status in (200, 409):
+            heartbeat = decode(result.outcome.body, WorkerHeartbeat)
+        unconfirmed = [
+            placement
+            for placement in result.starts
+            if machine.tasks.get(placement.key) is placement and not placement.reported
+        ]
+        if status == NOT_SENT and result.had_commands:
+            # No connection: what runs there can't be reached, so it gets no new tasks for now.
+            self._back_off(now, machine)
+        if status in (400, 409, NOT_SENT):
+            # Nothing was executed, for certain.
+            for placement in unconfirmed:
+                self.tasks.remove(now, machine, placement)
+        elif (status != 200 or heartbeat is None) and result.had_commands:
+            # Outcome unknown: it may be executed at any later time, until the worker has accepted
+            # a higher token or begun another agent epoch.
+            self._back_off(now, machine)
+            for placement in unconfirmed:
+                placement.barrier_token = machine.token
+        if heartbeat is not None:
+            self._apply_status(now, machine, heartbeat)
+        if status == 200:
+            for placement in unconfirmed:
+                if not placement.reported and machine.tasks.get(placement.key) is placement:
+                    placement.sent_sequence = machine.sequence
+        self.state.dirty = True
+        self.commands.send(now, machine)
+
+    def _back_off(self, now: float, machine: Machine) -> None:
+        """Send nothing directly for a while, and no new tasks until contact is proven."""
+        machine.command_backoff_until = now + 2 * self.state.timing.report_s
+        self.commands.suspect_unreachable(now, machine)
+
+    def _apply_status(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
+        """Apply the status in an answer, if it is newer than the last one."""
+        if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
+            return
+        if heartbeat.token >> HANDOVER_SHIFT > machine.base_token >> HANDOVER_SHIFT:
+            return
+        if heartbeat.agent_epoch != machine.agent_epoch:
+            # The request named an agent epoch that has ended; now the current one is known.
+            machine.next_probe_at = now
+        self.heartbeats.apply(now, machine, heartbeat, unsolicited=False)
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -1,8 +1,9 @@
-"""Commands to workers: in answers to reports, sent directly, and probes without commands."""
+"""Commands to workers: in answers to heartbeats, sent directly, and probes without commands."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from copperpass.core.jobs.task_ids import task_id
 from copperpass.core.ports import Call, CallOutcome, ExternalService
@@ -21,38 +22,59 @@
     WorkerHeartbeat,
 )
 
-# The part of all connections that direct commands of all shards together may take, and the least
+# The part of all connections that direct requests of all shards together may use, and the least
 # number for one shard.
-CONNECTIONS_PER_DIRECT = 8
-LEAST_DIRECTS = 8
+CONNECTIONS_PER_DIRECT_REQUEST = 8
+MIN_DIRECT_REQUESTS = 8
 
-# Takes the answer to a direct command: now, outcome, machine, the starts that were sent, and
-# whether any command was sent.
-DirectAnswer = Callable[[float, CallOutcome, Machine, list[Placement], bool], None]
+
+@dataclass(frozen=True, slots=True)
+class DirectResult:
+    """How a direct request ended, the starts in it, and whether it had any command."""
+
+    outcome: CallOutcome
+    starts: list[Placement]
+    had_commands: bool
+
+
+OnDirectResult = Callable[[float, Machine, DirectResult], None]
+
+
+def _start_command(placement: Placement) -> Command:
+    name = task_id(placement.job_id, placement.index)
+    return Command(CommandKind.START, name, placement.attempt)
+
+
+def _stop_command(placement: Placement) -> Command:
+    name = task_id(placement.job_id, placement.index)
+    return Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
 
 
 class Commands:
     """Sends starts, stops and clearances; at most one direct request a machine at a time.
 
-    `on_answer` is set by the scheduler that wires the parts, before the first command.
+    `on_result` is set by the scheduler that wires the parts, before the first command.
     """
 
-    on_answer: DirectAnswer
+    on_result: OnDirectResult
 
     def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.context, self.state = context, state
         self.timing = state.timing
-        # Commands that are being sent straight to workers, and how many may be at once.
-        self.directs = 0
+        # Direct requests without a result yet, and how many there may be.
+        self.requests_in_flight = 0
         shards = len(set(context.shards.values()))
         connections = context.cluster.resources.max_connections
-        self.most_directs = max(LEAST_DIRECTS, connections // (CONNECTIONS_PER_DIRECT * shards))
+        self.max_requests = max(
+            MIN_DIRECT_REQUESTS, connections // (CONNECTIONS_PER_DIRECT_REQUEST * shards)
+        )
 
     def suspect_unreachable(self, now: float, machine: Machine) -> None:
-        """What was sent has not arrived for certain, although reports do: it may be deaf.
+        """What was sent has certainly not arrived, although heartbeats may still come in.
 
-        Such a machine would swallow starts again and again. It gets no new work until it shows a
-        token that only an answer of ours can have brought it, which takes a report if all is well.
+        The starts sent to such a machine would be lost again and again. It gets no new tasks until
+        it shows a token that only an answer of this owner can have brought it, which takes one
+        heartbeat if all is well.
         """
         machine.token += 1
         machine.probe_token = machine.token
@@ -65,24 +87,24 @@
     def for_heartbeat(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> list[Command]:
-        """What the answer to a report tells the worker to do."""
+        """The commands in the answer to a heartbeat."""
         if not self.context.has_authority(now):
             return []
         commands: list[Command] = []
         raise_token = False
         for placement in machine.tasks.values():
-            name = task_id(placement.job_id, placement.index)
             if placement.state == TaskState.EXITED:
                 if not placement.stored or not placement.reported:
                     continue
                 if placement.sent_directly and placement.start_token >= heartbeat.token:
-                    # A repeat of the start could still arrive: pass it with a higher token first.
+                    # A repeat of the start could still arrive: have the worker accept a higher
+                    # token first.
                     raise_token = raise_token or machine.token <= placement.start_token
                     continue
+                name = task_id(placement.job_id, placement.index)
                 commands.append(Command(CommandKind.FORGET, name, placement.attempt))
             elif placement.stop_grace_s is not None and placement.reported:
-                stop = Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
-                commands.append(stop)
+                commands.append(_stop_command(placement))
                 placement.stop_sent_at = now
         if not machine.command_in_flight:
             if raise_token:
@@ -95,14 +117,9 @@
     ) -> list[Command]:
         commands = []
         for placement in machine.pending_starts:
-            placement.sent_sequence, placement.sent_directly, placement.sent_at = (
-                heartbeat.sequence,
-                False,
-                now,
-            )
-            placement.start_token = machine.token
-            name = task_id(placement.job_id, placement.index)
-            commands.append(Command(CommandKind.START, name, placement.attempt))
+            placement.sent_sequence, placement.sent_directly = heartbeat.sequence, False
+            placement.sent_at, placement.start_token = now, machine.token
+            commands.append(_start_command(placement))
         machine.pending_starts.clear()
         return commands
 
@@ -115,8 +132,8 @@
             or now < max(machine.command_backoff_until, machine.relayed_until)
             or not self.context.has_authority(now)
             or machine.deletion_requested
-            # Beyond the sockets that are kept for this, orders go with answers to reports.
-            or self.directs >= self.most_directs
+            # Beyond the sockets that are kept for this, commands go with answers to heartbeats.
+            or self.requests_in_flight >= self.max_requests
         ):
             return
         stops = [
@@ -128,30 +145,26 @@
             and placement.stop_sent_at == 0.0
         ]
         if stops or machine.pending_starts:
-            self._direct(now, machine, stops, list(machine.pending_starts))
+            self._send_request(now, machine, stops, list(machine.pending_starts))
 
-    def _direct(
+    def _send_request(
         self, now: float, machine: Machine, stops: list[Placement], starts: list[Placement]
     ) -> None:
         commands = []
         for placement in stops:
             placement.stop_sent_at = now
-            name = task_id(placement.job_id, placement.index)
-            commands.append(
-                Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
-            )
+            commands.append(_stop_command(placement))
         for placement in starts:
             placement.sent_at, placement.sent_directly = now, True
             placement.start_token = machine.token
-            name = task_id(placement.job_id, placement.index)
-            commands.append(Command(CommandKind.START, name, placement.attempt))
+            commands.append(_start_command(placement))
         machine.pending_starts.clear()
         machine.command_in_flight = True
-        self.directs += 1
-        ordered = bool(commands)
+        self.requests_in_flight += 1
+        had_commands = bool(commands)
 
-        def on_done(at: float, outcome: CallOutcome) -> None:
-            self._answered(at, outcome, machine, starts, ordered)
+        def on_done(done_at: float, outcome: CallOutcome) -> None:
+            self._on_done(done_at, machine, DirectResult(outcome, starts, had_commands))
 
         body = encode(DirectCommands(machine.token, max(1, machine.agent_epoch), commands))
         timeout_s = self.timing.report_s / 2 + 0.25
@@ -167,28 +180,21 @@
             )
         )
 
-    def _answered(
-        self,
-        now: float,
-        outcome: CallOutcome,
-        machine: Machine,
-        starts: list[Placement],
-        ordered: bool,
-    ) -> None:
+    def _on_done(self, now: float, machine: Machine, result: DirectResult) -> None:
         machine.command_in_flight = False
-        self.directs -= 1
+        self.requests_in_flight -= 1
         if not self.state.ended:
-            self.on_answer(now, outcome, machine, starts, ordered)
+            self.on_result(now, machine, result)
 
     def probe(self, now: float) -> None:
-        """Ask machines taken over what they hold, without waiting for their reports.
+        """Ask unreconciled machines for their status, without waiting for their heartbeats.
 
-        Orders without commands bring a worker the new token, after which nothing of an earlier
-        commander can be carried out, and its answer names all that is there: as good a proof as a
-        report, and there within milliseconds. Until it is there, no older job may start.
+        A request without commands brings a worker the new token, after which nothing of an earlier
+        owner can be carried out, and its answer lists all tasks there: as good a proof as a
+        heartbeat, and there within milliseconds. Until it is there, no older job may start.
         """
         for name in self.state.unreconciled:
-            if self.directs >= self.most_directs:
+            if self.requests_in_flight >= self.max_requests:
                 break
             machine = self.state.machines[name]
             if (
@@ -200,4 +206,4 @@
             ):
                 continue
             machine.next_probe_at = now + self.timing.report_s
-            self._direct(now, machine, [], [])
+            self._send_request(now, machine, [], [])
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -1,8 +1,9 @@
-"""Machines that aren't heard: leases that have ended, and machines that are given up."""
+"""Heartbeat timeouts: worker leases that have expired, and machines to be deleted."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
@@ -10,37 +11,47 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.log_events import DeletionReason, LogEvent, LogLevel
 
-# A zone that is silent as a whole is waited for as many leases before its machines are deleted.
-CUT_LEASES = 4.0
+# The machines of an unresponsive zone are deleted after as many leases without contact.
+ZONE_OUTAGE_LEASES = 4.0
 
 
-class Silence:
-    """How many of the machines that should be heard are silent, in all and in each zone."""
+@dataclass(slots=True)
+class Contact:
+    """How many machines should send heartbeats, and how many of them are unresponsive."""
+
+    unresponsive: int = 0
+    total: int = 0
+
+
+class UnresponsiveMachines:
+    """Counts of the unresponsive machines, in all and in each zone."""
 
     def __init__(
-        self, machines: Iterable[Machine], unreconciled: set[str], now: float, silence: float
+        self, machines: Iterable[Machine], unreconciled: set[str], now: float, timeout_s: float
     ) -> None:
-        self.zones: dict[str, list[int]] = {}
+        self.zones: dict[str, Contact] = {}
         for machine in machines:
             if machine.registered or machine.name in unreconciled:
-                counts = self.zones.setdefault(machine.zone, [0, 0])
-                counts[0] += now - machine.last_contact_at > silence
-                counts[1] += 1
-        self.silent = sum(counts[0] for counts in self.zones.values())
-        self.all = sum(counts[1] for counts in self.zones.values())
+                zone = self.zones.setdefault(machine.zone, Contact())
+                zone.unresponsive += now - machine.last_contact_at > timeout_s
+                zone.total += 1
+        self.unresponsive = sum(zone.unresponsive for zone in self.zones.values())
+        self.total = sum(zone.total for zone in self.zones.values())
 
-    def few(self, zone: str) -> bool:
-        """Whether most others can be heard, in all and in the zone."""
-        return self.silent * 3 <= self.all and not self.cut(zone)
+    def is_minority(self, zone: str) -> bool:
+        """Whether most other machines are responsive, in all and in the zone."""
+        return self.unresponsive * 3 <= self.total and not self.is_zone_outage(zone)
 
-    def cut(self, zone: str) -> bool:
-        """Whether most of a zone can't be heard, and it is more than a machine or two."""
-        silent, known = self.zones.get(zone, (0, 0))
-        return silent * 2 > known and silent > 2
+    def is_zone_outage(self, zone: str) -> bool:
+        """Whether most of a zone is unresponsive, and more than a machine or two."""
+        contact = self.zones.get(zone)
+        if contact is None:
+            return False
+        return contact.unresponsive * 2 > contact.total and contact.unresponsive > 2
 
 
 class HeartbeatTimeoutScan:
-    """Ends leases, and asks the leader to delete machines that are lost."""
+    """Ends the tasks of expired leases, and asks the leader to delete unresponsive machines."""
 
     def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
         self.out, self.state, self.tasks = context.out, state, tasks
@@ -48,18 +59,18 @@
     def scan(self, now: float) -> None:
         """Look at all machines once."""
         state, timing = self.state, self.state.timing
-        silence = Silence(
+        unresponsive = UnresponsiveMachines(
             state.machines.values(), state.unreconciled, now, timing.heartbeat_timeout_s
         )
         for machine in list(state.machines.values()):
-            ended = float("-inf") < machine.last_answer_at < now - timing.lease_s
-            if ended and (machine.tasks or machine.name in state.unreconciled):
+            expired = float("-inf") < machine.last_answer_at < now - timing.lease_s
+            if expired and (machine.tasks or machine.name in state.unreconciled):
                 self.out.log(LogLevel.INFO, LogEvent.WORKER_LEASE_EXPIRED, machine=machine.name)
                 state.unreconciled.discard(machine.name)
                 self.tasks.on_session_ended(now, machine)
             if machine.deletion_requested:
                 continue
-            reason = self._deletion_reason(now, machine, ended, silence)
+            reason = self._deletion_reason(now, machine, expired, unresponsive)
             if reason:
                 self.out.log(
                     LogLevel.INFO,
@@ -70,39 +81,48 @@
                 machine.deletion_requested = True
 
     def _deletion_reason(
-        self, now: float, machine: Machine, ended: bool, silence: Silence
+        self, now: float, machine: Machine, expired: bool, unresponsive: UnresponsiveMachines
     ) -> DeletionReason | None:
         """Why a machine should be deleted, if it should."""
         timing = self.state.timing
-        few, cut = silence.few(machine.zone), silence.cut(machine.zone)
-        patience = CUT_LEASES * timing.lease_s if cut else timing.lease_s
-        quiet = now - machine.last_contact_at
-        waited = now - max(machine.last_answer_at - timing.overlap_s, self.state.owned_since)
-        lost = (
-            machine.name in self.state.unreconciled
-            and waited > timing.unreachable_timeout_s
-            and few
-        )
-        if not machine.registered and machine.recorded and (lost or (ended and waited > patience)):
-            # Known by its record alone, and silent for longer than a worker takes to find its way
-            # while others are heard, or for a whole lease: it is gone or cut off. Its record would
-            # hold up all older jobs, and the next change of leader too.
-            return DeletionReason.NEVER_REGISTERED
-        if (
-            machine.registered
-            and quiet > timing.unreachable_timeout_s
-            and (few or quiet > patience)
-        ):
-            # A silent machine among speaking ones: have the cloud end it, which frees its tasks
-            # sooner than its lease would. A whole zone is rather cut off than dead: its machines
-            # are worth more when it is back than new ones, which would report to nobody either.
-            return DeletionReason.HEARTBEAT_TIMEOUT
-        if (
-            machine.registered
-            and not machine.reconciled
-            and now - machine.registered_at > timing.lease_s
-        ):
-            # It speaks, but for a whole lease no answer has reached it: its session is over by
-            # then, and a machine that can be commanded is worth more.
-            return DeletionReason.ANSWERS_UNDELIVERED
+        minority = unresponsive.is_minority(machine.zone)
+        outage = unresponsive.is_zone_outage(machine.zone)
+        longest_s = ZONE_OUTAGE_LEASES * timing.lease_s if outage else timing.lease_s
+        if not machine.registered:
+            if machine.recorded and self._never_registered(
+                now, machine, expired, minority, longest_s
+            ):
+                return DeletionReason.NEVER_REGISTERED
+        else:
+            without_contact_s = now - machine.last_contact_at
+            if without_contact_s > timing.unreachable_timeout_s and (
+                minority or without_contact_s > longest_s
+            ):
+                # One unresponsive machine among responsive ones: its deletion frees its tasks
+                # sooner than the expiry of its lease would. A whole zone is more likely partitioned
+                # than dead: its machines are worth more when it is back than new ones, whose
+                # heartbeats would reach no controller either.
+                return DeletionReason.HEARTBEAT_TIMEOUT
+            if not machine.reconciled and now - machine.registered_at > timing.lease_s:
+                # It sends heartbeats, but for a whole lease no answer has reached it: its agent
+                # epoch has ended by then, and a machine that can be commanded is worth more.
+                return DeletionReason.ANSWERS_UNDELIVERED
         return DeletionReason.QUARANTINED if machine.quarantined and machine.empty() else None
+
+    def _never_registered(
+        self, now: float, machine: Machine, expired: bool, minority: bool, longest_s: float
+    ) -> bool:
+        """Whether a machine known by its record alone is deleted or partitioned.
+
+        It is, if it was unresponsive for longer than a worker takes to reach another controller
+        while others are responsive, or for a whole lease. Its record would hold up all older jobs,
+        and the next change of leader too.
+        """
+        state, timing = self.state, self.state.timing
+        unanswered_s = now - max(machine.last_answer_at - timing.overlap_s, state.owned_since)
+        unreachable = (
+            machine.name in state.unreconciled
+            and unanswered_s > timing.unreachable_timeout_s
+            and minority
+        )
+        return unreachable or (expired and unanswered_s > longest_s)
--- a/src/copperpass/core/scheduling/placements.py
+++ b/src/copperpass/core/scheduling/placements.py
@@ -12,12 +12,12 @@
 from copperpass.protocol.workers import TaskState
 
 Key = tuple[str, int, int]
-# The team of a task whose job is not known.
+# The team of a task whose job is not in the watch cache.
 UNIDENTIFIED = "?"
 
 
 class StopReason(StrEnum):
-    """Why a task is told to stop; the values go into the log."""
+    """Why a task is stopped; the values go into the log."""
 
     JOB_COMPLETED = "job completed"
     CANCELLED = "job cancelled"
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """One attempt of a task on one machine."""
+    """One attempt of a task on one machine; moments are of the steady clock, in seconds."""
 
     job_id: str
     index: int
@@ -64,16 +64,23 @@
     stop_sent_at: float = 0.0
     stop_reason: StopReason | None = None
     stored: bool = False
-    # A task of another shard, which only its owner may judge.
+    # A task of another shard, whose completion only the owner of that shard may record.
     of_other_shard: bool = False
     shard: int = 255
 
     @property
     def key(self) -> Key:
-        """How the machine tells attempts apart."""
+        """Unique among the placements of a machine."""
         return (self.job_id, self.index, self.attempt)
 
     @property
     def active(self) -> bool:
-        """Whether the task takes room on its machine."""
+        """Whether the task uses capacity of its machine."""
         return self.state != TaskState.EXITED
+
+    def mark_for_stop(self, reason: StopReason) -> None:
+        """Have the task stopped without time for a checkpoint.
+
+        A stop that was sent directly before isn't sent directly again: `stop_sent_at` stays.
+        """
+        self.stop_grace_s, self.stop_reason = 0.0, reason
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -7,11 +7,13 @@
 from __future__ import annotations
 
 from copperpass.core.jobs.job import Job
+from copperpass.core.scheduling.command_results import CommandResultHandler
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
 from copperpass.core.scheduling.dispatch_round import PlacementParts
 from copperpass.core.scheduling.dispatcher import Dispatcher, DispatchParts
+from copperpass.core.scheduling.evictions import Evictions
 from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.gang_placer import GangPlacer
 from copperpass.core.scheduling.heartbeat_timeouts import HeartbeatTimeoutScan
@@ -23,6 +25,7 @@
 from copperpass.core.scheduling.quota_usage import QuotaUsage
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_reconciliation import TaskReconciler
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.storage.completions import CompletionStore
@@ -45,10 +48,13 @@
         self.results = JobResults(context, state, tasks)
         gangs = GangMonitor(state, tasks)
         task_statuses = TaskStatusHandler(context, state, tasks, gangs, self.results)
+        self.reconciler = TaskReconciler(context, state, self.commands, tasks, task_statuses)
+        evictions = Evictions(context.jobs, state, tasks, gangs)
         self.heartbeats = HeartbeatHandler(
-            context, state, self.commands, tasks, gangs, task_statuses
+            context, state, self.commands, tasks, self.reconciler, evictions
         )
-        self.commands.on_answer = self.heartbeats.direct_answer
+        command_results = CommandResultHandler(state, self.commands, tasks, self.heartbeats)
+        self.commands.on_result = command_results.on_result
         self.ownership = Ownership(context, state, self.commands, tasks)
         self.heartbeat_timeouts = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
@@ -93,7 +99,7 @@
     def on_watch_synced(self, now: float) -> None:
         """The watch cache has caught up: a job that is not in it has completed."""
         self.state.ready = True
-        self.heartbeats.match_jobs()
+        self.reconciler.match_jobs()
         self.state.dirty = True
 
     def on_route(self, now: float, route: MachineRoute) -> None:
@@ -107,7 +113,7 @@
 
         `relayed`: another controller forwarded it, since its worker can't reach this one.
         """
-        return self.heartbeats.worker_heartbeat(now, heartbeat, relayed)
+        return self.heartbeats.on_heartbeat(now, heartbeat, relayed)
 
     def on_job_completed(self, now: float, job: Job) -> None:
         """The job's record is deleted: no task of it may start, and all of them are stopped."""
--- /dev/null
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -0,0 +1,145 @@
+"""Reconciliation of the tasks on machines with heartbeats, and with jobs in the watch cache."""
+
+from __future__ import annotations
+
+from copperpass.core.jobs.job import Job
+from copperpass.core.jobs.task_ids import parse_task_id
+from copperpass.core.scheduling.commands import Commands
+from copperpass.core.scheduling.context import SchedulerContext
+from copperpass.core.scheduling.machines import Machine
+from copperpass.core.scheduling.placements import UNIDENTIFIED, Key, Placement, StopReason
+from copperpass.core.scheduling.state import ShardState
+from copperpass.core.scheduling.task_statuses import TaskStatusHandler
+from copperpass.core.scheduling.tasks import TaskLifecycle
+from copperpass.protocol.users import PRIORITY_LEVELS
+from copperpass.protocol.workers import WorkerHeartbeat
+
+
+def proves_absent(
+    machine: Machine, placement: Placement, heartbeat: WorkerHeartbeat, unsolicited: bool
+) -> bool:
+    """Whether a heartbeat that doesn't list a task proves that it is not, and won't be, there."""
+    if placement.reported:
+        return True
+    if placement in machine.pending_starts:
+        return False
+    if placement.barrier_token:
+        # The outcome of the start is unknown: only a worker that has accepted a higher token since
+        # refuses it.
+        return heartbeat.token >= placement.barrier_token
+    if placement.sent_sequence >= 0:
+        # Sent with an answer: the next heartbeat shows whether the answer arrived.
+        return unsolicited and heartbeat.sequence > placement.sent_sequence
+    return False
+
+
+class TaskReconciler:
+    """Brings placements up to the tasks that workers list, and matches them with jobs."""
+
+    def __init__(
+        self,
+        context: SchedulerContext,
+        state: ShardState,
+        commands: Commands,
+        tasks: TaskLifecycle,
+        task_statuses: TaskStatusHandler,
+    ) -> None:
+        self.context, self.state, self.commands = context, state, commands
+        self.tasks, self.task_statuses = tasks, task_statuses
+        self.jobs, self.quota_usage = context.jobs, state.quota_usage
+
+    def apply(
+        self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, unsolicited: bool
+    ) -> None:
+        """Bring the machine's tasks up to those that are listed.
+
+        `unsolicited`: the worker has sent it by itself; else it is the answer to a direct command.
+        """
+        listed = set()
+        for task in heartbeat.tasks:
+            name = parse_task_id(task.task)
+            if name is None:
+                continue
+            key = (name[0], name[1], task.attempt)
+            listed.add(key)
+            placement = machine.tasks.get(key)
+            if placement is None:
+                placement = self._adopt(now, machine, key)
+            self.task_statuses.update(now, machine, placement, task)
+        start_undelivered = False
+        for placement in list(machine.tasks.values()):
+            if placement.key not in listed and proves_absent(
+                machine, placement, heartbeat, unsolicited
+            ):
+                start_undelivered = start_undelivered or not placement.reported
+                self.tasks.remove(now, machine, placement)
+        if start_undelivered:
+            self.commands.suspect_unreachable(now, machine)
+
+    def _adopt(self, now: float, machine: Machine, key: Key) -> Placement:
+        """Record a task that an earlier owner has started."""
+        job_id, index, attempt = key
+        placement = Placement(
+            job_id,
+            index,
+            attempt,
+            machine.name,
+            team=UNIDENTIFIED,
+            job_class="",
+            priority=0,
+            cpus=0.0,
+            gpus=0.0,
+            memory_gb=0.0,
+            image="",
+            estimate_s=0.0,
+            reported=True,
+            sent_at=now,
+        )
+        machine.tasks[key] = placement
+        machine.usage_stale = True
+        self.state.machines_of_job.setdefault(job_id, set()).add(machine.name)
+        self._match_job(machine, placement)
+        return placement
+
+    def match_jobs(self) -> None:
+        """The watch cache is synced: match all tasks with their jobs again."""
+        for machine in self.state.machines.values():
+            for placement in list(machine.tasks.values()):
+                self._match_job(machine, placement)
+
+    def _match_job(self, machine: Machine, placement: Placement) -> None:
+        job = self.jobs.jobs.get(placement.job_id)
+        if job is not None:
+            if not self.context.schedules_team(job.spec.team):
+                placement.of_other_shard, placement.shard = True, self.context.shards[job.spec.team]
+                return
+            self._match_own_job(machine, placement, job)
+            return
+        if self.state.is_certainly_completed(placement):
+            if placement.active:
+                placement.mark_for_stop(StopReason.JOB_COMPLETED)
+            else:
+                placement.stored = True
+
+    def _match_own_job(self, machine: Machine, placement: Placement, job: Job) -> None:
+        if placement.team == UNIDENTIFIED:
+            self._identify(machine, placement, job)
+        if placement.active and job.cancelled:
+            placement.mark_for_stop(StopReason.CANCELLED)
+        if placement.active and placement.index < job.spec.tasks:
+            assigned = job.assigned.get(placement.index)
+            if assigned is None and not job.is_completed(placement.index):
+                job.assigned[placement.index] = machine.name
+            elif assigned != machine.name:
+                placement.mark_for_stop(StopReason.DUPLICATE)
+
+    def _identify(self, machine: Machine, placement: Placement, job: Job) -> None:
+        """Fill in what only the job tells of a task, and count it towards the team's quota."""
+        spec = job.spec
+        placement.team, placement.job_class = spec.team, spec.job_class
+        placement.priority = PRIORITY_LEVELS[spec.priority]
+        placement.cpus, placement.gpus = spec.cpus, spec.gpus
+        placement.memory_gb = spec.memory_gb
+        placement.image, placement.estimate_s = spec.image, spec.estimate_s
+        machine.touch_image(spec.image, spec.image_gb)
+        self.quota_usage.recount(machine)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -130,7 +130,7 @@
 
 
 def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts():
-    # Holds the comparison of session and number in `HeartbeatHandler.worker_heartbeat`.
+    # Holds the comparison of agent epoch and sequence in `HeartbeatHandler.on_heartbeat`.
     simulation = Simulation(seed=4)
     simulation.run_until(simulation.leader)
     simulation.late_reports = 0.4
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -40,7 +40,7 @@
 
 
 def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
-    # Holds `machine.last_answer_at` at a change of session in `HeartbeatHandler.take`.
+    # Holds `machine.last_answer_at` at a change of agent epoch in `HeartbeatHandler.apply`.
     bench = SchedulerBench()
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
