--- a/src/copperpass/core/api/job_lookup.py
+++ b/src/copperpass/core/api/job_lookup.py
@@ -46,7 +46,7 @@
 
     def __init__(self, context: ApiContext) -> None:
         self.out, self.read_timeout_s = context.out, context.read_timeout_s
-        span = context.cluster.changes_per_cancellation_span
+        span = context.cluster.max_writes_per_cancel_deadline
         self.max_remembered = max(MIN_REMEMBERED_JOBS, span)
         self.terminal_records: OrderedDict[str, JobRecord] = OrderedDict()
         # Jobs whose live records were removed, which never come back.
--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -26,14 +26,14 @@
 def remaining_by_team(cluster: Cluster, jobs: Iterable[Job]) -> dict[str, RemainingWork]:
     """The remaining work of each team that has jobs."""
     teams: dict[str, RemainingWork] = {}
-    gpus_matter = cluster.gpus_matter
+    has_gpu_quotas = cluster.has_gpu_quotas
     for job in jobs:
         spec = job.spec
         tasks = spec.tasks - job.completed_count
         remaining = teams.setdefault(spec.team, RemainingWork())
         remaining.tasks += tasks
         remaining.cpus += tasks * spec.cpus
-        remaining.second_resource += tasks * (spec.gpus if gpus_matter else spec.memory_gb)
+        remaining.second_resource += tasks * (spec.gpus if has_gpu_quotas else spec.memory_gb)
     return teams
 
 
@@ -41,7 +41,7 @@
     cluster: Cluster, serving: list[ManagedMachine], remaining: dict[str, RemainingWork]
 ) -> allocation.Allocation:
     """Bottleneck-aware allocation of all machines among the teams that have work left."""
-    gpus_matter = cluster.gpus_matter
+    has_gpu_quotas = cluster.has_gpu_quotas
     claims = []
     for team in cluster.teams:
         work = remaining.get(team.name)
@@ -49,12 +49,12 @@
             continue
         tasks, cpus = work.tasks, work.cpus
         max_tasks = min(tasks, team.cpus_limit * tasks / cpus) if cpus > 0 else tasks
-        weight = allocation.weight_of_quota(team.cpus, team.gpus, gpus_matter)
+        weight = allocation.weight_of_quota(team.cpus, team.gpus, has_gpu_quotas)
         per_task = (cpus / tasks, work.second_resource / tasks)
         claims.append(allocation.Claim(team.name, per_task, weight, max_tasks))
     capacity = (
         sum(machine.type.cpus for machine in serving),
-        sum(m.type.gpus if gpus_matter else m.type.memory_gb for m in serving),
+        sum(m.type.gpus if has_gpu_quotas else m.type.memory_gb for m in serving),
     )
     return allocation.allocate(claims, capacity)
 
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -177,7 +177,7 @@
         self.elected_at = now
         self.ready = False
         self.grant_s = GRANT_TTL_RATIO * context.election.leader_ttl_s
-        self.heartbeat_interval_s = context.cluster.workers.report_s
+        self.heartbeat_interval_s = context.cluster.workers.heartbeat_interval_s
         self.lease_s = worker_lease_expiry_s(context.cluster)
         self.boot_s = longest_boot(context.types)
         self.replication_log: ReplicationLog[MachineRoute] = ReplicationLog()
--- a/src/copperpass/core/election/timings.py
+++ b/src/copperpass/core/election/timings.py
@@ -44,7 +44,7 @@
 
 def election_timings(cluster: Cluster) -> ElectionTimings:
     """The durations as ratios of the workers' figures; raises `SettingsError` if unsafe."""
-    lease, cancel = cluster.workers.lease_s, cluster.workers.cancel_s
+    lease, cancel = cluster.workers.lease_s, cluster.workers.cancel_deadline_s
     ttl = 0.22 * lease
     timings = ElectionTimings(
         leader_ttl_s=ttl,
@@ -60,4 +60,4 @@
 def worker_lease_expiry_s(cluster: Cluster) -> float:
     """How long after an answer's receipt a worker's lease has expired for certain."""
     workers = cluster.workers
-    return workers.lease_s * (1 + 4 * CLOCK_DRIFT) + 0.05 * workers.report_s
+    return workers.lease_s * (1 + 4 * CLOCK_DRIFT) + 0.05 * workers.heartbeat_interval_s
--- a/src/copperpass/core/membership/isolation.py
+++ b/src/copperpass/core/membership/isolation.py
@@ -7,7 +7,7 @@
 from copperpass.core.election.leader_election import LeaderElection
 from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
 from copperpass.log_events import StepDownReason
-from copperpass.settings import Workers
+from copperpass.settings import WorkerTimings
 
 
 class IsolationMonitor:
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, election: LeaderElection, heartbeats: PeerHeartbeats, workers: Workers
+        self, election: LeaderElection, heartbeats: PeerHeartbeats, workers: WorkerTimings
     ) -> None:
         self.election, self.heartbeats, self.workers = election, heartbeats, workers
         # The token under which this member last stepped down for isolation.
@@ -52,5 +52,5 @@
             self.election.step_down(now, StepDownReason.WATCH_CACHE_BEHIND, ttl)
 
     def _workers_timed_out(self, now: float, last_heartbeat_at: float) -> bool:
-        timeout_s = max(2.5 * self.workers.report_s, self.election.leader_ttl_s)
+        timeout_s = max(2.5 * self.workers.heartbeat_interval_s, self.election.leader_ttl_s)
         return now - last_heartbeat_at > timeout_s
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -79,7 +79,7 @@
         self.watch_cache = WatchCache(
             self.out, self._on_watch_event, self.timings.leader_ttl_s / 2, self._call_timeout_s
         )
-        max_cancelled = max(MIN_REMEMBERED_CANCELLED, self.cluster.changes_per_cancellation_span)
+        max_cancelled = max(MIN_REMEMBERED_CANCELLED, self.cluster.max_writes_per_cancel_deadline)
         self.jobs = JobTable(wall_clock_offset=wall_clock_offset, max_cancelled=max_cancelled)
         self.cached_inventory = CachedInventory()
         self.completion_versions: dict[str, int] = {}
@@ -120,7 +120,7 @@
                 member=self.settings.name,
                 incarnation=self.rng.getrandbits(62) + 1,
                 grant_s=GRANT_TTL_RATIO * self.timings.leader_ttl_s,
-                capacity_interval_s=self.cluster.workers.report_s / 4,
+                capacity_interval_s=self.cluster.workers.heartbeat_interval_s / 4,
                 out=self.out,
                 make_scheduler=self._make_scheduler,
                 watch_cache_valid_until=self.election.watch_cache_valid_until,
@@ -162,7 +162,7 @@
     def _wire_routers(self) -> None:
         """Where inputs go."""
         workers = self.cluster.workers
-        self.relay = HeartbeatRelay(self.out, workers.lease_s, workers.report_s)
+        self.relay = HeartbeatRelay(self.out, workers.lease_s, workers.heartbeat_interval_s)
         self.worker_heartbeats = WorkerHeartbeatRouter(
             member=self.settings.name,
             out=self.out,
--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -42,9 +42,9 @@
     factors: tuple[float, float] = (0.0, 0.0)
 
 
-def weight_of_quota(cpus: float, gpus: float, gpus_matter: bool) -> float:
+def weight_of_quota(cpus: float, gpus: float, has_gpu_quotas: bool) -> float:
     """A team's weight by its guaranteed quota: of GPUs where the deployment has them, else CPUs."""
-    return max(gpus if gpus_matter and gpus > 0 else cpus, MIN_WEIGHT)
+    return max(gpus if has_gpu_quotas and gpus > 0 else cpus, MIN_WEIGHT)
 
 
 def load(claim: Claim, capacity: tuple[float, float], resource: int) -> float:
--- a/src/copperpass/core/scheduling/command_results.py
+++ b/src/copperpass/core/scheduling/command_results.py
@@ -61,7 +61,7 @@
 
     def _back_off(self, now: float, machine: Machine) -> None:
         """Send nothing directly for a while, and no new tasks until contact is proven."""
-        machine.command_backoff_until = now + 2 * self.state.timing.report_s
+        machine.command_backoff_until = now + 2 * self.state.timing.heartbeat_interval_s
         self.commands.suspect_unreachable(now, machine)
 
     def _apply_status(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -167,7 +167,7 @@
             self._on_done(done_at, machine, DirectResult(outcome, starts, had_commands))
 
         body = encode(DirectCommands(machine.token, max(1, machine.agent_epoch), commands))
-        timeout_s = self.timing.report_s / 2 + 0.25
+        timeout_s = self.timing.heartbeat_interval_s / 2 + 0.25
         self.context.out.calls.append(
             Call(
                 ExternalService.WORKER,
@@ -205,5 +205,5 @@
                 or now < max(machine.next_probe_at, machine.relayed_until)
             ):
                 continue
-            machine.next_probe_at = now + self.timing.report_s
+            machine.next_probe_at = now + self.timing.heartbeat_interval_s
             self._send_request(now, machine, [], [])
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -60,7 +60,7 @@
 class Timing:
     """Times in seconds that follow from the settings; all but `boot_s` are constant."""
 
-    report_s: float
+    heartbeat_interval_s: float
     # A worker that has had no answer for this long has certainly ended its tasks.
     lease_s: float
     # For this long an owner of the term before may still answer workers.
@@ -72,22 +72,22 @@
     unreachable_timeout_s: float
     # The longest boot of any machine type; the node updates it with the machine types.
     boot_s: float
-    gang_notice_s: float
+    gang_stop_deadline_s: float
     gang_wait_s: float
 
     @classmethod
     def of(cls, context: SchedulerContext) -> Timing:
         """The times for one scheduler."""
         cluster, workers = context.cluster, context.cluster.workers
-        report_s = workers.report_s
-        heartbeat_timeout_s = context.tuning.silence_reports * report_s
+        heartbeat_interval_s = workers.heartbeat_interval_s
+        heartbeat_timeout_s = context.tuning.silence_reports * heartbeat_interval_s
         # A leader of an older version that resigns, or is re-elected at once, deletes its key
         # before its grants have expired: an owner of that term that has no event of it yet may
         # answer workers for the duration of a grant.
         partitioned = len(set(context.shards.values())) > 1
-        rerouted_s = 1.25 * report_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
+        rerouted_s = 1.25 * heartbeat_interval_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
-            report_s=report_s,
+            heartbeat_interval_s=heartbeat_interval_s,
             lease_s=worker_lease_expiry_s(cluster),
             overlap_s=GRANT_TTL_RATIO * election_timings(cluster).leader_ttl_s
             if partitioned
@@ -95,6 +95,6 @@
             heartbeat_timeout_s=heartbeat_timeout_s,
             unreachable_timeout_s=max(1.5 * heartbeat_timeout_s, rerouted_s),
             boot_s=longest_boot(context.types),
-            gang_notice_s=workers.gang_notice_s,
+            gang_stop_deadline_s=workers.gang_stop_deadline_s,
             gang_wait_s=workers.gang_wait_s or 2 * workers.lease_s,
         )
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -41,7 +41,7 @@
     ) -> None:
         self.state, self.reservations = state, reservations
         self.types, self.machines = context.types, state.machines
-        self.gpus_matter = context.cluster.gpus_matter
+        self.has_gpu_quotas = context.cluster.has_gpu_quotas
         # Jobs in need of machines that may only run in the zone where others of their tasks are.
         self.zone_affinities: dict[str, str] = {}
 
@@ -189,7 +189,7 @@
             cap = float(task_counts[team.name])
             if cpus > 0:
                 cap = min(cap, team.cpus_limit / cpus)
-            weight = allocation.weight_of_quota(team.cpus, team.gpus, self.gpus_matter)
-            second = gpus if self.gpus_matter else memory
+            weight = allocation.weight_of_quota(team.cpus, team.gpus, self.has_gpu_quotas)
+            second = gpus if self.has_gpu_quotas else memory
             claims.append(allocation.Claim(team.name, (cpus, second), weight, cap))
         return claims
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -248,5 +248,5 @@
         self.reserving.add(spec.team)
         machine = machine_to_reserve(job, self.usable, self.state.machines, self.now)
         if machine is not None:
-            reserve_machine(machine, spec.id, self.now + self.state.timing.report_s)
+            reserve_machine(machine, spec.id, self.now + self.state.timing.heartbeat_interval_s)
             self.jobs_with_reservation.add(spec.id)
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -65,7 +65,7 @@
         if current.unplaced and self.tuning.preemption:
             self.preemption.preempt(now, current.unplaced, usable, queues.used)
         # The next round comes sooner when idle and later under load: a batch widens with it.
-        max_pause_s = state.timing.report_s / 4
+        max_pause_s = state.timing.heartbeat_interval_s / 4
         pause_s = MIN_PAUSE_S + PAUSE_PER_JOB_S * queues.backlog
         self.next_round_at = now + min(max_pause_s, pause_s)
 
@@ -79,10 +79,13 @@
 
     def _capacity(self, usable: list[Machine]) -> tuple[float, float]:
         """CPUs, and the second resource that the allocation is about: GPUs or GB of memory."""
-        gpus_matter = self.demand.gpus_matter
+        has_gpu_quotas = self.demand.has_gpu_quotas
         return (
             sum(machine.type.cpus for machine in usable),
-            sum(machine.type.gpus if gpus_matter else machine.type.memory_gb for machine in usable),
+            sum(
+                machine.type.gpus if has_gpu_quotas else machine.type.memory_gb
+                for machine in usable
+            ),
         )
 
     def _flag_urgent(self, now: float, unplaced: Iterable[Job]) -> None:
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -63,7 +63,7 @@
     def all_reachable(self, now: float, job: Job) -> bool:
         """Whether all tasks of a gang can be stopped within the time that a checkpoint takes."""
         timing, machines = self.state.timing, self.state.machines
-        longest_s = min(timing.heartbeat_timeout_s, timing.gang_notice_s)
+        longest_s = min(timing.heartbeat_timeout_s, timing.gang_stop_deadline_s)
         for name in job.assigned.values():
             machine = machines.get(name)
             if machine is None or machine.unreachable_since is not None:
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -79,7 +79,7 @@
 
     def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
         """Reserve the capacity where a gang can start soonest; returns the jobs it is for."""
-        state, report_s = self.state, self.state.timing.report_s
+        state, heartbeat_interval_s = self.state, self.state.timing.heartbeat_interval_s
         reservation = plan_gang_reservation(
             job, usable, self.machines, now, self.reservations.reserved_machines
         )
@@ -88,7 +88,7 @@
         for machine in reservation.machines:
             # Not to be returned while a gang waits for the rest of its capacity, however long:
             # machines that come one by one and go back as idle never add up to its zone's part.
-            machine.retain_until = now + report_s
+            machine.retain_until = now + heartbeat_interval_s
         tuning = self.reservations.tuning
         past_wait = now - job.arrived_at > tuning.patience_s
         slack_s = state.slos.start_deadline(job, now) - now
@@ -98,5 +98,5 @@
             # anybody for as long as it is reserved, so that has a bound.
             return set()
         for machine in reservation.machines:
-            reserve_machine(machine, job.spec.id, now + report_s, reservation.ready_at)
+            reserve_machine(machine, job.spec.id, now + heartbeat_interval_s, reservation.ready_at)
         return {job.spec.id}
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -58,7 +58,9 @@
             return HeartbeatAnswer(machine.token, [])
         # A worker that reaches this controller again can be sent direct commands: a new machine's
         # first heartbeat often arrives at another controller.
-        machine.relayed_until = now + 2 * self.timing.report_s if relayed else float("-inf")
+        machine.relayed_until = (
+            now + 2 * self.timing.heartbeat_interval_s if relayed else float("-inf")
+        )
         self.apply(now, machine, heartbeat, unsolicited=True)
         if self._must_not_renew_lease(now, machine):
             return None
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -34,7 +34,9 @@
                 versions=context.versions,
                 shard=context.shard,
                 page_bytes=RECORD_FILL_RATIO * limits.least_value_bytes,
-                interval_s=max(state.timing.report_s / 2, BATCHED_WRITES / limits.least_write_rps),
+                interval_s=max(
+                    state.timing.heartbeat_interval_s / 2, BATCHED_WRITES / limits.least_write_rps
+                ),
                 deadline_s=cluster.workers.lease_s,
                 max_page_bytes=RECORD_FILL_RATIO * limits.value_kb * 1024,
             )
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -112,7 +112,7 @@
         """Preempt tasks on up to `budget` machines, where it costs least; returns how many."""
         stopped = 0
         plans = self._plans(now, preemptor, usable, over_guarantee)
-        reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.report_s
+        reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.heartbeat_interval_s
         for plan in heapq.nsmallest(budget, plans, key=lambda plan: (plan.cost, plan.machine.name)):
             for placement in plan.victims:
                 self._stop(now, preemptor, placement)
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -130,7 +130,7 @@
         if not self.state.ready or not self.context.has_authority(now):
             return
         if now >= self.next_scan_at:
-            self.next_scan_at = now + self.timing.report_s / 4
+            self.next_scan_at = now + self.timing.heartbeat_interval_s / 4
             self.scan(now)
         if self.unreconciled:
             self.commands.probe(now)
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -128,14 +128,14 @@
         placement.stored = True
         if is_current(machine, placement, job):
             job.requeue(placement.index)
-        report_s = self.state.timing.report_s
+        heartbeat_interval_s = self.state.timing.heartbeat_interval_s
         if placement.exit_cause == ExitCause.ERROR:
             self._on_failed(now, machine, job)
         elif placement.exit_cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
-            machine.backoff_until = now + report_s
+            machine.backoff_until = now + heartbeat_interval_s
         elif placement.exit_cause == ExitCause.UNKNOWN:
             # The worker reads the job's specification itself, and its read may lag behind.
-            job.backoff_until = now + report_s
+            job.backoff_until = now + heartbeat_interval_s
         if job.spec.gang:
             self.gangs.on_task_exited(now, job, placement)
 
@@ -147,7 +147,7 @@
         machine.failed_jobs.add(job.spec.id)
         if len(job.failed_on) >= FAILED_MACHINES:
             # Guards the fleet against a job that fails everywhere: exponential backoff.
-            wait = timing.report_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
+            wait = timing.heartbeat_interval_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
             job.backoff_until = max(job.backoff_until, now + min(wait, timing.lease_s))
         jobs = self.jobs.jobs
         suspects = [
@@ -163,7 +163,7 @@
         if len(suspects) >= FAULTY_MACHINE_JOBS or only_here:
             self._quarantine(now, machine, len(suspects))
         else:
-            machine.backoff_until = now + 2 * timing.report_s
+            machine.backoff_until = now + 2 * timing.heartbeat_interval_s
 
     def _quarantine(self, now: float, machine: Machine, suspects: int) -> None:
         """Start nothing more on a faulty machine, and stop the tasks that don't run there yet."""
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -46,7 +46,7 @@
             reactor,
             settings.name,
             settings.peer_listen,
-            {m.name: m.addr for m in settings.members},
+            {member.name: member.address for member in settings.members},
             self._on_frame,
             self.node.timings.vote_s / 4,
         )
@@ -60,7 +60,7 @@
             ExternalService.STATE: settings.services.state,
             ExternalService.CLOUD: settings.services.cloud,
         }
-        self.tick_s = min(0.1, settings.cluster.workers.report_s / 20)
+        self.tick_s = min(0.1, settings.cluster.workers.heartbeat_interval_s / 20)
         self.round_timer: Any = None
 
     def start(self) -> None:
--- a/src/copperpass/settings.py
+++ b/src/copperpass/settings.py
@@ -15,12 +15,12 @@
 from copperpass.errors import SettingsError
 
 
-class Member(msgspec.Struct, rename={"name": "member", "zone": "domain"}):
+class Member(msgspec.Struct, rename={"name": "member", "zone": "domain", "address": "addr"}):
     """Another controller."""
 
     name: str
     zone: str
-    addr: str
+    address: str
 
 
 def _limit(most: float) -> float:
@@ -28,7 +28,7 @@
     return most if most > 0 else math.inf
 
 
-class Services(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     """Addresses of the outside systems."""
 
     cloud: str
@@ -68,23 +68,26 @@
     share: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimings(
+    msgspec.Struct,
+    rename={"heartbeat_interval_s": "report_s", "cancel_deadline_s": "cancel_s"},
+):
     """Figures of the workers' protocol."""
 
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
-    cancel_s: float
+    cancel_deadline_s: float
     # How long a gang's task waits for the others, and how soon it notices that one is gone.
     gang_wait_s: float | None = None
     gang_peer_s: float | None = None
 
     @property
-    def gang_notice_s(self) -> float:
+    def gang_stop_deadline_s(self) -> float:
         """Within what time all tasks of a gang must be told to stop; some, where it isn't said."""
         return self.gang_peer_s if self.gang_peer_s is not None else self.lease_s / 3
 
 
-class NextState(msgspec.Struct):
+class NextStateServiceLimits(msgspec.Struct):
     """Limits that the state service will have from some moment after an upgrade."""
 
     write_rps: float
@@ -92,14 +95,14 @@
     txn_ops: int
 
 
-class State(msgspec.Struct):
+class StateServiceLimits(msgspec.Struct):
     """Limits of the state service: those of now and, where they are to change, the next."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: NextState | None = None
+    next: NextStateServiceLimits | None = None
 
     @property
     def least_write_rps(self) -> float:
@@ -118,7 +121,7 @@
         return min(self.txn_ops, self.next.txn_ops) if self.next else self.txn_ops
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """Limits of the cloud."""
 
     rps: float
@@ -138,20 +141,20 @@
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimings
+    state: StateServiceLimits
+    cloud: CloudLimits
     objectives: list[Objective] = msgspec.field(default_factory=list)
     resources: Resources = msgspec.field(default_factory=Resources)
     clock_error_ms: float = 0.0
 
     @property
-    def changes_per_cancellation_span(self) -> int:
+    def max_writes_per_cancel_deadline(self) -> int:
         """The most changes that can be stored within the time that a cancellation has."""
-        return int(self.state.write_rps * self.workers.cancel_s) + 1
+        return int(self.state.write_rps * self.workers.cancel_deadline_s) + 1
 
     @property
-    def gpus_matter(self) -> bool:
+    def has_gpu_quotas(self) -> bool:
         """Whether any team has GPUs: then they are the second resource, else memory is."""
         return any(t.gpus > 0 or t.gpus_max > 0 for t in self.teams)
 
@@ -173,7 +176,7 @@
     zone: str
     listen: str
     peer_listen: str
-    services: Services
+    services: ServiceAddresses
     cluster: Cluster
     members: list[Member] = msgspec.field(default_factory=list)
 
@@ -191,7 +194,7 @@
     _check_limits(settings.cluster)
     _check_teams(settings.cluster)
     workers = settings.cluster.workers
-    if workers.lease_s < 3 * workers.report_s:
+    if workers.lease_s < 3 * workers.heartbeat_interval_s:
         raise SettingsError("settings.workers.lease_s: must be at least 3 times report_s")
 
 
@@ -201,14 +204,14 @@
     split_address(settings.services.cloud, "external.cloud")
     split_address(settings.services.state, "external.state")
     for member in settings.members:
-        split_address(member.addr, f"members.{member.name}.addr")
+        split_address(member.address, f"members.{member.name}.addr")
 
 
 def _check_limits(cluster: Cluster) -> None:
     positive = {
-        "settings.workers.report_s": cluster.workers.report_s,
+        "settings.workers.report_s": cluster.workers.heartbeat_interval_s,
         "settings.workers.lease_s": cluster.workers.lease_s,
-        "settings.workers.cancel_s": cluster.workers.cancel_s,
+        "settings.workers.cancel_s": cluster.workers.cancel_deadline_s,
         "settings.state.rps": cluster.state.rps,
         "settings.state.write_rps": cluster.state.write_rps,
         "settings.state.value_kb": cluster.state.value_kb,
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -51,7 +51,7 @@
     state: dict[str, float] = field(default_factory=lambda: {"rps": 200.0, **LIMITS})
     cloud_rps: float = 8.0
     max_connections: int = 1000
-    report_s: float = 1.0
+    heartbeat_interval_s: float = 1.0
     # Whether frames between two controllers keep their order, as on one connection; where they
     # don't, each burst of frames also plays what a broken connection loses.
     ordered_links: bool = False
@@ -110,6 +110,6 @@
     state={"rps": 2000.0, "write_rps": 200.0, "value_kb": 4.0, "txn_ops": 12},
     cloud_rps=36.0,
     max_connections=10_000,
-    report_s=4.0,
+    heartbeat_interval_s=4.0,
     ordered_links=True,
 )
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -78,7 +78,7 @@
             self.wire = importlib.import_module(f"{PACKAGE}.wire")
             self.settings = importlib.import_module(f"{PACKAGE}.settings")
             assert Path(str(self.core.__file__)).is_relative_to(source)
-            self._resolve_messages()
+            self._resolve_structs()
         finally:
             sys.path.remove(str(source))
             for name in [k for k in sys.modules if k.split(".")[0] == PACKAGE]:
@@ -95,9 +95,9 @@
             if not hasattr(former_class, name):
                 setattr(former_class, name, property(operator.attrgetter(former)))
 
-    def _resolve_messages(self):
+    def _resolve_structs(self):
         """Have msgspec look its annotations up now, while its modules are the ones by that name."""
-        for value in vars(self.wire).values():
+        for value in [*vars(self.wire).values(), *vars(self.settings).values()]:
             if isinstance(value, type) and issubclass(value, msgspec.Struct):
                 msgspec.json.Decoder(value)
 
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -41,7 +41,7 @@
 
         It is only ever renewed, so that the checks before then would find nothing.
         """
-        interval = max(0.1, self.simulation.deployment.report_s / 10)
+        interval = max(0.1, self.simulation.deployment.heartbeat_interval_s / 10)
         check = self.simulation.now + interval
         last = check + self.simulation.lease_s
         while check < last and check - self.lease_renewed_at <= self.simulation.lease_s:
@@ -145,8 +145,8 @@
                     self.token = answer["baton"]
                     self.lease_renewed_at = max(self.lease_renewed_at, sent)
                     self.execute(answer["orders"])
-                report_s = self.simulation.deployment.report_s
-                pause = report_s * self.simulation.rng.uniform(0.75, 1.25)
+                heartbeat_interval_s = self.simulation.deployment.heartbeat_interval_s
+                pause = heartbeat_interval_s * self.simulation.rng.uniform(0.75, 1.25)
                 self.simulation.after(pause, self.send_heartbeat)
                 return
             hint = json.loads(body).get("editor") if status == 421 else None
--- a/tests/request_bodies.py
+++ b/tests/request_bodies.py
@@ -35,7 +35,7 @@
             "teams": list(deployment.teams),
             "objectives": list(deployment.objectives),
             "workers": {
-                "report_s": deployment.report_s,
+                "report_s": deployment.heartbeat_interval_s,
                 "lease_s": lease_s,
                 "cancel_s": cancel_s,
                 "gang_wait_s": gang_wait_s,
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -229,7 +229,7 @@
         bench.scheduler.tick(bench.now)
         assert not bench.take("worker")
         assert not bench.scheduler.demand.is_startable(bench.job, bench.now)
-        bench.now += bench.scheduler.timing.report_s
+        bench.now += bench.scheduler.timing.heartbeat_interval_s
     assert machine.name in bench.scheduler.unreconciled and not machine.reconciled
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -104,7 +104,7 @@
 def test_all_cancellations_that_can_be_stored_in_time_are_remembered():
     # 2,000 were: a fleet whose state service takes hundreds of changes a second can store more.
     cluster = parse(raw_settings(deployment=LARGE, cancel_s=70.0)).cluster
-    assert cluster.changes_per_cancellation_span > 14_000
+    assert cluster.max_writes_per_cancel_deadline > 14_000
     simulation = Simulation(cancel_s=70.0, lease_s=30.0, deployment=LARGE)
     node = simulation.nodes["n0"]
     for number in range(10_000):
