--- a/src/copperpass/core/scheduling/evictions.py
+++ b/src/copperpass/core/scheduling/evictions.py
@@ -36,7 +36,7 @@
                 # To run on may still complete it.
                 continue
             if remaining_s(placement, now) > NOTICE_MARGIN * left_s:
-                self.tasks.stop(now, placement, StopReason.NOTICE)
+                self.tasks.stop(now, placement, StopReason.INTERRUPTION_NOTICE)
 
     def _cannot_checkpoint(self, now: float, placement: Placement, left_s: float) -> bool:
         """Whether a task's gang runs, and can't write a checkpoint within `left_s` seconds."""
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -75,7 +75,7 @@
             return
         job.incomplete_since = now if job.incomplete_since is None else job.incomplete_since
         if now - job.incomplete_since > self.state.timing.gang_wait_s / 2:
-            self.tasks.end_gang(now, job, StopReason.NO_ROOM, 0.0)
+            self.tasks.end_gang(now, job, StopReason.NO_CAPACITY, 0.0)
 
     def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
         """Reserve the capacity where a gang can start soonest; returns the jobs it is for."""
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -1,4 +1,4 @@
-"""Which machines are the shard's: learnt from the leader's table, given back, and told of."""
+"""Ownership of machines: assigned by the leader's routing table, released, and their statuses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Ownership:
-    """Follows the leader's table of machines, and tells the leader what they have shown."""
+    """Follows the leader's routing table, and produces the statuses that the leader gets."""
 
     def __init__(
         self,
@@ -30,14 +30,16 @@
         self.machines = state.machines
 
     def on_route(self, now: float, route: MachineRoute) -> None:
-        """The leader's table has a route for a machine."""
+        """The leader's routing table has a new route for a machine."""
         state, name = self.state, route.name
         machine = self.machines.get(name)
-        told = state.released.get(name)
-        if told is not None and (route.base_token != told.base_token or route.deleted):
+        last_status = state.released.get(name)
+        if last_status is not None and (
+            route.base_token != last_status.base_token or route.deleted
+        ):
             del state.released[name]
         if route.shard != self.context.shard or route.deleted:
-            self._on_foreign_route(now, route, machine)
+            self._on_other_route(now, route, machine)
             return
         state.other_shard_machines.pop(name, None)
         if machine is not None and route.base_token > machine.base_token and not state.ready:
@@ -50,15 +52,15 @@
         if route.recorded and not machine.recorded:
             machine.recorded, state.dirty = True, True
         if route.failed and not machine.failed:
-            # It has stopped on its own: nothing runs there any more.
+            # It has terminated on its own: nothing runs there any more.
             machine.failed = True
             state.unreconciled.discard(name)
             self.tasks.on_session_ended(now, machine)
         if route.reclaim_requested:
-            self._give_back(now, machine, route.drain)
+            self._release_or_drain(now, machine, route.drain)
 
-    def _on_foreign_route(self, now: float, route: MachineRoute, machine: Machine | None) -> None:
-        """The machine is another shard's, or gone."""
+    def _on_other_route(self, now: float, route: MachineRoute, machine: Machine | None) -> None:
+        """The machine is assigned to another shard, or deleted."""
         if route.deleted and machine is not None:
             self._on_machine_deleted(now, machine)
         other_shard = route.shard != self.context.shard and not route.deleted
@@ -68,9 +70,10 @@
             self.state.dirty = True
 
     def _discard(self, now: float, machine: Machine) -> None:
-        """Drop what was known of a machine under an earlier ownership.
+        """Discard the state of a machine from an earlier assignment.
 
-        The share came before the table: under that token the machine would not be heard ever again.
+        The grant of the shard arrived before the route: with the earlier token, the machine's
+        heartbeats would be refused for good.
         """
         for placement in list(machine.tasks.values()):
             self.tasks.remove(now, machine, placement)
@@ -92,18 +95,18 @@
         if route.contact is not None:
             machine.address, machine.agent_epoch = route.contact.address, route.contact.agent_epoch
         if route.proven_empty and route.contact is not None:
-            # It can be commanded at once.
+            # Proven empty by its last owner: tasks may start at once.
             machine.sequence = route.contact.sequence
             machine.reconciled = machine.registered = True
             machine.registered_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif route.recorded and route.occupancy != Occupancy.EMPTY:
-            # An earlier commander may have answered the worker up to this moment, or may yet.
+            # An earlier owner may have answered the worker up to this moment, or may yet.
             machine.last_answer_at = now + self.state.timing.overlap_s
             self.state.unreconciled.add(route.name)
         return machine
 
-    def _give_back(self, now: float, machine: Machine, drain: bool) -> None:
-        """The leader wants a machine for others: give it back if it is proven empty."""
+    def _release_or_drain(self, now: float, machine: Machine, drain: bool) -> None:
+        """The leader reclaims a machine: release it if proven empty, else perhaps drain it."""
         if self.state.release_if_empty(machine) or not drain:
             return
         machine.draining = True
@@ -115,7 +118,7 @@
         self.commands.send(now, machine)
 
     def _on_machine_deleted(self, now: float, machine: Machine) -> None:
-        """The cloud has confirmed: the machine and all on it are gone."""
+        """The cloud has confirmed the deletion: the machine and all tasks on it are gone."""
         machine.draining = False
         self.state.unreconciled.discard(machine.name)
         self.tasks.on_session_ended(now, machine)
@@ -124,47 +127,52 @@
         self.context.images.pop(machine.name, None)
 
     def statuses(self, now: float) -> list[MachineStatus]:
-        """What the leader should know of the machines and has not been told."""
-        told = list(self.state.released.values())
+        """The statuses of machines that have changed since they were last sent to the leader.
+
+        Those of released machines are repeated until the leader has reassigned them.
+        """
+        statuses = list(self.state.released.values())
         for machine in self.machines.values():
-            # What is held for somebody must not be taken for idle and given back.
+            # Capacity that is reserved for a gang must not count as idle and be reclaimed.
             idle = (
                 machine.registered
                 and machine.recorded
                 and machine.empty()
                 and now >= machine.retain_until
             )
-            settled = machine.reconciled and not machine.holds_other_shard
-            if self._is_news(machine, idle, settled):
-                machine.last_status_session = machine.agent_epoch
-                machine.last_status = self._status(machine, idle, settled)
-                told.append(machine.last_status)
-        return told
+            reconciled = machine.reconciled and not machine.holds_other_shard
+            if self._has_changed(machine, idle, reconciled):
+                machine.last_status_epoch = machine.agent_epoch
+                machine.last_status = self._status(machine, idle, reconciled)
+                statuses.append(machine.last_status)
+        return statuses
 
     @staticmethod
-    def _is_news(machine: Machine, idle: bool, settled: bool) -> bool:
+    def _has_changed(machine: Machine, idle: bool, reconciled: bool) -> bool:
         last = machine.last_status
         return (
             last is None
             or last.base_token != machine.base_token
             or last.registered != machine.registered
             or last.idle != idle
-            or last.reconciled != settled
+            or last.reconciled != reconciled
             or last.deletion_requested != machine.deletion_requested
             or last.used_cpus != machine.used_cpus
-            or machine.last_status_session != machine.agent_epoch
+            or machine.last_status_epoch != machine.agent_epoch
         )
 
     @staticmethod
-    def _status(machine: Machine, idle: bool, settled: bool) -> MachineStatus:
-        known = machine.address and machine.registered
+    def _status(machine: Machine, idle: bool, reconciled: bool) -> MachineStatus:
+        contact = None
+        if machine.address and machine.registered:
+            contact = MachineContact(machine.address, machine.agent_epoch, 0)
         return MachineStatus(
             machine.name,
             machine.base_token,
             machine.registered,
-            settled,
+            reconciled,
             idle,
             deletion_requested=machine.deletion_requested,
             used_cpus=machine.used_cpus,
-            contact=MachineContact(machine.address, machine.agent_epoch, 0) if known else None,
+            contact=contact,
         )
--- a/src/copperpass/core/scheduling/placements.py
+++ b/src/copperpass/core/scheduling/placements.py
@@ -9,9 +9,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+from copperpass.protocol.frames.messages import NO_SHARD
 from copperpass.protocol.workers import TaskState
 
-Key = tuple[str, int, int]
+# Job id, index and attempt of a task.
+PlacementKey = tuple[str, int, int]
 # The team of a task whose job is not in the watch cache.
 UNIDENTIFIED = "?"
 
@@ -23,16 +25,16 @@
     CANCELLED = "job cancelled"
     PREEMPTED = "preempted"
     RECLAIMED = "reclaimed"
-    NOTICE = "interruption notice"
+    INTERRUPTION_NOTICE = "interruption notice"
     DUPLICATE = "duplicate attempt"
     OTHER_SHARD = "task of another shard"
     FAULTY_MACHINE = "machine quarantined"
-    # Of gangs: the attempt has ended, a task of it is gone, two attempts or no room for the rest.
+    # Of gangs.
     ATTEMPT_ENDED = "attempt ended"
     TASK_LOST = "task lost"
     TASK_EXITED = "task exited"
     TWO_ATTEMPTS = "two attempts"
-    NO_ROOM = "no capacity for the rest"
+    NO_CAPACITY = "no capacity for the rest"
 
 
 @dataclass(slots=True)
@@ -56,20 +58,26 @@
     sent_at: float = 0.0
     running_at: float = 0.0
     reported: bool = False
+    # The sequence of the worker's last status as the start was sent or confirmed; -1 before.
     sent_sequence: int = -1
     sent_directly: bool = False
+    # Set if the outcome of a direct start is unknown: a worker that has accepted this token refuses
+    # the start.
     barrier_token: int = 0
+    # The token that the start was sent with.
     start_token: int = 0
+    # Time for a checkpoint before the task is killed; None unless it is to be stopped.
     stop_grace_s: float | None = None
     stop_sent_at: float = 0.0
     stop_reason: StopReason | None = None
+    # Whether the exit is recorded, or needs no record: the worker may forget the task.
     stored: bool = False
     # A task of another shard, whose completion only the owner of that shard may record.
     of_other_shard: bool = False
-    shard: int = 255
+    shard: int = NO_SHARD
 
     @property
-    def key(self) -> Key:
+    def key(self) -> PlacementKey:
         """Unique among the placements of a machine."""
         return (self.job_id, self.index, self.attempt)
 
--- a/src/copperpass/core/scheduling/quota_usage.py
+++ b/src/copperpass/core/scheduling/quota_usage.py
@@ -6,14 +6,17 @@
 
 
 class QuotaUsage:
-    """What each team's tasks take on an owner's machines: sums kept up machine by machine."""
+    """CPUs and GPUs that each team's tasks use: sums that are updated machine by machine.
+
+    `unidentified`: the machines with tasks of jobs that are not in the watch cache.
+    """
 
     def __init__(self) -> None:
         self.teams: dict[str, list[float]] = {}
         self.unidentified: set[str] = set()
 
     def recount(self, machine: Machine) -> None:
-        """Bring the sums up to a machine whose tasks have changed."""
+        """Update the sums after a change of a machine's tasks."""
         self._add(machine, -1.0)
         machine.recount()
         self._add(machine, 1.0)
@@ -23,7 +26,7 @@
             self.unidentified.discard(machine.name)
 
     def drop(self, machine: Machine) -> None:
-        """A machine is not the owner's any more."""
+        """Subtract a machine that the shard doesn't own any more."""
         self._add(machine, -1.0)
         machine.by_team = {}
         self.unidentified.discard(machine.name)
@@ -35,6 +38,6 @@
             sums[1] += sign * gpus
 
     def of(self, team: str) -> tuple[float, float]:
-        """CPUs and GPUs that a team's tasks take or may take."""
+        """CPUs and GPUs that a team's tasks use or may use."""
         cpus, gpus = self.teams.get(team, (0.0, 0.0))
         return cpus, gpus
--- a/src/copperpass/core/scheduling/task_reconciliation.py
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -7,7 +7,7 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.machines import Machine
-from copperpass.core.scheduling.placements import UNIDENTIFIED, Key, Placement, StopReason
+from copperpass.core.scheduling.placements import UNIDENTIFIED, Placement, PlacementKey, StopReason
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_statuses import TaskStatusHandler
 from copperpass.core.scheduling.tasks import TaskLifecycle
@@ -76,7 +76,7 @@
         if start_undelivered:
             self.commands.suspect_unreachable(now, machine)
 
-    def _adopt(self, now: float, machine: Machine, key: Key) -> Placement:
+    def _adopt(self, now: float, machine: Machine, key: PlacementKey) -> Placement:
         """Record a task that an earlier owner has started."""
         job_id, index, attempt = key
         placement = Placement(
