--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Contact:
+class MachineCounts:
     """How many machines should send heartbeats, and how many of them are unresponsive."""
 
     unresponsive: int = 0
@@ -29,14 +29,14 @@
     def __init__(
         self, machines: Iterable[Machine], unreconciled: set[str], now: float, timeout_s: float
     ) -> None:
-        self.zones: dict[str, Contact] = {}
+        self.zones: dict[str, MachineCounts] = {}
         for machine in machines:
             if machine.registered or machine.name in unreconciled:
-                zone = self.zones.setdefault(machine.zone, Contact())
-                zone.unresponsive += now - machine.last_contact_at > timeout_s
-                zone.total += 1
-        self.unresponsive = sum(zone.unresponsive for zone in self.zones.values())
-        self.total = sum(zone.total for zone in self.zones.values())
+                counts = self.zones.setdefault(machine.zone, MachineCounts())
+                counts.unresponsive += now - machine.last_contact_at > timeout_s
+                counts.total += 1
+        self.unresponsive = sum(counts.unresponsive for counts in self.zones.values())
+        self.total = sum(counts.total for counts in self.zones.values())
 
     def is_minority(self, zone: str) -> bool:
         """Whether most other machines are responsive, in all and in the zone."""
@@ -44,10 +44,10 @@
 
     def is_zone_outage(self, zone: str) -> bool:
         """Whether most of a zone is unresponsive, and more than a machine or two."""
-        contact = self.zones.get(zone)
-        if contact is None:
+        counts = self.zones.get(zone)
+        if counts is None:
             return False
-        return contact.unresponsive * 2 > contact.total and contact.unresponsive > 2
+        return counts.unresponsive * 2 > counts.total and counts.unresponsive > 2
 
 
 class HeartbeatTimeoutScan:
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -106,7 +106,7 @@
         return machine
 
     def _release_or_drain(self, now: float, machine: Machine, drain: bool) -> None:
-        """The leader reclaims a machine: release it if proven empty, else perhaps drain it."""
+        """The leader reclaims a machine: release it if proven empty, else drain it if `drain`."""
         if self.state.release_if_empty(machine) or not drain:
             return
         machine.draining = True
