--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: reads and checks the settings, then runs a controller."""
 
 from __future__ import annotations
 
@@ -13,42 +13,46 @@
 
 
 def argument_parser() -> argparse.ArgumentParser:
-    """Describe the command line."""
-    arguments = argparse.ArgumentParser(
+    """The parser of the command line's arguments."""
+    parser = argparse.ArgumentParser(
         prog="copperpass",
         description="A cluster scheduler: one controller of a copperpass service.",
         epilog="LOG_LEVEL (error, info, debug) governs the log on standard error.",
     )
-    arguments.add_argument("--version", action="version", version=f"copperpass {__version__}")
-    arguments.add_argument(
-        "--config", required=True, metavar="FILE", help="the settings file (TOML)"
-    )
-    arguments.add_argument(
+    parser.add_argument("--version", action="version", version=f"copperpass {__version__}")
+    parser.add_argument("--config", required=True, metavar="FILE", help="the settings file (TOML)")
+    parser.add_argument(
         "--operator",
         metavar="FILE",
         help="the operators' own settings (protobuf text format, see operator.proto)",
     )
-    arguments.add_argument(
+    parser.add_argument(
         "--check", action="store_true", help="check the settings and exit without starting"
     )
-    return arguments
+    return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit code: 2 for settings that can't be used."""
-    args = argument_parser().parse_args(argv)
+    """Run a controller until it is stopped; returns the exit code.
+
+    0 after a stop or a successful `--check`; 2 for settings that can't be used, with a line on
+    standard error that says why. `argv` defaults to the process's arguments.
+    """
+    arguments = argument_parser().parse_args(argv)
     try:
-        settings = load(args.config)
+        settings = load(arguments.config)
+        # Raises SettingsError for timings with which elections would not be safe.
         election_timings(settings.cluster)
         tuning = Tuning()
-        if args.operator:
-            tuning = load_tuning(args.operator)
+        if arguments.operator:
+            tuning = load_tuning(arguments.operator)
     except SettingsError as error:
         print(f"copperpass: settings: {error}", file=sys.stderr)
         return 2
-    if args.check:
+    if arguments.check:
         print(f"copperpass: settings of {settings.name} are fine")
         return 0
+    # Imported here, so that a check of the settings needs no reactor.
     from copperpass.log import configure
     from copperpass.net.service import run
 
--- a/src/copperpass/tuning.py
+++ b/src/copperpass/tuning.py
@@ -1,4 +1,7 @@
-"""Operators' own settings: defaults, bounds, and reading them from protobuf text format."""
+"""The operators' settings: defaults, bounds, and reading them from protobuf text format.
+
+The names are those of `operator.proto`, which operators write.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """What operators may set; see operator.proto for the meanings."""
+    """What operators may set; `operator.proto` says what each setting means.
+
+    Units: `_boots` in boot times of a machine, `_reports` in heartbeat intervals, `_s` in seconds.
+    """
 
     warm_window_boots: float = 2.5
     cheap_window_boots: float = 4.0
@@ -23,6 +29,7 @@
     preemption: bool = True
 
 
+# The least and the greatest value allowed of each number.
 BOUNDS = {
     "warm_window_boots": (0.1, 100.0),
     "cheap_window_boots": (0.1, 100.0),
@@ -36,7 +43,11 @@
 
 
 def load_tuning(path: str) -> Tuning:
-    """Read and check an operators' file; protobuf is imported only here."""
+    """Read and check an operators' file; raises `SettingsError` naming the file and the setting.
+
+    What the file leaves out has its default.
+    """
+    # Imported only here: a controller without such a file does without protobuf.
     from google.protobuf import text_format
 
     from copperpass.operator_pb2 import Operator  # type: ignore[attr-defined]
@@ -49,10 +60,12 @@
     except (text_format.ParseError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     explicit = {
-        f.name: getattr(message, f.name) for f in fields(Tuning) if message.HasField(f.name)
+        setting.name: getattr(message, setting.name)
+        for setting in fields(Tuning)
+        if message.HasField(setting.name)
     }
-    for name, (low, high) in BOUNDS.items():
+    for name, (minimum, maximum) in BOUNDS.items():
         value = explicit.get(name)
-        if value is not None and not (math.isfinite(value) and low <= value <= high):
-            raise SettingsError(f"{path}: {name}: must be from {low} to {high}, got {value}")
+        if value is not None and not (math.isfinite(value) and minimum <= value <= maximum):
+            raise SettingsError(f"{path}: {name}: must be from {minimum} to {maximum}, got {value}")
     return Tuning(**explicit)
