--- a/src/copperpass/core/jobs/__init__.py
+++ b/src/copperpass/core/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that are not completed, as the key-value store holds them."""
+"""Jobs that are not completed, as the watch cache shows them; completed tasks only add up."""
