--- a/src/copperpass/net/client.py
+++ b/src/copperpass/net/client.py
@@ -10,13 +10,16 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.error import ConnectError, ConnectingCancelledError
 from twisted.internet.protocol import Protocol
+from twisted.python.failure import Failure
 from twisted.web.client import URI, Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from copperpass.core.ports import NO_ANSWER, NOT_SENT
+from copperpass.net.reactor import Reactor
 
+# Called with an HTTP status, `NO_ANSWER` or `NOT_SENT`, and the body.
 OnResponse = Callable[[int, bytes], None]
 CONNECT_TIMEOUT_S = 5.0
 JSON_HEADERS = Headers({b"content-type": [b"application/json"]})
@@ -33,7 +36,7 @@
     """
 
     def __init__(
-        self, reactor: Any, per_host: int, max_connections: int, idle_timeout_s: float
+        self, reactor: Reactor, per_host: int, max_connections: int, idle_timeout_s: float
     ) -> None:
         super().__init__(reactor, persistent=True)
         self.maxPersistentPerHost = per_host
@@ -72,8 +75,9 @@
 class EndpointFactory:
     """Makes endpoints of IP addresses, which need no name resolution."""
 
-    def __init__(self, reactor: Any, connect_timeout_s: float) -> None:
-        self.reactor, self.connect_timeout_s = reactor, connect_timeout_s
+    def __init__(self, reactor: Reactor, connect_timeout_s: float) -> None:
+        self.reactor = reactor
+        self.connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
         """The endpoint of an address."""
@@ -86,7 +90,8 @@
     """Collects the body of a response, then passes it on with the status."""
 
     def __init__(self, status: int, on_response: OnResponse) -> None:
-        self.status, self.on_response = status, on_response
+        self.status = status
+        self.on_response = on_response
         self.parts: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
@@ -108,7 +113,7 @@
     """
 
     def __init__(
-        self, reactor: Any, per_host: int, max_connections: int, idle_timeout_s: float = 60.0
+        self, reactor: Reactor, per_host: int, max_connections: int, idle_timeout_s: float = 60.0
     ) -> None:
         self.reactor = reactor
         self.pool = BoundedConnectionPool(reactor, per_host, max_connections, idle_timeout_s)
@@ -152,7 +157,7 @@
             reading.append(ResponseBody(response.code, finish))
             response.deliverBody(reading[0])
 
-        def on_failure(failure: Any) -> None:
+        def on_failure(failure: Failure) -> None:
             # A connection that was never made, or was abandoned before, carries nothing later.
             unsent = failure.check(ConnectError, ConnectingCancelledError) is not None
             finish(NOT_SENT if unsent else NO_ANSWER, b"")
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -12,6 +12,7 @@
 from copperpass.errors import FrameError
 from copperpass.log import write
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
+from copperpass.net.reactor import Reactor
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import Frame, Hello, UnknownFrame
 from copperpass.protocol.frames.stream import FrameDecoder
@@ -23,10 +24,14 @@
 
 
 class IncomingLink(Protocol):
-    """Frames from another controller."""
+    """The receiving end of a link: decodes frames and passes them on with the sender's name.
+
+    Invariant: no frame is passed on before the sender has named itself as a known member.
+    """
 
     def __init__(self, members: set[str], on_frame: OnFrame) -> None:
-        self.members, self.on_frame = members, on_frame
+        self.members = members
+        self.on_frame = on_frame
         self.decoder = FrameDecoder()
         self.sender = ""
         self.unknown_logged = False
@@ -73,7 +78,8 @@
     noisy = False
 
     def __init__(self, members: set[str], on_frame: OnFrame) -> None:
-        self.members, self.on_frame = members, on_frame
+        self.members = members
+        self.on_frame = on_frame
 
     def buildProtocol(self, addr: Any) -> IncomingLink:
         """Make one receiving end."""
@@ -118,9 +124,11 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, own_name: str, addr: str, retry_s: float) -> None:
-        self.reactor, self.own_name, self.retry_s = reactor, own_name, retry_s
-        self.host, self.port = split_address(addr, "members.addr")
+    def __init__(self, reactor: Reactor, own_name: str, address: str, retry_s: float) -> None:
+        self.reactor = reactor
+        self.own_name = own_name
+        self.retry_s = retry_s
+        self.host, self.port = split_address(address, "members.addr")
         self.link: OutgoingLink | None = None
 
     def connect(self) -> None:
@@ -158,11 +166,15 @@
 
 
 class PeerLinks:
-    """All links of this controller: one outgoing to each other member, and those that come in."""
+    """All links of this controller: one outgoing to each other member, and those that come in.
+
+    `members` maps the other members' names to their addresses (`host:port`). `retry_s` is the time
+    in seconds between two attempts to connect.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         own_name: str,
         listen: str,
         members: dict[str, str],
@@ -173,8 +185,8 @@
         self.host, self.port = split_address(listen, "internal_addr")
         self.incoming = IncomingLinkFactory(set(members), on_frame)
         self.outgoing = {
-            name: OutgoingLinkFactory(reactor, own_name, addr, retry_s)
-            for name, addr in members.items()
+            name: OutgoingLinkFactory(reactor, own_name, address, retry_s)
+            for name, address in members.items()
         }
 
     def start(self) -> None:
@@ -184,5 +196,5 @@
             link.connect()
 
     def send(self, member: str, frame: Frame) -> None:
-        """Send a frame to one member."""
+        """Send a frame to one member, or drop it if its link takes none."""
         self.outgoing[member].send(encode_frame(frame))
--- a/src/copperpass/net/server.py
+++ b/src/copperpass/net/server.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from io import BytesIO
-from typing import Any
+from typing import Any, Protocol, cast
 
 from twisted.web.http import HTTPFactory, Request
 
+from copperpass.net.reactor import Reactor
 from copperpass.protocol.json_codec import error_body
 from copperpass.protocol.users import CANCEL_SUFFIX, HEALTH_PATH, JOBS_PATH, MAX_BODY_BYTES
 from copperpass.protocol.workers import HEARTBEAT_PATH
@@ -23,10 +24,30 @@
         return len(data)
 
 
+class ApiService(Protocol):
+    """What answers the requests: each through `reply` of its request, now or later."""
+
+    def worker_heartbeat(self, request: ApiRequest, body: bytes) -> None:
+        """A worker's heartbeat."""
+
+    def health(self) -> tuple[int, bytes]:
+        """Status and body for the load balancer's probe."""
+
+    def submit(self, request: ApiRequest, body: bytes) -> None:
+        """A user's submission."""
+
+    def poll(self, request: ApiRequest, job_id: str) -> None:
+        """A user's poll of a job."""
+
+    def cancel(self, request: ApiRequest, job_id: str) -> None:
+        """A user's cancellation of a job."""
+
+
 class ApiRequest(Request):
     """One request; the service decides the answer, now or later, through `reply`."""
 
-    service: Any = None
+    # Set by `ApiFactory` on a class of its own.
+    service: ApiService
     disconnected = False
 
     def gotLength(self, length: int | None) -> None:
@@ -81,7 +102,7 @@
         super().connectionLost(reason)
 
     def reply(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Answer, unless the client has disconnected or has its answer."""
+        """Answer, unless the client has disconnected or was answered; `retry_after` in seconds."""
         if self.disconnected or self.finished:
             return
         self.setResponseCode(status)
@@ -94,10 +115,10 @@
 
 
 class ApiFactory(HTTPFactory):
-    """Makes channels whose requests know the service."""
+    """Makes channels whose requests know the service; closes those idle for `idle_timeout_s`."""
 
-    def __init__(self, service: Any, reactor: Any, idle_timeout_s: float) -> None:
-        super().__init__(timeout=int(idle_timeout_s), reactor=reactor)
+    def __init__(self, service: ApiService, reactor: Reactor, idle_timeout_s: float) -> None:
+        super().__init__(timeout=int(idle_timeout_s), reactor=cast(Any, reactor))
         self.request_class = type("BoundRequest", (ApiRequest,), {"service": service})
 
     def buildProtocol(self, addr: Any) -> Any:
@@ -107,5 +128,5 @@
             channel.requestFactory = self.request_class
         return channel
 
-    def log(self, request: Any) -> None:
+    def log(self, request: Request) -> None:
         """No access log: the service logs what matters."""
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -10,7 +10,7 @@
 import logging
 import os
 import time
-from typing import Any
+from typing import Any, cast
 
 from copperpass import __version__
 from copperpass.core.node.node import Node
@@ -19,7 +19,8 @@
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.net.client import HttpClient
 from copperpass.net.peers import PeerLinks
-from copperpass.net.server import ApiFactory
+from copperpass.net.reactor import Reactor, Timer
+from copperpass.net.server import ApiFactory, ApiRequest
 from copperpass.protocol.frames.messages import Frame
 from copperpass.settings import Settings, split_address
 from copperpass.tuning import Tuning
@@ -28,10 +29,14 @@
 
 
 class Service:
-    """One running controller."""
+    """One running controller: owns its node, sockets and timers.
 
-    def __init__(self, settings: Settings, tuning: Tuning, reactor: Any) -> None:
-        self.settings, self.reactor = settings, reactor
+    All of it runs on the reactor's thread, one input at a time.
+    """
+
+    def __init__(self, settings: Settings, tuning: Tuning, reactor: Reactor) -> None:
+        self.settings = settings
+        self.reactor = reactor
         self.now = time.monotonic
         # The time of day wanders, so only its distance at the start is used, and only to know how
         # long a job has waited already.
@@ -61,7 +66,7 @@
             ExternalService.CLOUD: settings.services.cloud,
         }
         self.tick_s = min(0.1, settings.cluster.workers.heartbeat_interval_s / 20)
-        self.round_timer: Any = None
+        self.round_timer: Timer | None = None
 
     def start(self) -> None:
         """Listen and begin to tick."""
@@ -114,7 +119,7 @@
         self.round_timer = None
         self._run()
 
-    def worker_heartbeat(self, request: Any, body: bytes) -> None:
+    def worker_heartbeat(self, request: ApiRequest, body: bytes) -> None:
         """POST of a worker's heartbeat."""
         try:
             self.node.worker_heartbeat(self.now(), request, body)
@@ -129,17 +134,17 @@
             return 200, b'{"ok":true}'
         return 503, b'{"ok":false}'
 
-    def submit(self, request: Any, body: bytes) -> None:
+    def submit(self, request: ApiRequest, body: bytes) -> None:
         """A user's submission."""
         self.node.user_api.submit(self.now(), request, body)
         self._flush_outbox()
 
-    def poll(self, request: Any, job_id: str) -> None:
+    def poll(self, request: ApiRequest, job_id: str) -> None:
         """A user's poll."""
         self.node.user_api.poll(self.now(), request, job_id)
         self._flush_outbox()
 
-    def cancel(self, request: Any, job_id: str) -> None:
+    def cancel(self, request: ApiRequest, job_id: str) -> None:
         """A user's cancellation."""
         self.node.user_api.cancel(self.now(), request, job_id)
         self._flush_outbox()
@@ -157,7 +162,7 @@
                 self.peers.send(member, frame)
             replies, out.replies = out.replies, []
             for reply in replies:
-                request: Any = reply.request
+                request = cast(ApiRequest, reply.request)
                 request.reply(reply.status, reply.body, reply.retry_after)
             calls, out.calls = out.calls, []
             for call in calls:
