--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -56,10 +56,13 @@
             self.node.timings.vote_s / 4,
         )
         max_connections = settings.cluster.resources.max_connections
-        self.client = HttpClient(reactor, 8, 32)
+        self.client = HttpClient(reactor, per_host=8, max_connections=32)
         # A quarter of the connections for commands to workers; the rest is for incoming ones.
         self.worker_client = HttpClient(
-            reactor, 1, max(16, max_connections // 4), 2 * settings.cluster.workers.lease_s
+            reactor,
+            per_host=1,
+            max_connections=max(16, max_connections // 4),
+            idle_timeout_s=2 * settings.cluster.workers.lease_s,
         )
         self.addresses = {
             ExternalService.STATE: settings.services.state,
@@ -120,7 +123,7 @@
         self._run()
 
     def worker_heartbeat(self, request: ApiRequest, body: bytes) -> None:
-        """POST of a worker's heartbeat."""
+        """A worker's heartbeat; 503 after a fault, so that the worker tries the next controller."""
         try:
             self.node.worker_heartbeat(self.now(), request, body)
         except Exception:
@@ -129,7 +132,7 @@
         self._flush_outbox()
 
     def health(self) -> tuple[int, bytes]:
-        """The load balancer's probe."""
+        """Status and body for the load balancer's probe."""
         if self.node.healthy(self.now()):
             return 200, b'{"ok":true}'
         return 503, b'{"ok":false}'
