--- a/src/copperpass/core/api/responses.py
+++ b/src/copperpass/core/api/responses.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from copperpass.core.api.context import ApiContext
-from copperpass.core.api.validation import UNAVAILABLE, Rejection
+from copperpass.core.api.validation import UNAVAILABLE
 from copperpass.core.ports import Reply
+from copperpass.errors import RejectedJobError
 from copperpass.protocol.json_codec import encode, error_body
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobAnswer, JobState
@@ -40,7 +41,7 @@
         """No job has the id."""
         self._reply(request, 404, error_body("no such job"))
 
-    def rejected(self, request: object, rejection: Rejection) -> None:
+    def rejected(self, request: object, rejection: RejectedJobError) -> None:
         """A submission is refused."""
         if rejection.status == UNAVAILABLE:
             self.unavailable(request, rejection.reason)
--- a/src/copperpass/core/api/submissions.py
+++ b/src/copperpass/core/api/submissions.py
@@ -11,12 +11,12 @@
     MALFORMED,
     UNAVAILABLE,
     UNPROCESSABLE,
-    Rejection,
     is_job_id,
     validate,
 )
 from copperpass.core.kvstore.keys import COMPLETED_JOBS_PREFIX, LIVE_JOBS_PREFIX
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
+from copperpass.errors import RejectedJobError
 from copperpass.protocol.json_codec import DECODE_ERRORS, decode, encode
 from copperpass.protocol.kvstore import PutKey
 from copperpass.protocol.records import submitted_job_value
@@ -27,8 +27,8 @@
 UNCERTAIN_SIZE_PART = 0.8
 
 
-def _too_large() -> Rejection:
-    return Rejection(UNPROCESSABLE, "can never be stored: too large")
+def _too_large() -> RejectedJobError:
+    return RejectedJobError(UNPROCESSABLE, "can never be stored: too large")
 
 
 class Submissions:
@@ -42,33 +42,33 @@
         """Validate a submission and store it, or refuse it."""
         if len(body) > MAX_BODY_BYTES:
             # Malformed: users give up at once on a 400, but repeat a 413 for a minute.
-            self.responder.rejected(request, Rejection(MALFORMED, "body too large"))
+            self.responder.rejected(request, RejectedJobError(MALFORMED, "body too large"))
             return
         try:
             spec = decode_spec(body)
         except DECODE_ERRORS as error:
             reference = decode(body, JobReference)
-            rejection = Rejection(MALFORMED, str(error))
+            rejection = RejectedJobError(MALFORMED, str(error))
             if reference is None or not is_job_id(reference.id):
                 self.responder.rejected(request, rejection)
             else:
                 self._refuse(now, request, reference.id, rejection)
             return
         if not is_job_id(spec.id):
-            rejection = Rejection(MALFORMED, "id: not of the form req-000000")
+            rejection = RejectedJobError(MALFORMED, "id: not of the form req-000000")
             self.responder.rejected(request, rejection)
             return
         try:
             record = self._record(now, spec)
-        except Rejection as rejection:
+        except RejectedJobError as rejection:
             self._refuse(now, request, spec.id, rejection)
             return
         self._store(now, request, spec.id, record)
 
     def _record(self, now: float, spec: JobSpec) -> dict[str, object]:
-        """The record of a valid job; raises a Rejection for any other."""
+        """The record of a valid job; raises `RejectedJobError` for any other."""
         if not self.types:
-            raise Rejection(UNAVAILABLE, "machine types not known yet")
+            raise RejectedJobError(UNAVAILABLE, "machine types not known yet")
         validate(spec, self.context.cluster, self.types)
         submitted_at = round(now + self.context.wall_clock_offset, 1)
         record = submitted_job_value(spec, submitted_at)
@@ -118,7 +118,9 @@
 
         self.lookup.find(now, job_id, on_found, on_failed)
 
-    def _refuse(self, now: float, request: object, job_id: str, rejection: Rejection) -> None:
+    def _refuse(
+        self, now: float, request: object, job_id: str, rejection: RejectedJobError
+    ) -> None:
         """Refuse, unless the id is that of a job which was accepted before."""
 
         def on_found(now: float, stored: StoredJob | None) -> None:
--- a/src/copperpass/core/api/validation.py
+++ b/src/copperpass/core/api/validation.py
@@ -8,6 +8,7 @@
 import math
 
 from copperpass.core.scheduling.bin_packing.feasibility import feasible_on_type, fits_within
+from copperpass.errors import RejectedJobError
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JOB_ID_PATTERN, MAX_TASKS, JobSpec
 from copperpass.settings import Cluster, Team
@@ -15,42 +16,31 @@
 MALFORMED, UNPROCESSABLE, UNAVAILABLE = 400, 422, 503
 
 
-class Rejection(Exception):
-    """A submission that is refused: the HTTP status and the reason.
-
-    `UNAVAILABLE` means that it can't be decided now; the others are final.
-    """
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status, self.reason = status, reason
-
-
 def is_job_id(text: str) -> bool:
     """Whether a text has the form of a job id."""
     return JOB_ID_PATTERN.match(text) is not None
 
 
 def validate(spec: JobSpec, cluster: Cluster, types: dict[str, MachineType]) -> None:
-    """Raise a Rejection if the job is malformed or can never run."""
+    """Raise `RejectedJobError` if the job is malformed or can never run."""
     _check_form(spec)
     team = next((team for team in cluster.teams if team.name == spec.team), None)
     if team is None:
-        raise Rejection(UNPROCESSABLE, "desk: unknown team")
+        raise RejectedJobError(UNPROCESSABLE, "desk: unknown team")
     if not fits_within(spec.cpus, team.cpus_limit) or not fits_within(spec.gpus, team.gpus_limit):
-        raise Rejection(UNPROCESSABLE, "a task needs more than the team's limit")
+        raise RejectedJobError(UNPROCESSABLE, "a task needs more than the team's limit")
     zones = _feasible_zones(spec, types)
     if not zones:
-        raise Rejection(UNPROCESSABLE, "a task fits no allowed machine type")
+        raise RejectedJobError(UNPROCESSABLE, "a task fits no allowed machine type")
     if spec.gang:
         _check_gang(spec, team, zones)
 
 
 def _check_form(spec: JobSpec) -> None:
     if not is_job_id(spec.id):
-        raise Rejection(MALFORMED, "id: not of the form req-000000")
+        raise RejectedJobError(MALFORMED, "id: not of the form req-000000")
     if not 1 <= spec.tasks <= MAX_TASKS:
-        raise Rejection(MALFORMED, "pages: outside 1..100000")
+        raise RejectedJobError(MALFORMED, "pages: outside 1..100000")
     amounts = {
         "cpus": spec.cpus,
         "cards": spec.gpus,
@@ -63,9 +53,9 @@
     }
     for name, amount in amounts.items():
         if not math.isfinite(amount) or amount < 0:
-            raise Rejection(MALFORMED, f"{name}: not an amount")
+            raise RejectedJobError(MALFORMED, f"{name}: not an amount")
     if not spec.job_class or not spec.image:
-        raise Rejection(MALFORMED, "slot, master: must not be empty")
+        raise RejectedJobError(MALFORMED, "slot, master: must not be empty")
 
 
 def _feasible_zones(spec: JobSpec, types: dict[str, MachineType]) -> set[str]:
@@ -81,10 +71,10 @@
 
 
 def _check_gang(spec: JobSpec, team: Team, zones: set[str]) -> None:
-    """Raise a Rejection if a gang, whose tasks all run at once, can never run."""
+    """Raise `RejectedJobError` if a gang, whose tasks all run at once, can never run."""
     if not fits_within(spec.cpus * spec.tasks, team.cpus_limit) or not fits_within(
         spec.gpus * spec.tasks, team.gpus_limit
     ):
-        raise Rejection(UNPROCESSABLE, "the gang needs more than the team's limit")
+        raise RejectedJobError(UNPROCESSABLE, "the gang needs more than the team's limit")
     if spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
-        raise Rejection(UNPROCESSABLE, "a gang can't be both in one zone and spread")
+        raise RejectedJobError(UNPROCESSABLE, "a gang can't be both in one zone and spread")
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -70,7 +70,6 @@
             machine = records.add(now, item.id, machine_group, NO_SHARD, Occupancy.EMPTY)
             machine.created_at = now - item.age_s
             state.inventory.record_machine(now, item.id, machine_group)
-        machine.in_cloud_listing = True
         if item.address and machine.route.contact is None:
             records.record_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.route.failed:
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -44,7 +44,6 @@
     registered_at: float = 0.0
     idle_since: float = 0.0
     used_cpus: float = 0.0
-    in_cloud_listing: bool = False
     deleting: bool = False
     deletion_sent_at: float = float("-inf")
     # The shard that its owner is asked to release it for; None: to be deleted.
--- a/src/copperpass/errors.py
+++ b/src/copperpass/errors.py
@@ -20,7 +20,10 @@
 
 
 class RejectedJobError(CopperpassError):
-    """A submission that is refused: the HTTP status of the answer, and the reason that it gives."""
+    """A submission that is refused: the HTTP status of the answer, and the reason that it gives.
+
+    503 means that it can't be decided now; the other statuses are final.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
