--- a/src/copperpass/core/election/__init__.py
+++ b/src/copperpass/core/election/__init__.py
@@ -1,5 +1,5 @@
-"""Who may act: the leader lease, its extension by all members' votes, campaigns, fencing tokens.
+"""Leader election: the leader lease, its extension by votes, campaigns and fencing tokens.
 
-Invariant: at no moment do two members have authority. `leader_election` composes the parts; the
-argument is in docs/design.md, "Leader election".
+Invariant: at most one member has authority (may act as the leader) at any time. `leader_election`
+composes the parts; docs/design.md, "Leader election", has the safety argument.
 """
--- a/src/copperpass/core/election/campaign.py
+++ b/src/copperpass/core/election/campaign.py
@@ -1,4 +1,4 @@
-"""One member's attempts to win the leader key: when, how, and what a missing answer means."""
+"""Campaigns: a member's attempts to write the leader key, their timing and failure handling."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CampaignWin:
-    """A won campaign: the records as written, at which revision, and when it was begun."""
+    """A won campaign: the record as written, its revision in the store, and when it started."""
 
     record: LeaderRecord
     revision: int
@@ -30,8 +30,8 @@
 class Campaign:
     """Creates a lease, then writes the leader key and the next token in one transaction.
 
-    The transaction is guarded by the key's absence and by the counter's version, so a late one
-    is refused once any other campaign was won.
+    The transaction is guarded by the absence of the key and by the version of the token counter,
+    so the store refuses a late one once any other campaign has been won.
     """
 
     def __init__(
@@ -46,49 +46,53 @@
         self.on_won = on_won
         self.in_progress = False
         self.lease_id: int | None = None
-        # Leases of campaigns without an answer, whose transactions may be carried out yet.
+        # Leases of campaigns whose transaction got no answer and may still be applied.
         self.unresolved_leases: set[int] = set()
         self._started_at = 0.0
-        # Members campaign one after the other, so that they seldom meet.
+        # Each member starts at its own offset, so that campaigns seldom conflict.
         rank = sorted([context.member, *context.peers]).index(context.member)
         self._stagger_s = rank * context.timings.leader_ttl_s / 12
-        self.next_at = now + self._stagger_s
+        self.next_campaign_at = now + self._stagger_s
         self._backoff_until = 0.0
 
-    # -- when --------------------------------------------------------------------------
+    # -- scheduling --------------------------------------------------------------------
 
     def is_due(self, now: float) -> bool:
-        """Whether a campaign may be begun as far as its own timers go."""
-        return not self.in_progress and now >= max(self.next_at, self._backoff_until)
+        """Whether no campaign is in progress and both the schedule and the backoff allow one."""
+        return not self.in_progress and now >= max(self.next_campaign_at, self._backoff_until)
 
     def postpone(self, now: float) -> None:
-        """A vote of this member binds it: try again shortly."""
-        self.next_at = now + self.context.timings.leader_ttl_s / 40
+        """Retry shortly, because a vote of this member still forbids it to campaign."""
+        self.next_campaign_at = now + self.context.timings.leader_ttl_s / 40
 
     def on_leader_gone(self, now: float) -> None:
-        """The key is vacant: campaign soon, each member in its turn."""
-        jitter = self.context.rng.uniform(0, self.context.timings.leader_ttl_s / 40)
-        self.next_at = max(now + self._stagger_s + jitter, self._backoff_until)
+        """Schedule a campaign, staggered by member, after the leader key has disappeared."""
+        jitter_s = self.context.rng.uniform(0, self.context.timings.leader_ttl_s / 40)
+        self.next_campaign_at = max(now + self._stagger_s + jitter_s, self._backoff_until)
 
     def on_step_down(self, now: float, backoff_s: float) -> None:
-        """Let another member win for so long after this one has stepped down."""
+        """Leave the election to other members for `backoff_s` seconds after stepping down."""
         self._backoff_until = max(self._backoff_until, now + backoff_s)
-        self.next_at = now + self.context.rng.uniform(0.2, 0.5) * self.context.timings.leader_ttl_s
+        self.next_campaign_at = (
+            now + self.context.rng.uniform(0.2, 0.5) * self.context.timings.leader_ttl_s
+        )
 
     def may_still_win(self) -> bool:
-        """Whether a campaign of this member may be won, now or by a late transaction."""
+        """Whether a campaign in progress or a late transaction may still make this member win."""
         return self.in_progress or bool(self.unresolved_leases)
 
     # -- one campaign --------------------------------------------------------------------
 
     def begin(self, now: float) -> None:
-        """Create the lease that the key is to be attached to."""
+        """Start a campaign by creating the lease for the leader key."""
         self.in_progress = True
         self._started_at = now
-        ttl = self.context.timings.leader_ttl_s
-        body = encode({"ttl_ms": int(ttl * 1000)})
+        ttl_s = self.context.timings.leader_ttl_s
+        body = encode({"ttl_ms": int(ttl_s * 1000)})
         self.context.out.calls.append(
-            Call(ExternalService.STATE, "POST", LEASES_PATH, self._on_lease_created, body, ttl / 3)
+            Call(
+                ExternalService.STATE, "POST", LEASES_PATH, self._on_lease_created, body, ttl_s / 3
+            )
         )
 
     def _on_lease_created(self, now: float, outcome: CallOutcome) -> None:
@@ -128,17 +132,19 @@
             self.in_progress = False
             self.on_won(now, CampaignWin(record, revision, self._started_at))
             return
-        # Outcome unknown, or too late: revoke the lease, so that a late write of the key is
-        # refused.
+        # The transaction failed, its outcome is unknown, or it was applied after the lease may
+        # have expired. Revoke the lease, so that the store refuses a late write of the key.
         if outcome is TransactionOutcome.UNKNOWN:
             self.unresolved_leases.add(record.lease)
         elif applied and revision > self.counter.version:
-            self.counter.record(record.token, revision, self.context.member)
+            self.counter.update(record.token, revision, self.context.member)
         self.leader_lease.revoke(record.lease)
         self._on_failed(now, conflict=outcome is TransactionOutcome.CONFLICT)
 
     def _on_failed(self, now: float, conflict: bool = False) -> None:
         self.in_progress = False
-        ttl = self.context.timings.leader_ttl_s
-        spread = ttl / 10 if conflict else ttl / 4
-        self.next_at = now + self._stagger_s + self.context.rng.uniform(spread / 2, spread)
+        ttl_s = self.context.timings.leader_ttl_s
+        max_jitter_s = ttl_s / 10 if conflict else ttl_s / 4
+        self.next_campaign_at = (
+            now + self._stagger_s + self.context.rng.uniform(max_jitter_s / 2, max_jitter_s)
+        )
--- a/src/copperpass/core/election/context.py
+++ b/src/copperpass/core/election/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member's election share."""
+"""Dependencies shared by the parts of one member's election."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 class OnLeadershipChange(Protocol):
     """Called when this member wins or loses the leadership.
 
-    `continued`: it still had authority under its earlier token when it won again, so no other
-    member can have acted in between.
+    `continued`: the member still had authority under its earlier token when it won again, so no
+    other member can have acted as the leader in between.
     """
 
     def __call__(self, now: float, is_leader: bool, continued: bool) -> None:
-        """Take in the change."""
+        """Handle the change."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ElectionContext:
-    """One member's election: who takes part, how long things last, and where effects go.
+    """One member's view of the election: participants, timings and output ports.
 
-    `consistent_at` returns the time before which every confirmed change of the
-    store is known here. `max_grant_s` is the longest grant that an earlier run of this member may
-    have left behind; 0 where no shard is granted.
+    `consistent_at` returns a monotonic time in seconds: the watch cache of this member contains
+    every change that the store confirmed before it. `max_grant_s` is the longest time in seconds
+    that a shard grant given by an earlier run of this member may still last; 0 if shards are not
+    granted.
     """
 
     member: str
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -1,20 +1,21 @@
-"""Leader election: a leased key, a counter of fencing tokens, and votes for outages.
-
-The argument is in docs/design.md. In short, with ttl the leader key's time to live, V the length
-of a vote, and B the longest extension of authority through an outage of the store:
-
-- The key's lease is counted from the *sending* of the request that won or renewed it
-  (`LeaderLease`).
-- A leader whose key may have expired keeps its authority only while the votes of *every* other
-  member not to campaign last, and for at most B after its last renewal (`LeaseExtension`).
-- A candidate must itself be free of votes, and refuses to vote while it campaigns; so no extension
-  can run from the moment that any member campaigns (`ExtensionVoter`, `_may_vote`).
-- A member that has just started may have voted before: it holds off elections for V, unless the
-  last token was its own, since then the extension would have been its own
+"""Leader election: a leased key, a counter of fencing tokens, and votes during store outages.
+
+The safety argument is in docs/design.md. In short, with V the duration of a vote (`vote_s`) and B
+the longest extension of authority through an outage of the store (`max_extension_s`):
+
+- The validity of the leader key's lease is counted from the *sending* of the request that created
+  or renewed it (`LeaderLease`).
+- A leader whose key may have expired keeps its authority only while *every* other member is bound
+  by a vote not to campaign, and for at most B after its last renewal (`LeaseExtension`).
+- A member campaigns only when no vote binds it, and does not vote while it campaigns. So no
+  extension is in force from the moment that any member campaigns (`ExtensionVoter`, `_may_vote`).
+- A member that has just started may have voted in an earlier run, so it does not campaign for V.
+  The exception is a member that won the last token itself: any extension after that was its own
   (`ExtensionVoter.may_campaign`).
-- A win counts only if its answer comes in time; tokens only rise (`Campaign`).
+- A win counts only if the answer arrives before the lease may have expired; tokens only rise
+  (`Campaign`).
 
-`ElectionTimings.check` refuses durations for which this does not hold.
+`ElectionTimings.check` rejects durations for which this does not hold.
 """
 
 from __future__ import annotations
@@ -32,18 +33,18 @@
 
 
 class LeaderElection:
-    """One member's part in the election: whether it leads, under which token, and for how long."""
+    """One member's election state: whether it leads, under which token, and for how long."""
 
     def __init__(self, context: ElectionContext, now: float) -> None:
         self.context = context
         self.member, self.peers = context.member, context.peers
         self.leader_ttl_s = context.timings.leader_ttl_s
         self.is_leader = False
-        # The fencing token of the term that this member leads or led last, and the store's
-        # revision at which it was won.
+        # The fencing token of this member's current or last term as leader, and the store's
+        # revision at which it won that term.
         self.token = 0
         self.election_revision = 0
-        # Whether the watch cache has shown the key and the counter.
+        # Whether the watch cache has delivered the leader key and the token counter.
         self.records_synced = False
         self.counter = FencingTokenCounter()
         self.extension = LeaseExtension(context)
@@ -53,48 +54,48 @@
 
     @property
     def leader(self) -> LeaderRecord | None:
-        """Who leads, as far as this member knows."""
+        """The record of the current leader as far as this member knows; None if there is none."""
         return self.lease.holder
 
     def leader_name(self) -> str | None:
-        """The name of the member that leads, as far as this one knows."""
+        """The name of the current leader as far as this member knows; None if there is none."""
         return self.lease.holder.member if self.lease.holder else None
 
     # -- authority ----------------------------------------------------------------------
 
     def has_authority(self, now: float) -> bool:
-        """Whether this member may act as the leader at this moment."""
-        backed = now < self.lease.valid_until or now < self.extension.valid_until()
-        return self.is_leader and backed and now < self.watch_cache_valid_until()
+        """Whether this member may act as the leader at `now`."""
+        lease_or_votes = now < self.lease.valid_until or now < self.extension.valid_until()
+        return self.is_leader and lease_or_votes and now < self.watch_cache_valid_until()
 
     def remaining_authority_s(self, now: float) -> float:
-        """For how long the authority certainly lasts from here on."""
+        """The seconds from `now` for which the authority certainly lasts; 0 without authority."""
         if not self.is_leader:
             return 0.0
-        backed_until = max(self.lease.valid_until, self.extension.valid_until())
-        return max(0.0, min(backed_until, self.watch_cache_valid_until()) - now)
+        lease_or_votes_until = max(self.lease.valid_until, self.extension.valid_until())
+        return max(0.0, min(lease_or_votes_until, self.watch_cache_valid_until()) - now)
 
     def is_on_extension(self, now: float) -> bool:
-        """Whether only votes carry the authority."""
+        """Whether this member leads by votes alone, because its lease may have expired."""
         return self.is_leader and now >= self.lease.valid_until
 
     def watch_cache_valid_until(self) -> float:
-        """Until when this member's watch cache is recent enough to command anybody.
+        """The time until which the watch cache is recent enough to send commands.
 
-        Guards cancelled jobs: a renewed key or an extended grant says nothing of which changes
-        this member knows. Who acts on an older cache may keep a job running that was cancelled.
+        Protects cancellations: a renewed key or an extended grant does not show which changes this
+        member has received. A member that acts on an older cache may keep a cancelled job running.
         """
         consistent_as_of = self.context.consistent_at()
         return consistent_as_of + self.context.timings.max_extension_s * (1 - 2 * CLOCK_DRIFT)
 
     def on_grant(self, expires_at: float) -> None:
-        """A shard was granted under this authority: the key must outlast the grant."""
+        """Keep the leader key at least until a shard grant of this leader expires."""
         self.lease.on_grant(expires_at)
 
-    # -- time ---------------------------------------------------------------------------
+    # -- timers -------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Renew, request votes, step down or campaign, whichever is due."""
+        """Renew the lease, request votes, step down or campaign, whichever is due."""
         if self.is_leader:
             if not self.has_authority(now):
                 self.step_down(now, StepDownReason.AUTHORITY_EXPIRED)
@@ -109,7 +110,7 @@
                 self.campaign.postpone(now)
 
     def step_down(self, now: float, reason: StepDownReason, backoff_s: float = 0.0) -> None:
-        """End the authority at once; this member does not campaign for `backoff_s`."""
+        """End the authority at once; this member does not campaign for `backoff_s` seconds."""
         if self.is_leader:
             self.context.out.log(
                 LogLevel.INFO, LogEvent.LEADERSHIP_LOST, why=reason, token=self.token
@@ -123,11 +124,11 @@
     # -- inputs -------------------------------------------------------------------------
 
     def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        """The leader key or the token counter has changed in the store."""
+        """Apply a change of the leader key or the token counter; `raw` is None for a deletion."""
         if key == LEADER_KEY:
             self._on_leader_key(now, raw, version)
         elif key == FENCING_TOKEN_KEY and self.counter.on_watch_event(raw, version):
-            # Every campaign is guarded by the counter's version: an older one can't win any more.
+            # Every campaign is guarded by the counter's version, so no older one can still win.
             self.campaign.unresolved_leases.clear()
 
     def _on_leader_key(self, now: float, raw: bytes | None, version: int) -> None:
@@ -145,22 +146,23 @@
             self.step_down(now, StepDownReason.ANOTHER_LEADER)
         own_leases = (self.lease.lease_id, self.campaign.lease_id)
         if leader.member == self.member and leader.lease not in own_leases:
-            # An earlier run of this member still holds the key: that process is gone.
+            # The key belongs to an earlier run of this member, which no longer exists.
             self.lease.release(now, leader.lease)
 
     def on_extension_request(self, now: float, sender: str, request: LeaseExtensionRequest) -> None:
-        """A leader requests this member's vote."""
+        """Answer a leader that requests this member's vote."""
         self.voter.on_request(now, sender, request, self._may_vote())
 
     def on_extension_vote(self, now: float, sender: str, vote: LeaseExtensionVote) -> None:
-        """A peer has voted; votes for an earlier term don't count."""
+        """Count a peer's vote, unless it is for an earlier term."""
         if self.is_leader and vote.token == self.token:
             self.extension.on_vote(sender, vote)
 
     def _may_vote(self) -> bool:
-        # Until the counter is known, a higher token may have been won, by this very member too. A
-        # campaign that may yet be carried out would make this member the winner of the last token,
-        # and a member that holds the last token does not wait for its votes after a restart.
+        # Until the token counter is known, any member, this one included, may have won a higher
+        # token. A campaign that may still be applied would make this member the winner of the last
+        # token, and the winner of the last token does not wait for its votes to expire after a
+        # restart.
         return self.records_synced and not self.is_leader and not self.campaign.may_still_win()
 
     # -- outcomes -----------------------------------------------------------------------
@@ -170,7 +172,7 @@
         token = win.record.token
         self.is_leader = True
         self.token, self.election_revision = token, win.revision
-        self.counter.record(token, win.revision, self.member)
+        self.counter.update(token, win.revision, self.member)
         self.voter.on_token(token)
         self.lease.on_won(win.record, win.revision, win.started_at)
         self.extension.begin(now, win.started_at)
@@ -180,5 +182,5 @@
         self.context.on_change(now, True, continued)
 
     def _on_lease_revoked(self, lease_id: int) -> None:
-        # A late write of the key under this lease is refused from now on.
+        # From now on the store refuses a late write of the key under this lease.
         self.campaign.unresolved_leases.discard(lease_id)
--- a/src/copperpass/core/election/leader_lease.py
+++ b/src/copperpass/core/election/leader_lease.py
@@ -1,4 +1,4 @@
-"""The leader key and the store's lease that it is attached to."""
+"""The leader key and the lease in the key-value store that it is attached to."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class LeaderLease:
-    """Who holds the leader key, and while this member does, its renewal and its release.
+    """Tracks the holder of the leader key; renews and revokes this member's own lease.
 
-    Validity is counted from the *sending* of the request that created or renewed the lease, so it
-    ends here before it ends in the store.
+    Validity is counted from the *sending* of the request that created or renewed the lease, so the
+    lease expires here before it expires in the store.
     """
 
     def __init__(
@@ -28,23 +28,23 @@
         now: float,
     ) -> None:
         self.context, self.extension, self.on_revoked = context, extension, on_revoked
-        # The key, as the watch shows it.
+        # The leader key as the watch or a won campaign showed it last; None if it does not exist.
         self.holder: LeaderRecord | None = None
         self._version = 0
-        # This member's own lease; only while it leads and the key is not known to have expired.
+        # This member's own lease; None unless it leads and the key is not known to have expired.
         self.lease_id: int | None = None
         self.valid_until = 0.0
-        self._next_renewal = 0.0
-        self._renewing = False
-        # When the last grant expires that was given under this member's authority, in its present
-        # run or an earlier one. The key must not be released sooner: the next leader would assign
-        # shards whose owners, under such a grant, still start tasks.
+        self._next_renewal_at = 0.0
+        self._renewal_in_flight = False
+        # When the last shard grant that this member gave as leader, in this run or an earlier one,
+        # expires. The key must not be released sooner: the next leader would assign shards whose
+        # owners still start tasks under such a grant.
         self.grants_expire_at = now + context.max_grant_s
-        # A lease to revoke once those grants have expired.
+        # The lease to revoke once those grants have expired; None if there is none.
         self._lease_to_revoke: int | None = None
 
     def on_watch_event(self, raw: bytes | None, version: int) -> bool:
-        """Take the stored key; returns whether it was not older than what was known."""
+        """Apply the stored key, None if deleted; returns False for an outdated version of it."""
         if version < self._version and raw is not None:
             return False
         self.holder = decode(raw, LeaderRecord) if raw is not None else None
@@ -52,42 +52,42 @@
         return True
 
     def on_won(self, record: LeaderRecord, revision: int, campaign_started_at: float) -> None:
-        """The key was written by this member's campaign, at that revision."""
+        """Take over the key that this member's campaign has written at `revision`."""
         self.holder, self._version = record, revision
         self.lease_id = record.lease
         self.valid_until = self.valid_until_from(campaign_started_at)
-        self._next_renewal = campaign_started_at + self.context.timings.leader_ttl_s / 4
+        self._next_renewal_at = campaign_started_at + self.context.timings.leader_ttl_s / 4
 
     def on_expired(self, now: float) -> None:
-        """The key or its lease is gone: from here on only votes can carry the authority."""
+        """End the lease's validity; from now on only votes can extend the authority."""
         self.valid_until = min(self.valid_until, now)
         self.lease_id = None
 
     def valid_until_from(self, sent_at: float) -> float:
-        """Until when a lease lasts for certain that a request of that time created or renewed."""
+        """The time until which a lease created or renewed by a request at `sent_at` is valid."""
         return sent_at + self.context.timings.leader_ttl_s * (1 - 2 * CLOCK_DRIFT)
 
     # -- renewal ------------------------------------------------------------------------
 
     def renew_if_due(self, now: float) -> None:
-        """Renew the own lease, four times in its length."""
+        """Renew the own lease every quarter of its TTL, with at most one request in flight."""
         lease_id = self.lease_id
-        if lease_id is None or now < self._next_renewal or self._renewing:
+        if lease_id is None or now < self._next_renewal_at or self._renewal_in_flight:
             return
-        self._renewing = True
-        ttl = self.context.timings.leader_ttl_s
-        self._next_renewal = now + ttl / 4
+        self._renewal_in_flight = True
+        ttl_s = self.context.timings.leader_ttl_s
+        self._next_renewal_at = now + ttl_s / 4
 
         def on_done(done_at: float, outcome: CallOutcome) -> None:
             self._on_renewed(done_at, outcome, lease_id, now)
 
         path = renew_lease_path(lease_id)
         self.context.out.calls.append(
-            Call(ExternalService.STATE, "POST", path, on_done, b"{}", ttl / 3)
+            Call(ExternalService.STATE, "POST", path, on_done, b"{}", ttl_s / 3)
         )
 
     def _on_renewed(self, now: float, outcome: CallOutcome, lease_id: int, sent_at: float) -> None:
-        self._renewing = False
+        self._renewal_in_flight = False
         if lease_id != self.lease_id:
             return
         if outcome.status == 200:
@@ -96,42 +96,42 @@
         elif outcome.status == 404:
             self.on_expired(now)
         else:
-            self._next_renewal = now + self.context.timings.leader_ttl_s / 12
+            self._next_renewal_at = now + self.context.timings.leader_ttl_s / 12
 
     # -- release --------------------------------------------------------------------------
 
     def on_grant(self, expires_at: float) -> None:
-        """A grant was given that lasts until then."""
+        """Record that a shard grant given by this leader lasts until `expires_at`."""
         self.grants_expire_at = max(self.grants_expire_at, expires_at)
 
     def step_down(self, now: float) -> None:
-        """Release the own lease."""
+        """End the validity of the own lease and release it."""
         self.valid_until = 0.0
         if self.lease_id is not None:
             self.release(now, self.lease_id)
             self.lease_id = None
 
     def release(self, now: float, lease_id: int) -> None:
-        """Revoke the lease that holds the key, as soon as no grant under it runs any more."""
+        """Revoke a lease that holds the key, or defer that until all grants have expired."""
         if now >= self.grants_expire_at:
             self.revoke(lease_id)
         else:
             self._lease_to_revoke = lease_id
 
     def revoke_if_due(self, now: float) -> None:
-        """Revoke the lease that had to outlast the grants."""
+        """Revoke the lease whose revocation was deferred, once all grants have expired."""
         if self._lease_to_revoke is not None and now >= self.grants_expire_at:
             self.revoke(self._lease_to_revoke)
             self._lease_to_revoke = None
 
     def revoke(self, lease_id: int) -> None:
-        """Revoke a lease at once; the store then refuses to attach a key to it."""
+        """Revoke a lease at once; after that the store refuses to attach a key to it."""
 
         def on_done(now: float, outcome: CallOutcome) -> None:
             if outcome.status in (200, 404):
                 self.on_revoked(lease_id)
 
-        ttl = self.context.timings.leader_ttl_s
+        ttl_s = self.context.timings.leader_ttl_s
         self.context.out.calls.append(
-            Call(ExternalService.STATE, "DELETE", lease_path(lease_id), on_done, b"", ttl)
+            Call(ExternalService.STATE, "DELETE", lease_path(lease_id), on_done, b"", ttl_s)
         )
--- a/src/copperpass/core/election/token_counter.py
+++ b/src/copperpass/core/election/token_counter.py
@@ -1,4 +1,4 @@
-"""The counter of fencing tokens: one key, written by whoever wins an election."""
+"""The counter of fencing tokens: one key, which the winner of each election writes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FencingTokenCounter:
-    """The last token that is known to have been won, and by whom; it only rises."""
+    """The last fencing token known to have been won, and its winner; tokens never decrease."""
 
     def __init__(self) -> None:
         self.token = 0
@@ -15,14 +15,14 @@
         self.holder = ""
 
     def on_watch_event(self, raw: bytes | None, version: int) -> bool:
-        """Take the stored counter; returns whether it is newer than what was known."""
+        """Apply the stored counter; returns whether its version is newer than the known one."""
         if raw is None or version <= self.version:
             return False
         record = decode(raw, FencingTokenRecord)
         if record:
-            self.record(record.token, version, record.member)
+            self.update(record.token, version, record.member)
         return True
 
-    def record(self, token: int, version: int, holder: str) -> None:
-        """The counter stands at `token` since the store's revision `version`."""
+    def update(self, token: int, version: int, holder: str) -> None:
+        """Set the counter to `token`, won by `holder` at the store's revision `version`."""
         self.token, self.version, self.holder = token, version, holder
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -252,7 +252,7 @@
     model = Model(5)
     node = model.nodes["a"]
     node.records_synced = True
-    now = node.campaign.next_at + 1.0
+    now = node.campaign.next_campaign_at + 1.0
     node.tick(now)
     (asked,) = node.context.out.calls
     node.context.out.calls.clear()
