--- a/src/copperpass/core/kvstore/__init__.py
+++ b/src/copperpass/core/kvstore/__init__.py
@@ -1,5 +1,5 @@
 """Access to the key-value store: all keys, the watch cache, compare-and-swap transactions.
 
-`keys` says who writes each key and what guards it. Within the store's limits many operations share
-one transaction (`transactions`, `batches`); the outcome of each is one of `TransactionOutcome`.
+`keys` documents the writer and the guards of each key. Operations are merged into transactions
+within the store's limits (`transactions`, `batches`); each ends with its own `TransactionOutcome`.
 """
--- a/src/copperpass/core/kvstore/batches.py
+++ b/src/copperpass/core/kvstore/batches.py
@@ -1,4 +1,4 @@
-"""Batches: operations that are independent of each other, merged into one transaction."""
+"""Batches: independent operations that are merged into one transaction."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from copperpass.protocol.kvstore import Write
 from copperpass.protocol.users import MAX_BODY_BYTES
 
-# The store takes so many guards for each write that it allows.
+# The store allows this many guards in a transaction per allowed write.
 GUARDS_PER_WRITE = 4
-# The part of the largest body that a batch may fill.
-BODY_PART = 0.9
+# The fraction of `MAX_BODY_BYTES` that a batch may fill.
+MAX_BODY_FRACTION = 0.9
 
 
 class Batch:
-    """Operations to be sent together.
+    """Operations that are sent in one transaction.
 
-    Invariant: they stay within the limits of one transaction, and none writes a key that another
-    one writes or guards, so that each would have the same outcome by itself.
+    Invariant: the operations stay within the limits of one transaction, and none writes a key that
+    another one writes or guards. So each has the outcome that it would have if sent alone.
     """
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
         self.guards: dict[str, int] = {}
         self.writes: list[Write] = []
         self._written_keys: set[str] = set()
-        self._size = 0
+        self._body_bytes = 0
 
     def admits(self, operation: Operation, max_writes: int) -> bool:
-        """Whether an operation can be added; an empty batch takes any."""
+        """Whether `add` may be called with an operation; an empty batch admits any."""
         if not self.operations:
             return True
         if operation.refused_batch is not None or self.operations[0].refused_batch is not None:
@@ -36,7 +36,7 @@
         return (
             len(self.writes) + len(operation.writes) <= max_writes
             and len(self.guards) + len(operation.guards) <= GUARDS_PER_WRITE * max_writes
-            and self._size + operation.size <= MAX_BODY_BYTES * BODY_PART
+            and self._body_bytes + operation.body_bytes <= MAX_BODY_BYTES * MAX_BODY_FRACTION
             and not keys & (self._written_keys | set(self.guards))
             and not self._written_keys & set(operation.guards)
             and all(
@@ -46,9 +46,9 @@
         )
 
     def add(self, operation: Operation) -> None:
-        """Add an operation that the batch admits."""
+        """Add an operation for which `admits` has returned True."""
         self.operations.append(operation)
         self.guards.update(operation.guards)
         self.writes.extend(operation.writes)
         self._written_keys.update(write.key for write in operation.writes)
-        self._size += operation.size
+        self._body_bytes += operation.body_bytes
--- a/src/copperpass/core/kvstore/operations.py
+++ b/src/copperpass/core/kvstore/operations.py
@@ -13,54 +13,54 @@
 class TransactionOutcome(Enum):
     """How an operation ended."""
 
-    # Carried out, at the revision that comes with it.
+    # All writes were applied, at the revision passed along with the outcome.
     APPLIED = "applied"
     # A guard did not hold: nothing was written.
     CONFLICT = "conflict"
-    # Certainly not carried out: not sent in time, or refused by a service that is down.
+    # Certainly not applied: not sent before the deadline, or refused by an unavailable store.
     UNAVAILABLE = "unavailable"
-    # No answer: it may have been carried out, or be carried out yet.
+    # No answer or a server error: the writes may have been applied, or may still be.
     UNKNOWN = "unknown"
-    # Refused by itself, for its form, its size or an expired lease: nothing was written.
+    # Refused when sent alone, for its form, its size or an expired lease: nothing was written.
     INVALID = "invalid"
 
 
 class Priority(IntEnum):
-    """The order in which waiting operations are sent; an index of the queues."""
+    """The order in which queued operations are sent; the value is the index of the queue."""
 
-    # Users and the election.
+    # Requests of users, and the election.
     URGENT = 0
-    # What frees capacity or completes jobs.
+    # Writes that free capacity or complete jobs.
     NORMAL = 1
-    # What can wait and be batched.
+    # Writes that can be delayed and batched.
     BATCHED = 2
 
 
 class OnOperationDone(Protocol):
-    """Called once with the outcome, and with the revision of an applied operation (else 0)."""
+    """Called once with the outcome and the store's revision; 0 unless the outcome is APPLIED."""
 
     def __call__(self, now: float, outcome: TransactionOutcome, revision: int, /) -> None:
-        """Act on the outcome."""
+        """Handle the outcome."""
 
 
 @dataclass(slots=True)
 class RefusedBatch:
-    """A batch that was refused as a whole; its operations are sent singly to find the cause."""
+    """A batch that the store refused; its operations are sent one by one to find the cause."""
 
     # Operations without an outcome yet.
     remaining: int
-    # How many writes the batch had.
+    # The number of writes in the batch.
     writes: int
     # Whether a cause other than the number of writes was found.
-    explained: bool = False
+    cause_found: bool = False
 
 
 @dataclass(slots=True)
 class Operation:
-    """A compare-and-swap: all writes are applied, if each guarded key has its version.
+    """A compare-and-swap: all writes are applied if every guarded key has the expected version.
 
-    `guards`: the version of each key, 0 if it must not exist; `deadline`: the moment of the steady
-    clock until which it may be sent.
+    `guards`: the expected version of each key, 0 if it must not exist. `deadline`: the monotonic
+    time in seconds until which the operation may be sent.
     """
 
     guards: dict[str, int]
@@ -68,7 +68,7 @@
     on_done: OnOperationDone
     deadline: float
     priority: Priority = Priority.NORMAL
-    # The bytes of its body, once it is submitted.
-    size: int = 0
-    # The refused batch that it was part of: it is sent by itself then.
+    # The size of the request body of this operation alone; set by `TransactionQueue.submit`.
+    body_bytes: int = 0
+    # The refused batch that the operation was part of; while set, the operation is sent alone.
     refused_batch: RefusedBatch | None = None
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -1,4 +1,4 @@
-"""The queue of operations: sent in batches, within the rate and limits of the key-value store."""
+"""A queue that sends operations in batches, within the rate and limits of the key-value store."""
 
 from __future__ import annotations
 
@@ -17,61 +17,65 @@
     transaction_body,
 )
 
-# The part of the burst that an operation of each priority must leave for those before it.
+# For each priority, the fraction of the burst that its operations must leave to higher priorities.
 BUDGET_RESERVE = (0.0, 0.2, 0.45)
-# The part of the configured rate of writes that is used, and the least burst.
-RATE_PART, LEAST_BURST = 0.9, 2.0
-# Seconds to pause after a refusal for the rate; doubled up to the second with each further one.
-PAUSE_S, LONGEST_PAUSE_S = 0.1, 1.6
-# The smallest limit of writes that the settings may name.
-LEAST_MAX_WRITES = 4
-# Refused whatever the limits: a key was to be attached to an expired lease.
-NO_LEASE = b"no such lease"
+# The fraction of the configured write rate that is used, and the minimum burst in writes.
+RATE_FRACTION, MIN_BURST_WRITES = 0.9, 2.0
+# The pause in seconds after a refusal for the write rate; doubled with each further refusal up to
+# the maximum.
+INITIAL_PAUSE_S, MAX_PAUSE_S = 0.1, 1.6
+# The smallest limit of writes in a transaction that the settings accept.
+MIN_MAX_WRITES = 4
+# In the body of a refusal: a key was to be attached to an expired lease. Such a transaction is
+# refused whatever its size, so the refusal says nothing about the limits.
+LEASE_NOT_FOUND_TEXT = b"no such lease"
 
 HTTP_OK, HTTP_CONFLICT, HTTP_TOO_MANY_REQUESTS = 200, 409, 429
 HTTP_SERVER_ERROR, HTTP_UNAVAILABLE = 500, 503
 
 
 class TransactionQueue:
-    """Queues operations and merges those that wait into one transaction.
+    """Queues operations and merges queued operations into transactions.
 
     Invariants: the callback of each operation is called once; an operation is sent again only if
-    it was certainly not carried out; at most `IN_FLIGHT` transactions have no answer.
+    it was certainly not applied; at most `MAX_IN_FLIGHT` transactions wait for an answer.
     """
 
-    IN_FLIGHT = 3
+    MAX_IN_FLIGHT = 3
 
     def __init__(self, out: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
         self.out = out
         self.queues: tuple[deque[Operation], ...] = tuple(deque() for _ in Priority)
         self.in_flight = 0
-        self.budget = TokenBucket(write_rps * RATE_PART, max(write_rps * RATE_PART, LEAST_BURST))
-        # The most writes of a transaction; reduced when the store turns out to allow fewer.
+        self.budget = TokenBucket(
+            write_rps * RATE_FRACTION, max(write_rps * RATE_FRACTION, MIN_BURST_WRITES)
+        )
+        # The most writes in a transaction; reduced when the store turns out to allow fewer.
         self.max_writes = max_writes
         self.timeout_s = timeout_s
         self.paused_until = 0.0
-        self.pause = PAUSE_S
+        self.pause_s = INITIAL_PAUSE_S
 
     def submit(self, now: float, operation: Operation) -> None:
-        """Queue an operation; its `on_done` is always called once."""
-        operation.size = len(transaction_body(operation.guards, operation.writes))
+        """Queue an operation and send what may be sent; `on_done` is always called once."""
+        operation.body_bytes = len(transaction_body(operation.guards, operation.writes))
         self.queues[operation.priority].append(operation)
-        self.pump(now)
+        self.send_due(now)
 
-    def pump(self, now: float) -> None:
-        """Send what may be sent now."""
+    def send_due(self, now: float) -> None:
+        """Fail expired operations, then send what the limits allow; called on every tick."""
         for queue in self.queues:
             while queue and queue[0].deadline < now:
-                # Guards the user's own deadline: what can't be stored in time is said at once.
+                # Keeps the user's own deadline: a write that can't be stored in time fails at once.
                 self._finish(now, queue.popleft(), TransactionOutcome.UNAVAILABLE)
-        while self.in_flight < self.IN_FLIGHT and now >= self.paused_until:
+        while self.in_flight < self.MAX_IN_FLIGHT and now >= self.paused_until:
             batch = self._next_batch(now)
             if not batch.operations:
                 return
             self._send(batch)
 
     def _next_batch(self, now: float) -> Batch:
-        """The operations that are sent together, in the order of their priorities."""
+        """Remove the next batch from the queues, by priority; empty if nothing may be sent now."""
         batch = Batch()
         for queue in self.queues:
             while queue:
@@ -85,7 +89,7 @@
         return batch
 
     def _requeue(self, operations: list[Operation]) -> None:
-        """Put operations that were not carried out back to the front, in their order."""
+        """Put operations that were not applied back to the front of their queues, in order."""
         for operation in reversed(operations):
             self.queues[operation.priority].appendleft(operation)
 
@@ -110,26 +114,29 @@
         status = answer.status
         if status == HTTP_OK:
             applied = decode(answer.body, TransactionApplied)
-            self.pause = PAUSE_S
+            self.pause_s = INITIAL_PAUSE_S
             revision = applied.revision if applied else 0
             self._finish_all(now, batch, TransactionOutcome.APPLIED, revision)
         elif status == HTTP_CONFLICT:
             self._on_conflict(now, batch, answer)
         elif status == HTTP_TOO_MANY_REQUESTS:
-            self._on_rate_refused(now)
+            self._on_rate_limited(now)
             self._requeue(batch)
         elif status in (HTTP_UNAVAILABLE, NOT_SENT):
             self._finish_all(now, batch, TransactionOutcome.UNAVAILABLE)
         elif status == NO_ANSWER or status >= HTTP_SERVER_ERROR:
             self._finish_all(now, batch, TransactionOutcome.UNKNOWN)
         elif len(batch) > 1:
-            self._send_singly(batch, answer)
+            self._send_one_by_one(batch, answer)
         else:
             self._finish(now, batch[0], TransactionOutcome.INVALID)
-        self.pump(now)
+        self.send_due(now)
 
     def _on_conflict(self, now: float, batch: list[Operation], answer: CallOutcome) -> None:
-        """Only operations whose own guards failed are in conflict; the others are sent again."""
+        """End the operations whose own guards failed; the others are sent again.
+
+        If the answer names no failed guards, all operations end in conflict.
+        """
         conflict = decode(answer.body, TransactionConflict)
         failed = set(conflict.failed) if conflict else set()
         unaffected = [
@@ -140,22 +147,22 @@
                 self._finish(now, operation, TransactionOutcome.CONFLICT)
         self._requeue(unaffected)
 
-    def _on_rate_refused(self, now: float) -> None:
+    def _on_rate_limited(self, now: float) -> None:
         if now < self.paused_until:
-            # Sent before the last refusal came: it says nothing new.
+            # This transaction was sent before the last refusal arrived: do not back off again.
             return
-        self.budget.slow_down(now)
-        self.paused_until = now + self.pause
-        self.pause = min(2 * self.pause, LONGEST_PAUSE_S)
+        self.budget.reduce_rate(now)
+        self.paused_until = now + self.pause_s
+        self.pause_s = min(2 * self.pause_s, MAX_PAUSE_S)
 
-    def _send_singly(self, batch: list[Operation], answer: CallOutcome) -> None:
-        """A batch was refused as invalid.
+    def _send_one_by_one(self, batch: list[Operation], answer: CallOutcome) -> None:
+        """Send the operations of a batch that was refused as invalid again, one by one.
 
-        An invalid operation must not make the others fail, and the limits may have dropped: each
-        is sent by itself, in its turn and out of the budget like any other.
+        One invalid operation must not make the others fail, and the limits may have been lowered.
+        The operations are queued and use the budget like any other.
         """
         writes = sum(len(operation.writes) for operation in batch)
-        refused = RefusedBatch(len(batch), writes, NO_LEASE in answer.body)
+        refused = RefusedBatch(len(batch), writes, LEASE_NOT_FOUND_TEXT in answer.body)
         for operation in batch:
             operation.refused_batch = refused
         self._requeue(batch)
@@ -173,19 +180,19 @@
     def _finish(
         self, now: float, operation: Operation, outcome: TransactionOutcome, revision: int = 0
     ) -> None:
-        """Report an outcome; the last one of a refused batch shows why that was refused."""
+        """Report an outcome; the last one of a refused batch may lower `max_writes`."""
         refused, operation.refused_batch = operation.refused_batch, None
         if refused is not None:
-            self._learn_limit(refused, outcome)
+            self._update_max_writes(refused, outcome)
         operation.on_done(now, outcome, revision)
 
-    def _learn_limit(self, refused: RefusedBatch, outcome: TransactionOutcome) -> None:
+    def _update_max_writes(self, refused: RefusedBatch, outcome: TransactionOutcome) -> None:
         refused.remaining -= 1
-        refused.explained |= outcome not in (
+        refused.cause_found |= outcome not in (
             TransactionOutcome.APPLIED,
             TransactionOutcome.CONFLICT,
         )
-        if not refused.remaining and not refused.explained:
-            # None of them was invalid by itself, so there were too many writes.
-            learned = max(LEAST_MAX_WRITES, refused.writes // 2)
-            self.max_writes = min(self.max_writes, learned)
+        if not refused.remaining and not refused.cause_found:
+            # No operation was invalid when sent alone, so the batch had too many writes.
+            new_limit = max(MIN_MAX_WRITES, refused.writes // 2)
+            self.max_writes = min(self.max_writes, new_limit)
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -1,7 +1,7 @@
-"""A copy of the watched part of the key-value store, kept up by listing once and watching after.
+"""A list-and-watch client for the watched part of the key-value store.
 
-It owns no records itself: each change goes to one callback, in the order of the versions of its
-key. Times are seconds of the steady clock.
+It keeps the versions of keys but no values: each change goes to one callback, for each key in the
+order of its versions. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
     """Called with each change of a watched key."""
 
     def __call__(self, now: float, key: str, raw: bytes | None, version: int, /) -> None:
-        """Apply the new value, or None if the key was deleted, at this version."""
+        """Apply the value of `key` at `version`; `raw` is None if the key was deleted."""
 
 
 class WatchCache:
-    """Lists the keys, then follows their changes; lists again when the revision was compacted.
+    """Lists the keys, then watches for changes; lists again if its revision was compacted.
 
     Invariants: at most one request is in flight; the version of a key never decreases.
     """
@@ -33,30 +33,31 @@
         self, out: Outbox, on_event: OnWatchEvent, wait_s: float, timeout_s: float
     ) -> None:
         self.out, self.on_event = out, on_event
-        # How long a watch waits for a change, and any request for its answer beside that.
+        # How long the store holds a watch request open for a change, and the timeout of a request;
+        # that of a watch is the sum of both.
         self.wait_s, self.timeout_s = wait_s, timeout_s
-        # All changes up to this revision of the store are applied.
+        # All changes up to this revision of the store have been applied.
         self.revision = 0
-        # Whether the keys have been listed in full, so that changes can be followed.
+        # Whether the keys have been listed in full, so that changes can be watched.
         self.synced = False
         self.request_in_flight = False
         self.next_request_at = 0.0
         # The version of each key that exists.
         self.key_versions: dict[str, int] = {}
-        # Of the listing under way: its keys so far, and the revision of its first page.
+        # Of the listing in progress: the keys so far, and the revision of its first page.
         self.listed_keys: set[str] = set()
         self.list_revision = 0
-        # All changes that were confirmed before this moment are known here: when the last request
-        # was *sent* that has been answered in full. See "Freshness" in docs/design.md.
+        # When the last request that was answered in full was *sent*: every change that the store
+        # confirmed before that time has been applied. See "Freshness" in docs/design.md.
         self.consistent_at = float("-inf")
-        self.sent_at = float("-inf")
+        self.request_sent_at = float("-inf")
 
     def tick(self, now: float) -> None:
-        """Start the next request when none is in flight."""
+        """Send the next list or watch request, unless one is in flight or a retry is delayed."""
         if self.request_in_flight or now < self.next_request_at:
             return
         self.request_in_flight = True
-        self.sent_at = now
+        self.request_sent_at = now
         if self.synced:
             self._watch()
         else:
@@ -85,13 +86,13 @@
             self._list(page.items[-1].key)
             return
         self._delete_unlisted(now)
-        # Counted from the sending of the first page, and only now that the listing is complete:
-        # until then a completed job may still be in the cache.
+        # `consistent_at` is counted from the sending of the first page's request, and updated only
+        # now that the listing is complete: until then a completed job may still be in the cache.
         self.synced = True
         self._on_complete(now, self.list_revision)
 
     def _delete_unlisted(self, now: float) -> None:
-        """Keys that the listing lacks were deleted while nothing was watched."""
+        """Report keys missing from the listing, which were deleted while nothing was watched."""
         for key, version in list(self.key_versions.items()):
             if key not in self.listed_keys and version <= self.list_revision:
                 self._apply(now, key, None, self.list_revision)
@@ -113,7 +114,7 @@
 
     def _on_watch_answer(self, now: float, outcome: CallOutcome) -> None:
         if outcome.status == HTTP_GONE:
-            # The store has compacted the revision.
+            # The store has compacted the watched revision: list again.
             self.synced, self.request_in_flight = False, False
             self.tick(now)
             return
@@ -128,19 +129,20 @@
                 self._apply(now, event.delete, None, event.version)
         self._on_complete(now, answer.revision)
 
-    # -- both ------------------------------------------------------------------------
+    # -- common ----------------------------------------------------------------------
 
     def _on_complete(self, now: float, revision: int) -> None:
-        """A request has been answered in full: the next one follows at once."""
+        """Record that a request was answered in full, and send the next one at once."""
         self.revision = max(self.revision, revision)
-        self.consistent_at = max(self.consistent_at, self.sent_at)
+        self.consistent_at = max(self.consistent_at, self.request_sent_at)
         self.request_in_flight = False
         self.tick(now)
 
     def _apply(self, now: float, key: str, raw: bytes | None, version: int) -> None:
         known = self.key_versions.get(key, 0)
         if version < known or (version == known and raw is not None):
-            # Guards against replays after a listing: an older deletion must not delete a newer key.
+            # After a listing the store may replay older events: a deletion must not delete a newer
+            # key.
             return
         if raw is None:
             self.key_versions.pop(key, None)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -250,7 +250,7 @@
         if self.watch_cache.synced:
             self.election.records_synced = True
         self.election.tick(now)
-        self.transactions.pump(now)
+        self.transactions.send_due(now)
         self.version_registry.tick(now)
         self.machine_types.tick(now)
         self.leadership.tick(now, self.watch_cache.revision, bool(self.machine_types.types))
--- a/src/copperpass/core/storage/inventory_writer.py
+++ b/src/copperpass/core/storage/inventory_writer.py
@@ -88,7 +88,7 @@
             Priority.NORMAL,
         )
         self.context.transactions.submit(now, operation)
-        return operation.size
+        return operation.body_bytes
 
     def may_write(self, now: float) -> bool:
         """Whether the next write may be made now."""
--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -91,7 +91,7 @@
             inventory.on_page_event(number, version, number in cached.pages)
         self.events = dict(cached.pages)
         self.now += 0.05
-        inventory.context.transactions.pump(self.now)
+        inventory.context.transactions.send_due(self.now)
         inventory.tick(self.now)
 
     def run(self, inventory, seconds):
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -64,7 +64,7 @@
             after = stored_completions(harness, store.job_table.jobs)
             assert all(before[i] <= after[i] for i in before)
         harness.now += 0.05
-        store.context.transactions.pump(harness.now)
+        store.context.transactions.send_due(harness.now)
         store.tick(harness.now)
 
 
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -77,7 +77,7 @@
                 self.watch(name)
                 node = self.nodes[name]
                 node.tick(self.clock(name))
-                node.context.transactions.pump(self.clock(name))
+                node.context.transactions.send_due(self.clock(name))
                 self.drain(name)
         leaders = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
         self.most_leaders = max(self.most_leaders, len(leaders))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -38,7 +38,7 @@
         for call in calls:
             call.on_done(now, CallOutcome(200, b'{"issue":1}'))
         now += 0.05
-        transactions.pump(now)
+        transactions.send_due(now)
     assert "user" in order and now < 0.5 and len(order) < 20
 
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -24,11 +24,11 @@
         )
     for _ in range(400):
         calls, harness.out.calls = harness.out.calls, []
-        assert transactions.in_flight == len(calls) <= TransactionQueue.IN_FLIGHT
+        assert transactions.in_flight == len(calls) <= TransactionQueue.MAX_IN_FLIGHT
         for call in calls:
             call.on_done(harness.now, CallOutcome(*harness.serve(call)))
         harness.now += 0.05
-        transactions.pump(harness.now)
+        transactions.send_due(harness.now)
     assert sorted(outcomes) == [
         (n, TransactionOutcome.INVALID if n == 33 else TransactionOutcome.APPLIED)
         for n in range(120)
@@ -61,7 +61,7 @@
         for call in calls:
             call.on_done(harness.now, CallOutcome(*harness.serve(call)))
         harness.now += 0.05
-        transactions.pump(harness.now)
+        transactions.send_due(harness.now)
         if len(outcomes) == 150:
             break
     assert outcomes == [TransactionOutcome.APPLIED] * 150
@@ -70,4 +70,4 @@
     slow = transactions.budget.rate
     harness.state.drop(write_rps=60.0)
     transactions.budget.take(harness.now + 120.0, 0.0)
-    assert slow < 20.0 and transactions.budget.rate == transactions.budget.full_rate
+    assert slow < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
