--- a/src/copperpass/core/jobs/__init__.py
+++ b/src/copperpass/core/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that are not completed, as the watch cache shows them; completed tasks only add up."""
+"""Jobs that are not completed, from the watch cache; completed tasks are never removed."""
--- a/src/copperpass/core/jobs/completion_mask.py
+++ b/src/copperpass/core/jobs/completion_mask.py
@@ -1,7 +1,7 @@
-"""Completed tasks of a job as a bit mask, and how stored records name and pack its parts.
+"""Completed tasks of a job as a bit mask, and the encoding of masks in stored records.
 
-Bit `index & 7` of byte `index >> 3` is a task's. A mask that is too large for one record is stored
-in segments, each with an entry of its own.
+Bit `index & 7` of byte `index >> 3` stands for the task `index`. A mask that is too large for one
+record is stored in segments, each with an entry of its own.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 
 def count_completed(mask: bytes | bytearray) -> int:
-    """How many tasks a mask has."""
+    """The number of completed tasks in a mask."""
     return sum(byte.bit_count() for byte in mask)
 
 
 def pack_mask(mask: bytearray) -> str:
-    """A mask as text: short while few tasks are completed, or none of the last."""
+    """Encode a mask in base64 without trailing zero bytes, to keep it short."""
     return base64.b64encode(bytes(mask).rstrip(b"\0")).decode()
 
 
 def unpack_mask(text: str, tasks: int) -> bytearray:
-    """The opposite of `pack_mask`, for a job of so many tasks; what is beyond them is dropped."""
+    """Decode the text of `pack_mask` for a job of `tasks` tasks; drops the bytes beyond them."""
     mask = bytearray((tasks + 7) // 8)
     raw = base64.b64decode(text)[: len(mask)]
     mask[: len(raw)] = raw
@@ -28,11 +28,11 @@
 
 
 def segment_key(job_id: str, offset: int) -> str:
-    """The entry of a segment that begins at a byte of a job's mask; no job has such an id."""
+    """The entry name of the segment that starts at byte `offset` of a mask; never a job id."""
     return f"{job_id}:{offset}"
 
 
 def split_segment(entry: str) -> tuple[str, int]:
-    """The job id and first byte of an entry; a whole mask begins at 0."""
+    """The job id and byte offset of an entry; the offset is 0 for the entry of a whole mask."""
     job_id, _, offset = entry.partition(":")
     return job_id, int(offset) if offset.isdecimal() else 0
--- a/src/copperpass/core/jobs/job.py
+++ b/src/copperpass/core/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job, and what this controller knows of its tasks."""
+"""A job that is not completed, and the state of its tasks as known to this controller."""
 
 from __future__ import annotations
 
@@ -12,61 +12,61 @@
 
 
 class TaskResult(Protocol):
-    """A reported completion, kept on its machine until it is stored."""
+    """A task completion reported by a machine, which keeps it until it is stored."""
 
     stored: bool
 
 
 @dataclass(slots=True)
 class Job:
-    """A job that is not completed. Moments are of the steady clock, in seconds.
+    """A job that is not completed. Times are seconds of the monotonic clock.
 
-    A task is pending, assigned to a machine, or completed. It may be assigned and completed at
-    once: completed under one attempt while another one is still on a machine.
+    A task is pending, assigned to a machine, or completed. It may be both assigned and completed:
+    completed by one attempt while another attempt is still on a machine.
     """
 
     spec: JobSpec
-    # Of its stored record.
+    # The version of the stored record.
     version: int
     arrived_at: float
-    # The revision at which it was certainly created; 0 if its record doesn't tell.
+    # The store's revision at which the job was created; 0 if the record does not prove one.
     created_revision: int
-    # The tasks whose completion is stored, as a mask, and their number.
+    # A mask of the tasks whose completion is stored, and their number.
     completed: bytearray
     completed_count: int
-    # Tasks from this index on have never been assigned; those before it start again by `requeued`.
+    # Tasks from this index on have never been assigned; those below it restart through `requeued`.
     next_index: int = 0
     requeued: list[int] = field(default_factory=list)
-    # The machine that each task is assigned to.
+    # The machine of each assigned task, by task index.
     assigned: dict[int, str] = field(default_factory=dict)
-    # When a dispatch round last found any of its tasks assigned.
+    # When a dispatch round last found one of the job's tasks assigned.
     last_assigned_at: float = float("-inf")
-    # Tasks whose completion is reported, but not stored.
+    # Tasks whose completion is reported but not stored yet.
     unstored: set[int] = field(default_factory=set)
-    # Tasks whose completion was stored while they were assigned; some may be assigned no more.
+    # Tasks whose completion was stored while they were assigned; some may no longer be assigned.
     completed_assigned: set[int] = field(default_factory=set)
-    # The reports of unstored completions: their machines may clear them once they are stored.
+    # The reports of unstored completions, by task; machines may clear them once they are stored.
     unstored_results: dict[int, list[TaskResult]] = field(default_factory=dict)
-    # The transaction that ends the job is under way.
+    # Whether the transaction that ends the job is in flight.
     completion_in_flight: bool = False
-    # How many attempts of its tasks, or of the gang, this scheduler has begun.
+    # How many attempts of the job's tasks, or of the gang, this scheduler has started.
     attempts: int = 0
-    # The machines where a task has failed since one last succeeded, and how often.
+    # The machines on which tasks have failed since the last success, and the number of failures.
     failed_on: set[str] = field(default_factory=set)
     failures: int = 0
-    # Tasks that were preempted once for more urgent work.
+    # Tasks that have been preempted for more urgent work.
     preempted: set[int] = field(default_factory=set)
     backoff_until: float = 0.0
     guaranteed: bool = False
     guarantee_assessed: bool = False
-    # Its cancellation is stored, by this or another member, which the watch may be late to show.
+    # Whether the job's cancellation is stored, by any member; the watch may show it later.
     cancelled: bool = False
-    # Of a gang: the attempt that all its tasks share (0: none), whether one of them was reported
-    # running, and whether the attempt has ended, apart from tasks that are not proven gone.
+    # For gangs: the attempt shared by all tasks (0: none), whether one of its tasks was reported
+    # running, and whether the attempt is over except for tasks that are not yet proven gone.
     attempt: int = 0
     gang_started: bool = False
     gang_ending: bool = False
-    # Since when some of an attempt's tasks have been unassigned while others wait for them.
+    # When some tasks of an attempt became unassigned while others wait for them; else None.
     incomplete_since: float | None = None
 
     def is_completed(self, index: int) -> bool:
@@ -74,7 +74,7 @@
         return bool(self.completed[index >> 3] & (1 << (index & 7)))
 
     def mark_completed(self, index: int) -> None:
-        """Add a stored completion."""
+        """Record that a task's completion is stored."""
         if not self.is_completed(index):
             self.completed[index >> 3] |= 1 << (index & 7)
             self.completed_count += 1
@@ -82,19 +82,20 @@
                 self.completed_assigned.add(index)
 
     def merge_completed(self, completed: bytes | bytearray) -> None:
-        """Add stored completions, as a mask; they are facts and never taken back."""
+        """Add a mask of stored completions; a stored completion is never revoked."""
         for i, byte in enumerate(completed):
             self.completed[i] |= byte
-        before = self.completed_count
+        previous_count = self.completed_count
         self.completed_count = count_completed(self.completed)
-        if self.completed_count > before:
+        if self.completed_count > previous_count:
             self.completed_assigned = {i for i in self.assigned if self.is_completed(i)}
         self.unstored = {i for i in self.unstored if not self.is_completed(i)}
-        # A write without an answer may have been applied: the watch is proof enough to clear.
+        # A write without an answer may have been applied. The watch proves it, so that machines may
+        # clear the reports.
         self.on_completions_stored([i for i in self.unstored_results if self.is_completed(i)])
 
     def on_completions_stored(self, indexes: Iterable[int]) -> None:
-        """Completions are stored: their machines may clear them."""
+        """Record stored completions, and let the machines that reported them clear the reports."""
         for index in indexes:
             self.mark_completed(index)
             self.unstored.discard(index)
@@ -102,14 +103,14 @@
                 result.stored = True
 
     def completion_mask(self) -> bytearray:
-        """The completions that are stored or reported."""
+        """A mask of the tasks whose completion is stored or reported."""
         mask = bytearray(self.completed)
         for index in self.unstored:
             mask[index >> 3] |= 1 << (index & 7)
         return mask
 
     def reset_tasks(self) -> None:
-        """Keep only what is stored: a new scheduler knows nothing of the tasks."""
+        """Reset all but stored data, because a new scheduler does not know the tasks' state."""
         self.assigned.clear()
         self.unstored.clear()
         self.completed_assigned.clear()
@@ -124,7 +125,7 @@
     def pending_count(self) -> int:
         """How many tasks are neither assigned nor completed."""
         pending = self.spec.tasks - self.completed_count - len(self.assigned) - len(self.unstored)
-        # A task that is both was subtracted twice.
+        # Tasks that are both assigned and completed were subtracted twice.
         if self.unstored:
             pending += len(self.assigned.keys() & self.unstored)
         if self.completed_assigned:
@@ -132,11 +133,11 @@
         return pending
 
     def all_completed(self) -> bool:
-        """Whether every task is completed, stored or not."""
+        """Whether the completion of every task is stored or reported."""
         return self.completed_count + len(self.unstored) >= self.spec.tasks
 
     def next_task(self) -> int | None:
-        """The next task to start, or None if none is pending."""
+        """The index of the next task to start, or None if none is pending."""
         while self.requeued:
             if self._is_pending(self.requeued[-1]):
                 return self.requeued[-1]
@@ -147,25 +148,25 @@
             self.next_index += 1
         return None
 
-    def unassigned(self) -> list[int]:
-        """All pending tasks, by index; for gangs, which are small."""
+    def pending_tasks(self) -> list[int]:
+        """The indexes of all pending tasks; scans all tasks, so for gangs only, which are small."""
         return [index for index in range(self.spec.tasks) if self._is_pending(index)]
 
     def _is_pending(self, index: int) -> bool:
         return not (index in self.assigned or index in self.unstored or self.is_completed(index))
 
     def requeue(self, index: int) -> None:
-        """A task is proven gone and not completed: it may start again."""
+        """Unassign a task proven to be gone; unless it is completed, it may start again."""
         self.assigned.pop(index, None)
         if index < self.next_index and not self.is_completed(index) and index not in self.unstored:
             self.requeued.append(index)
 
     def displayed_running(self) -> int:
-        """How many tasks run, for display: a gang's tasks that wait for each other don't."""
+        """The running tasks, for display; 0 while a gang's tasks wait for each other."""
         return 0 if self.spec.gang and not self.gang_started else len(self.assigned)
 
     def finish_attempt(self) -> None:
-        """Once no task of a gang's attempt can be on any machine, another attempt may begin."""
+        """Allow a gang's next attempt, if no task of the last one can still be on a machine."""
         if not self.assigned and (self.gang_ending or self.attempt):
             self._reset_attempt()
 
@@ -177,18 +178,19 @@
 def make_job(
     record: JobRecord, version: int, now: float, wall_clock_offset: float = 0.0
 ) -> Job | None:
-    """A live job from its record, or None if that is a terminal one.
+    """Create a live job from its record; None if the record is that of a completed job.
 
-    `wall_clock_offset` is the time of day less the steady clock's, in seconds.
+    `wall_clock_offset` is the wall clock's time minus the monotonic clock's, in seconds.
     """
     if record.spec is None:
         return None
     completed = unpack_mask(record.done_tasks, record.spec.tasks)
     count = count_completed(completed)
-    # A record with completions was changed after its creation, maybe by a late write of an earlier
-    # leader after this one's election: its version doesn't prove that the job is younger than that.
+    # A record with completions was changed after its creation, perhaps by a late write of an
+    # earlier leader after the current one was elected. So its version does not prove that the job
+    # was created after that election.
     created_revision = version if count == 0 else 0
-    # A process that has just started sees jobs that came long ago: by its own clock all of them
-    # would be new, and every restart of all controllers would begin each wait afresh.
+    # A process that has just started also receives jobs submitted long ago. If their arrival were
+    # counted from now, a restart of all controllers would restart the waiting time of every job.
     arrived_at = min(now, record.submitted_at - wall_clock_offset) if record.submitted_at else now
     return Job(record.spec, version, arrived_at, created_revision, completed, count)
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -1,4 +1,4 @@
-"""The jobs that are not completed, as the watch shows them."""
+"""The table of jobs that are not completed, built from watch events."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 
-# Cancelled jobs that are remembered: at least so many.
+# The minimum number of cancelled jobs that are remembered.
 MIN_REMEMBERED_CANCELLED = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class JobChange:
-    """What a watch event changed: the job, if one is concerned, and whether its record is gone."""
+    """The effect of a watch event: the job concerned, if any, and whether it was removed."""
 
     job: Job | None = None
     removed: bool = False
@@ -25,20 +25,21 @@
 
 @dataclass(slots=True)
 class JobTable:
-    """All jobs that are not completed, by id, with the completions that are stored."""
+    """All jobs that are not completed, by id, and the stored records of completed tasks."""
 
     jobs: dict[str, Job] = field(default_factory=dict)
-    # The time of day less the steady clock's in seconds, as it was when the process started.
+    # The wall clock's time minus the monotonic clock's in seconds, taken when the process started.
     wall_clock_offset: float = 0.0
-    # The stored records of completions, each of many jobs: key -> entry -> mask.
+    # The stored records of completions, each for many jobs: key -> entry -> packed mask.
     completion_records: dict[str, dict[str, str]] = field(default_factory=dict)
-    # Jobs that are certainly cancelled although the watch may not show it, or not even the job.
+    # Jobs certainly cancelled, though the watch may not have shown that, or the job itself, yet.
     cancelled: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    # How many of these are remembered: all that can be stored before the watch must show the first.
+    # How many cancelled jobs are remembered: as many as can be stored before the watch must have
+    # shown the first of them.
     max_cancelled: int = MIN_REMEMBERED_CANCELLED
 
     def mark_cancelled(self, job_id: str) -> Job | None:
-        """A job's cancellation is stored; returns the job if it is known."""
+        """Record that a job's cancellation is stored; returns the job, or None if it is unknown."""
         self.cancelled[job_id] = None
         while len(self.cancelled) > self.max_cancelled:
             self.cancelled.popitem(last=False)
@@ -48,7 +49,7 @@
         return job
 
     def on_completions_event(self, key: str, raw: bytes | None) -> None:
-        """A record of completions was written, or deleted if `raw` is None."""
+        """Apply a written record of completions; `raw` is None if it was deleted."""
         record = decode(raw, dict[str, str]) if raw is not None else None
         if record is None:
             self.completion_records.pop(key, None)
@@ -57,10 +58,10 @@
         for entry, text in record.items():
             job = self.jobs.get(split_segment(entry)[0])
             if job is not None:
-                self._merge(job, entry, text)
+                self._merge_entry(job, entry, text)
 
     def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> JobChange:
-        """A live job's record was written, or deleted if `raw` is None, at that version."""
+        """Apply a live job's record at `version`; `raw` is None if it was deleted."""
         job_id = key[len(LIVE_JOBS_PREFIX) :]
         job = self.jobs.get(job_id)
         if raw is None:
@@ -79,7 +80,10 @@
         return JobChange(job)
 
     def _add(self, now: float, job_id: str, record: JobRecord, version: int) -> Job | None:
-        """A new job, with the completions that came before it."""
+        """Add a new job, with the completions that the watch showed before the job.
+
+        Returns None if the record is that of a completed job.
+        """
         job = make_job(record, version, now, self.wall_clock_offset)
         if job is None:
             return None
@@ -87,17 +91,17 @@
         job.cancelled = job_id in self.cancelled
         for completions in self.completion_records.values():
             if job_id in completions:
-                self._merge(job, job_id, completions[job_id])
+                self._merge_entry(job, job_id, completions[job_id])
             elif len(completions) == 1:
-                # A segment has a record of its own.
+                # A segment of a mask is stored in a record of its own.
                 (entry,) = completions
                 if split_segment(entry)[0] == job_id:
-                    self._merge(job, entry, completions[entry])
+                    self._merge_entry(job, entry, completions[entry])
         return job
 
     @staticmethod
-    def _merge(job: Job, entry: str, text: str) -> None:
-        """Add what an entry of a record of completions says of a job."""
+    def _merge_entry(job: Job, entry: str, text: str) -> None:
+        """Add the completed tasks of one entry of a completion record to a job."""
         offset = split_segment(entry)[1]
         segment = unpack_mask(text, max(0, job.spec.tasks - 8 * offset))
         job.merge_completed(bytes(min(offset, len(job.completed))) + segment)
--- a/src/copperpass/core/jobs/task_ids.py
+++ b/src/copperpass/core/jobs/task_ids.py
@@ -4,12 +4,12 @@
 
 
 def task_id(job_id: str, index: int) -> str:
-    """How the protocol names a task."""
+    """The name of a task in the workers' protocol."""
     return f"{job_id}/{index}"
 
 
 def parse_task_id(task: str) -> tuple[str, int] | None:
-    """The job id and index of a task's name, or None if it has another form."""
+    """Parse a task's name into job id and index; None if it does not have the expected form."""
     job_id, _, index = task.rpartition("/")
     if not job_id or not index.isdecimal():
         return None
--- a/src/copperpass/core/membership/__init__.py
+++ b/src/copperpass/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The members: the versions they run, their heartbeats, and what isolation of one leads to."""
+"""Cluster membership: member versions, peer heartbeats, and step-down of an isolated leader."""
--- a/src/copperpass/core/membership/peer_heartbeats.py
+++ b/src/copperpass/core/membership/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between members: who is connected, and how recent their watch caches are."""
+"""Heartbeats between members: which peers are connected, and how recent their caches are."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 
 
 class PeerHeartbeats:
-    """Sends this member's heartbeats, and keeps when each peer was last heard and what it knew."""
+    """Sends heartbeats; tracks when each peer last sent a frame and the age of its watch cache."""
 
     def __init__(
         self, peers: Sequence[str], timings: ElectionTimings, out: Outbox, now: float
     ) -> None:
         self.peers, self.timings, self.out = peers, timings, out
         self._last_frame_at: dict[str, float] = {}
-        self._consistent_at: dict[str, float] = {}
-        self._next_at = now
+        self._peer_consistent_at: dict[str, float] = {}
+        self._next_send_at = now
 
     def on_frame(self, now: float, sender: str) -> None:
-        """Any frame is a sign of life."""
+        """Record that a peer is alive; called for frames of any kind."""
         self._last_frame_at[sender] = now
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: MemberHeartbeat) -> None:
-        """A peer says how old its watch cache is."""
+        """Record up to which time, on this member's clock, a peer's watch cache is consistent."""
         if heartbeat.state_age_ms != NEVER_ANSWERED:
-            self._consistent_at[sender] = now - heartbeat.state_age_ms / 1000
+            self._peer_consistent_at[sender] = now - heartbeat.state_age_ms / 1000
 
     def is_connected(self, now: float, member: str) -> bool:
-        """Whether a peer's heartbeats, four in a vote's length, come in."""
+        """Whether a frame of a peer arrived within `vote_s`, which is four heartbeat intervals."""
         last_frame_at = self._last_frame_at.get(member, float("-inf"))
         return now - last_frame_at < self.timings.vote_s
 
-    def any_alive(self, now: float) -> bool:
-        """Whether any peer was heard within the leader key's time to live."""
-        ttl = self.timings.leader_ttl_s
-        return any(now - last_frame_at < ttl for last_frame_at in self._last_frame_at.values())
+    def any_peer_alive(self, now: float) -> bool:
+        """Whether a frame of any peer arrived within the TTL of the leader key."""
+        ttl_s = self.timings.leader_ttl_s
+        return any(now - last_frame_at < ttl_s for last_frame_at in self._last_frame_at.values())
 
     def is_behind(self, consistent_at: float) -> bool:
-        """Whether another member's watch cache is much more recent than one of that time."""
-        latest = max(self._consistent_at.values(), default=float("-inf"))
+        """Whether a peer's cache is more recent than `consistent_at` by over a leader key's TTL."""
+        latest = max(self._peer_consistent_at.values(), default=float("-inf"))
         return latest - consistent_at > self.timings.leader_ttl_s
 
     def send_if_due(self, now: float, token: int, consistent_at: float) -> bool:
-        """Send a heartbeat to every peer when it is time; returns whether it was.
+        """Send a heartbeat to every peer if one is due; returns whether it was.
 
-        It carries the watch cache's time, not that of the last answered request: an answer to a
-        write says nothing of which changes this member knows.
+        The heartbeat carries the age of the watch cache, not of the last answered request: an
+        answer to a write does not show which changes this member has received.
         """
-        if now < self._next_at:
+        if now < self._next_send_at:
             return False
-        self._next_at = now + self.timings.vote_s / 4
+        self._next_send_at = now + self.timings.vote_s / 4
         heartbeat = MemberHeartbeat(token, _age_ms(now, consistent_at))
         for peer in self.peers:
             self.out.send(peer, heartbeat)
@@ -60,6 +60,7 @@
 
 
 def _age_ms(now: float, consistent_at: float) -> int:
+    """The age of the watch cache in ms, or `NEVER_ANSWERED` if it was never consistent."""
     if consistent_at <= 0:
         return NEVER_ANSWERED
     return min(NEVER_ANSWERED - 1, int((now - consistent_at) * 1000))
--- a/src/copperpass/core/membership/running_counts.py
+++ b/src/copperpass/core/membership/running_counts.py
@@ -1,4 +1,4 @@
-"""How many tasks of each job run, exchanged between members; for display only."""
+"""Exchange of the running tasks per job between members, which is for display only."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from copperpass.core.shards.grant_client import GrantClient
 from copperpass.protocol.frames.messages import RunningCounts
 
-INTERVAL_S = 1.0
+SEND_INTERVAL_S = 1.0
 
 
 class RunningCountExchange:
-    """Sends the counts of this member's shards, and keeps what the peers have sent of theirs."""
+    """Sends the counts of this member's shards, and keeps the last counts of each peer."""
 
     def __init__(
         self,
@@ -26,28 +26,32 @@
     ) -> None:
         self.peers, self.jobs, self.shards, self.out = peers, jobs, shards, out
         self.grant_client = grant_client
-        self._by_peer: dict[str, dict[str, int]] = {}
-        self._next_at = now
+        self._counts_by_peer: dict[str, dict[str, int]] = {}
+        self._next_send_at = now
 
     def on_frame(self, sender: str, frame: RunningCounts) -> None:
-        """A peer has sent its counts."""
-        self._by_peer[sender] = frame.running
+        """Replace the counts of a peer."""
+        self._counts_by_peer[sender] = frame.running
 
     def counts_of(self, job_id: str) -> tuple[int, int]:
-        """How many tasks of a job are completed and run, as far as this member knows."""
+        """The completed and running tasks of a job; (0, 0) for an unknown job.
+
+        For a job in another member's shard, the running tasks are the highest count among the last
+        reports of the peers.
+        """
         job = self.jobs.jobs.get(job_id)
         if job is None:
             return 0, 0
         if self._is_own(job.spec.team):
             return job.completed_count, job.displayed_running()
-        reported = (counts.get(job_id, 0) for counts in self._by_peer.values())
+        reported = (counts.get(job_id, 0) for counts in self._counts_by_peer.values())
         return job.completed_count, max(reported, default=0)
 
     def send_if_due(self, now: float) -> None:
-        """Send the counts of the jobs whose shards this member owns."""
-        if not self.grant_client.schedulers or now < self._next_at:
+        """Send the counts of jobs in own shards to all peers if due; nothing without a shard."""
+        if not self.grant_client.schedulers or now < self._next_send_at:
             return
-        self._next_at = now + INTERVAL_S
+        self._next_send_at = now + SEND_INTERVAL_S
         counts = {
             job_id: job.displayed_running()
             for job_id, job in self.jobs.jobs.items()
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -1,9 +1,10 @@
-"""Which version each member runs: proof that outlives the process, kept in the key-value store.
+"""The software version of each member, stored in the key-value store to outlive the process.
 
-A process of this version writes its member's key once after its start. Older versions neither write
-nor watch such keys. A member counts as upgraded once its key has been read and says so; absent,
-unreadable or of a lower format means old. A member whose process has come back with the new version
-never comes back old, so an upgraded member stays upgraded.
+A process of this version writes its member's key once after it starts. Older versions neither write
+nor watch these keys. A member counts as upgraded once its key has been read with this format or a
+higher one; a key that is absent, unreadable or of a lower format means an older version. A member
+that has restarted with the new version is never restarted with an older one, so an upgraded member
+stays upgraded.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from copperpass.protocol.kvstore import KeyValue, PutKey, key_path
 from copperpass.protocol.records import VersionRecord
 
-# What the records and frames of this version can express; a later version's number is higher.
+# The format of records and frames that this version reads; later versions have higher numbers.
 FORMAT = 1
 
 
 class VersionRegistry:
-    """Writes the own key, and reads the peers' until all members are known to be upgraded."""
+    """Writes the own key, and reads the keys of peers until all members are upgraded."""
 
     def __init__(
         self,
@@ -40,25 +41,25 @@
         self.retry_s, self.timeout_s = retry_s, timeout_s
         self.upgraded: set[str] = set()
         self._in_flight: set[str] = set()
-        self._next_try_at = 0.0
+        self._next_read_at = 0.0
 
     def is_upgraded(self, member: str) -> bool:
-        """Whether a member's process is certainly of this version or a later one.
+        """Whether a member certainly runs this version or a later one.
 
-        A frame or field that older versions don't know goes to no other member: an older one
-        closes the link on a frame that it can't read.
+        Frames and fields unknown to older versions are sent only to upgraded members: an older
+        version closes the connection on a frame that it can't read.
         """
         return member in self.upgraded
 
     def all_upgraded(self) -> bool:
-        """Whether every member's is."""
+        """Whether every member, this one included, certainly runs this version or a later one."""
         return len(self.upgraded) == len(self.members)
 
     def tick(self, now: float) -> None:
-        """Store the own key, and read those of the members that are not known to be upgraded."""
-        if now < self._next_try_at or self.all_upgraded():
+        """Read the keys of members not known to be upgraded; an outdated own key is written."""
+        if now < self._next_read_at or self.all_upgraded():
             return
-        self._next_try_at = now + self.retry_s
+        self._next_read_at = now + self.retry_s
         for member in self.members:
             if member not in self.upgraded and member not in self._in_flight:
                 self._read(member)
@@ -91,7 +92,8 @@
         self._in_flight.add(member)
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
-            # Anything but applied is read again: it may have been, or another run was first.
+            # After any outcome but APPLIED the key is read again: the write may have been applied,
+            # or another run of this member may have written the key first.
             self._in_flight.discard(member)
             if outcome is TransactionOutcome.APPLIED:
                 self.upgraded.add(member)
--- a/src/copperpass/core/scheduling/bin_packing/gang_placement.py
+++ b/src/copperpass/core/scheduling/bin_packing/gang_placement.py
@@ -38,7 +38,7 @@
     with its last image. On few machines rather than on many: it runs at the speed of the slowest.
     """
     job = ranking.job
-    missing = job.unassigned()
+    missing = job.pending_tasks()
     scored = [(score, machine) for score, _, machine in ranking.heap]
     best: GangPlan | None = None
     for zones in zone_choices(job, {machine.zone for _, machine in scored}, machines):
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -135,7 +135,7 @@
         if spec.team in self.quota_reservations:
             return
         if self.slos.start_deadline(job, self.now) - self.now < self.boot_s:
-            count = len(job.unassigned())
+            count = len(job.pending_tasks())
             self.quota_reservations[spec.team] = QuotaReservation(
                 job.arrived_at, count * spec.cpus, count * spec.gpus
             )
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -34,7 +34,7 @@
         None: the team's limit doesn't allow the whole gang now, or tasks of an earlier attempt
         are not proven gone. `started_on` lists the machines that the round has started tasks on.
         """
-        spec, count = job.spec, len(job.unassigned())
+        spec, count = job.spec, len(job.pending_tasks())
         team = self.state.by_team[spec.team]
         if exceeds_limit(team, used, count * spec.cpus, count * spec.gpus):
             return None
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -107,7 +107,7 @@
     If nowhere for all, then where there is capacity for most: machines for the rest are to be
     rented there. `reserved_machines` are those that spot work may not use.
     """
-    spec, count = job.spec, len(job.unassigned())
+    spec, count = job.spec, len(job.pending_tasks())
     feasible = [
         machine
         for machine in usable
--- a/src/copperpass/core/scheduling/victims.py
+++ b/src/copperpass/core/scheduling/victims.py
@@ -83,7 +83,7 @@
 def _needs(job: Job, machine: Machine) -> tuple[float, float, float] | None:
     """CPUs, GPUs and GB of memory that must be free on a machine; None if they never can be."""
     spec, machine_type = job.spec, machine.type
-    count = len(job.unassigned()) if spec.gang else 1
+    count = len(job.pending_tasks()) if spec.gang else 1
     needs = (spec.cpus * count, spec.gpus * count, spec.memory_gb * count)
     totals = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
     if not all(fits_within(need, total) for need, total in zip(needs, totals, strict=True)):
