--- a/src/copperpass/core/election/campaign.py
+++ b/src/copperpass/core/election/campaign.py
@@ -65,8 +65,8 @@
         """Retry shortly, because a vote of this member still forbids it to campaign."""
         self.next_campaign_at = now + self.context.timings.leader_ttl_s / 40
 
-    def on_leader_gone(self, now: float) -> None:
-        """Schedule a campaign, staggered by member, after the leader key has disappeared."""
+    def on_leader_key_deleted(self, now: float) -> None:
+        """Schedule a campaign, staggered by member, after the leader key was deleted or expired."""
         jitter_s = self.context.rng.uniform(0, self.context.timings.leader_ttl_s / 40)
         self.next_campaign_at = max(now + self._stagger_s + jitter_s, self._backoff_until)
 
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -138,7 +138,7 @@
         leader = self.lease.holder
         if leader is None:
             if had_leader:
-                self.campaign.on_leader_gone(now)
+                self.campaign.on_leader_key_deleted(now)
             if self.is_leader:
                 self.lease.on_expired(now)
             return
--- a/src/copperpass/core/kvstore/token_bucket.py
+++ b/src/copperpass/core/kvstore/token_bucket.py
@@ -33,8 +33,8 @@
     def take(self, now: float, amount: float, reserve: float = 0.0) -> bool:
         """Take `amount` tokens if that leaves `reserve`, a fraction of the burst.
 
-        Returns whether they were taken. A full bucket covers any amount, and its level may then
-        become negative.
+        Returns whether they were taken. A full bucket covers any amount and reserve; its level may
+        then become negative.
         """
         self._refill(now)
         if self.tokens + ROUNDING_TOLERANCE < min(amount + reserve * self.burst, self.burst):
