--- a/src/copperpass/core/api/__init__.py
+++ b/src/copperpass/core/api/__init__.py
@@ -1,5 +1,5 @@
-"""Requests of users: validation, idempotent submission, polls and cancellations.
+"""Users' requests: validation, idempotent submission, polls and cancellations.
 
-The same on every member, whoever leads: the key-value store arbitrates. A request that can't be
-served is refused at once with 503 and `Retry-After`.
+Every member serves them in the same way, whether it leads or not: the key-value store arbitrates. A
+request that can't be served is refused at once with 503 and `Retry-After`.
 """
--- a/src/copperpass/core/api/cancellations.py
+++ b/src/copperpass/core/api/cancellations.py
@@ -1,4 +1,4 @@
-"""POST /api/jobs/{id}/cancel: a live job's record is moved to its terminal state."""
+"""POST /api/jobs/{id}/cancel: replaces a live job's record by a terminal one."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from copperpass.protocol.records import JobRecord, completed_job_value
 from copperpass.protocol.users import JobState
 
-# How often a cancellation is tried when completions change the record in between.
-MAX_ATTEMPTS = 6
+# Attempts to cancel a job while completions of its tasks change the record in between.
+MAX_CANCEL_ATTEMPTS = 6
 
 
 class Cancellations:
-    """Cancels live jobs; one in a terminal state already is answered as it is."""
+    """Cancels live jobs; for a job in a terminal state, answers with that state."""
 
     def __init__(self, context: ApiContext, lookup: JobLookup, responder: Responder) -> None:
         self.context, self.lookup, self.responder = context, lookup, responder
 
     def cancel(
-        self, now: float, request: object, job_id: str, attempts: int = MAX_ATTEMPTS
+        self, now: float, request: object, job_id: str, attempts_left: int = MAX_CANCEL_ATTEMPTS
     ) -> None:
-        """Read a job and cancel that version of it; after a conflict the same again."""
+        """Read a job and cancel the version read; after a conflict, try again."""
         if not is_job_id(job_id):
             self.responder.not_found(request)
             return
@@ -34,31 +34,35 @@
             if stored is None or stored.record.final_state:
                 self.responder.job_state(request, job_id, stored.record if stored else None)
             else:
-                self._store(now, request, job_id, stored.version, attempts)
+                self._store(now, request, job_id, stored.version, attempts_left)
 
         def on_failed(now: float) -> None:
             self.responder.unavailable(request, "state not reached")
 
         self.lookup.find(now, job_id, on_found, on_failed)
 
-    def _store(self, now: float, request: object, job_id: str, version: int, attempts: int) -> None:
-        """Replace the live record by a terminal one."""
-        count = self.context.task_counts(job_id)[0]
+    def _store(
+        self, now: float, request: object, job_id: str, version: int, attempts_left: int
+    ) -> None:
+        """Replace the live record at `version` by a terminal one, in one transaction."""
+        completed_count = self.context.task_counts(job_id)[0]
 
         def on_done(now: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.APPLIED:
-                terminal = JobRecord(final_state=JobState.CANCELLED, completed_count=count)
+                terminal = JobRecord(
+                    final_state=JobState.CANCELLED, completed_count=completed_count
+                )
                 self.lookup.remember(job_id, terminal)
                 self.context.on_job_cancelled(now, job_id)
                 self.responder.job_state(request, job_id, terminal)
-            elif outcome is TransactionOutcome.CONFLICT and attempts > 1:
-                # A task of the job was completed in between: the record has another version.
-                self.cancel(now, request, job_id, attempts - 1)
+            elif outcome is TransactionOutcome.CONFLICT and attempts_left > 1:
+                # The record has another version: a task of the job was completed in between.
+                self.cancel(now, request, job_id, attempts_left - 1)
             else:
                 self.responder.unavailable(request, "not stored")
 
         live_key = LIVE_JOBS_PREFIX + job_id
-        final = completed_job_value(JobState.CANCELLED, count)
+        final = completed_job_value(JobState.CANCELLED, completed_count)
         operation = Operation(
             {live_key: version},
             [DeleteKey(live_key), PutKey(COMPLETED_JOBS_PREFIX + job_id, final)],
--- a/src/copperpass/core/api/context.py
+++ b/src/copperpass/core/api/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of users' requests share and never change."""
+"""Settings and collaborators shared by the handlers of users' requests."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class TaskCounts(Protocol):
-    """Tells how many tasks of a live job are completed, and how many are running."""
+    """Returns how many tasks of a live job are completed and how many are running."""
 
     def __call__(self, job_id: str, /) -> tuple[int, int]:
-        """Completed and running tasks; zeros if the job is not known here."""
+        """Return the counts of completed and of running tasks; (0, 0) for an unknown job."""
 
 
 class OnJobCancelled(Protocol):
-    """Called once a cancellation is stored, before the watch shows it."""
+    """Called when a cancellation is stored, before the watch shows it."""
 
     def __call__(self, now: float, job_id: str, /) -> None:
         """Stop the job's tasks, here and on other members."""
@@ -29,8 +29,9 @@
 class ApiContext:
     """Collaborators and settings of the API.
 
-    `read_timeout_s`: the time from a request to its answer, in seconds; `wall_clock_offset`: the
-    time of day less the steady clock's, in seconds.
+    `read_timeout_s`: the time from a request to its answer, in seconds; limits each lookup of a job
+    and the sending of each write.
+    `wall_clock_offset`: the wall clock minus the monotonic clock, in seconds.
     """
 
     cluster: Cluster
@@ -38,7 +39,8 @@
     transactions: TransactionQueue
     read_timeout_s: float
     wall_clock_offset: float
-    # All that the cloud offers, kept up to date by its owner; empty until it is known.
+    # All machine types that the cloud offers, by name; kept up to date by the node's catalog. Empty
+    # until the types are known.
     types: dict[str, MachineType]
     task_counts: TaskCounts
     on_job_cancelled: OnJobCancelled
--- a/src/copperpass/core/api/polls.py
+++ b/src/copperpass/core/api/polls.py
@@ -8,7 +8,7 @@
 
 
 class Polls:
-    """Answers with a job's state, by a linearised read."""
+    """Answers with a job's state from a linearizable read."""
 
     def __init__(self, lookup: JobLookup, responder: Responder) -> None:
         self.lookup, self.responder = lookup, responder
--- a/src/copperpass/core/api/responses.py
+++ b/src/copperpass/core/api/responses.py
@@ -1,4 +1,4 @@
-"""Answers to users: the state of a job, a refusal, or a request to try again."""
+"""HTTP answers to users: the state of a job, a refusal or a request to retry."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from copperpass.protocol.records import JobRecord
 from copperpass.protocol.users import JobAnswer, JobState
 
-# Seconds after which a user should repeat a request that could not be decided.
+# Seconds until a user should repeat a request that could not be decided (`Retry-After`).
 RETRY_AFTER_S = 1
 
 
 class Responder:
-    """Puts answers into the outbox; each request gets exactly one."""
+    """Queues answers in the outbox; each request must get exactly one."""
 
     def __init__(self, context: ApiContext) -> None:
         self.out, self.task_counts = context.out, context.task_counts
 
     def created(self, request: object, job_id: str) -> None:
-        """A submission is stored."""
+        """Answer a submission that has been stored."""
         self._reply(request, 201, encode(JobAnswer(job_id, JobState.QUEUED)))
 
     def job_state(self, request: object, job_id: str, record: JobRecord | None) -> None:
-        """The state of a job by its record, or that there is none."""
+        """Answer with the state of a job by its record; 404 if `record` is None."""
         if record is None:
             self.not_found(request)
             return
@@ -38,18 +38,18 @@
         self._reply(request, 200, encode(answer))
 
     def not_found(self, request: object) -> None:
-        """No job has the id."""
+        """Answer that no job has the requested id."""
         self._reply(request, 404, error_body("no such job"))
 
     def rejected(self, request: object, rejection: RejectedJobError) -> None:
-        """A submission is refused."""
+        """Answer a submission that is refused; with `Retry-After` if it may succeed later."""
         if rejection.status == UNAVAILABLE:
             self.unavailable(request, rejection.reason)
         else:
             self._reply(request, rejection.status, error_body(rejection.reason))
 
     def unavailable(self, request: object, reason: str) -> None:
-        """The request can't be decided now."""
+        """Answer that the request can't be decided now and should be repeated."""
         reply = Reply(request, UNAVAILABLE, error_body(reason), RETRY_AFTER_S)
         self.out.replies.append(reply)
 
--- a/src/copperpass/core/api/submissions.py
+++ b/src/copperpass/core/api/submissions.py
@@ -1,4 +1,4 @@
-"""POST /api/jobs: idempotent submission, decided by one compare-and-swap."""
+"""POST /api/jobs: idempotent submission by a single compare-and-swap."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from copperpass.protocol.records import submitted_job_value
 from copperpass.protocol.users import MAX_BODY_BYTES, JobReference, JobSpec, decode_spec
 
-# A record above this part of the largest value may be refused for its size: the store counts a
-# value's bytes in a longer notation than ours.
-UNCERTAIN_SIZE_PART = 0.8
+# The store may refuse a record larger than this fraction of the largest value for its size, because
+# it counts a value's bytes in a longer encoding than ours.
+UNCERTAIN_SIZE_RATIO = 0.8
 
 
 def _too_large() -> RejectedJobError:
@@ -32,7 +32,7 @@
 
 
 class Submissions:
-    """Stores submitted jobs; an id that is stored already is answered with that job's state."""
+    """Stores submitted jobs; answers a repeated id with the state of the stored job."""
 
     def __init__(self, context: ApiContext, lookup: JobLookup, responder: Responder) -> None:
         self.context, self.lookup, self.responder = context, lookup, responder
@@ -41,7 +41,7 @@
     def submit(self, now: float, request: object, body: bytes) -> None:
         """Validate a submission and store it, or refuse it."""
         if len(body) > MAX_BODY_BYTES:
-            # Malformed: users give up at once on a 400, but repeat a 413 for a minute.
+            # Answered with 400, since users give up at once on a 400 but repeat a 413 for a minute.
             self.responder.rejected(request, RejectedJobError(MALFORMED, "body too large"))
             return
         try:
@@ -59,14 +59,14 @@
             self.responder.rejected(request, rejection)
             return
         try:
-            record = self._record(now, spec)
+            record = self._make_record(now, spec)
         except RejectedJobError as rejection:
             self._refuse(now, request, spec.id, rejection)
             return
         self._store(now, request, spec.id, record)
 
-    def _record(self, now: float, spec: JobSpec) -> dict[str, object]:
-        """The record of a valid job; raises `RejectedJobError` for any other."""
+    def _make_record(self, now: float, spec: JobSpec) -> dict[str, object]:
+        """Return the record of a valid job; raise `RejectedJobError` for any other."""
         if not self.types:
             raise RejectedJobError(UNAVAILABLE, "machine types not known yet")
         validate(spec, self.context.cluster, self.types)
@@ -76,7 +76,7 @@
         if len(encode(record)) <= max_bytes:
             return record
         if spec.types is not None:
-            # Types that are named twice, or don't exist, mean nothing.
+            # Repeated and unknown types have no effect: drop them to make the record fit.
             spec.types = [name for name in dict.fromkeys(spec.types) if name in self.types]
             record["spec"] = msgspec.to_builtins(spec)
         if len(encode(record)) > max_bytes:
@@ -84,9 +84,9 @@
         return record
 
     def _store(self, now: float, request: object, job_id: str, record: dict[str, object]) -> None:
-        """Store a job, unless its id is taken by a live or a completed one."""
+        """Store a job unless a live or completed job has its id."""
         max_bytes = self.context.cluster.state.least_value_bytes
-        maybe_too_large = len(encode(record)) > UNCERTAIN_SIZE_PART * max_bytes
+        maybe_too_large = len(encode(record)) > UNCERTAIN_SIZE_RATIO * max_bytes
 
         def on_done(now: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.INVALID and maybe_too_large:
@@ -108,7 +108,7 @@
         self.context.transactions.submit(now, operation)
 
     def _answer_existing(self, now: float, request: object, job_id: str) -> None:
-        """The id is taken: a repeated submission, answered with the state of the first."""
+        """Answer a repeated submission with the state of the job that has the id."""
 
         def on_found(now: float, stored: StoredJob | None) -> None:
             self.responder.job_state(request, job_id, stored.record if stored else None)
@@ -121,7 +121,7 @@
     def _refuse(
         self, now: float, request: object, job_id: str, rejection: RejectedJobError
     ) -> None:
-        """Refuse, unless the id is that of a job which was accepted before."""
+        """Refuse a submission; if its id was accepted before, answer with that job's state."""
 
         def on_found(now: float, stored: StoredJob | None) -> None:
             if stored is not None:
--- a/src/copperpass/core/api/user_api.py
+++ b/src/copperpass/core/api/user_api.py
@@ -1,6 +1,6 @@
-"""Requests of users, answered the same on every member, whoever leads.
+"""Users' requests, answered in the same way on every member, whether it leads or not.
 
-The key-value store alone decides: a member keeps no state that an answer depends on, apart from
+The key-value store alone decides. Answers depend on no state of the member, apart from cached
 terminal records, which never change, and the counts of tasks, which are for display.
 """
 
@@ -15,7 +15,7 @@
 
 
 class UserApi:
-    """Composes submissions, polls and cancellations."""
+    """Handlers of the user API, by route."""
 
     def __init__(self, context: ApiContext) -> None:
         responder = Responder(context)
@@ -25,17 +25,17 @@
         self.cancellations = Cancellations(context, self.lookup, responder)
 
     def submit(self, now: float, request: object, body: bytes) -> None:
-        """POST /api/jobs."""
+        """Handle POST /api/jobs."""
         self.submissions.submit(now, request, body)
 
     def poll(self, now: float, request: object, job_id: str) -> None:
-        """GET /api/jobs/{id}."""
+        """Handle GET /api/jobs/{id}."""
         self.polls.poll(now, request, job_id)
 
     def cancel(self, now: float, request: object, job_id: str) -> None:
-        """POST /api/jobs/{id}/cancel."""
+        """Handle POST /api/jobs/{id}/cancel."""
         self.cancellations.cancel(now, request, job_id)
 
     def on_job_removed(self, job_id: str) -> None:
-        """The watch shows that a live record was removed."""
+        """Handle a watch event for the removal of a job's live record."""
         self.lookup.on_job_removed(job_id)
--- a/src/copperpass/core/api/validation.py
+++ b/src/copperpass/core/api/validation.py
@@ -1,6 +1,6 @@
-"""Validation of submissions: refused are malformed jobs, and jobs that can never run.
+"""Validation of submissions: refuses malformed jobs and jobs that can never run.
 
-Texts name the fields as users know them, by their names on the wire.
+Error messages use the fields' outer names, which are those in the users' JSON.
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 from copperpass.protocol.users import JOB_ID_PATTERN, MAX_TASKS, JobSpec
 from copperpass.settings import Cluster, Team
 
+# HTTP statuses of refused requests.
 MALFORMED, UNPROCESSABLE, UNAVAILABLE = 400, 422, 503
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a text has the form of a job id."""
+    """Whether a text is a well-formed job id (`JOB_ID_PATTERN`)."""
     return JOB_ID_PATTERN.match(text) is not None
 
 
@@ -71,7 +72,7 @@
 
 
 def _check_gang(spec: JobSpec, team: Team, zones: set[str]) -> None:
-    """Raise `RejectedJobError` if a gang, whose tasks all run at once, can never run."""
+    """Raise `RejectedJobError` if a gang can never run; all its tasks must run at once."""
     if not fits_within(spec.cpus * spec.tasks, team.cpus_limit) or not fits_within(
         spec.gpus * spec.tasks, team.gpus_limit
     ):
--- a/src/copperpass/core/node/__init__.py
+++ b/src/copperpass/core/node/__init__.py
@@ -1,4 +1,4 @@
-"""One controller: its parts wired together, and the routing of its inputs."""
+"""The controller's state machine: creates its components and routes inputs to them."""
 
 from copperpass.core.node.node import Node
 
--- a/src/copperpass/core/node/cancellations.py
+++ b/src/copperpass/core/node/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations that are stored, announced to the members that run the jobs' tasks."""
+"""Announces stored cancellations to the members that run the jobs' tasks."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class CancellationBroadcast:
-    """Marks cancelled jobs here and tells every peer that knows the frame.
+    """Marks cancelled jobs on this member and notifies every peer that knows the frame.
 
-    A hint beside the watch, which may be late by as much as the bound on the watch cache's age: it
-    spares starts after a confirmed cancellation, and proves nothing about what users are answered.
+    The notification is a hint in addition to the watch, which may be late by up to the bound on the
+    watch cache's age. It avoids starts of tasks after a confirmed cancellation; answers to users do
+    not depend on it.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
         self.version_registry, self.out = version_registry, out
 
     def announce(self, now: float, job_id: str) -> None:
-        """A job's cancellation has been stored by this member."""
+        """Apply a cancellation that this member has stored, and notify the peers."""
         self.on_cancelled(now, job_id)
         registry = self.version_registry
         for member in registry.members:
@@ -35,7 +36,7 @@
                 self.out.send(member, JobCancelled(job_id))
 
     def on_cancelled(self, now: float, job_id: str) -> None:
-        """A job's cancellation is stored: its tasks stop, and none starts."""
+        """Apply a stored cancellation: stop the job's running tasks and start no more."""
         job = self.jobs.mark_cancelled(job_id)
         if job is not None:
             for scheduler in list(self.grant_client.schedulers.values()):
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -1,4 +1,4 @@
-"""Frames from other members go to the part of the node that they concern, by their type."""
+"""Dispatches frames from other members to the node's components by frame type."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     ZoneAffinities,
 )
 
-# Each handler takes the type of frame under which it stands in the table.
+# Called with the time, the sender and a frame of the type that the handler is registered for.
 Handler = Callable[[float, str, Any], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FrameTargets:
-    """The parts that frames are for."""
+    """The components that handle frames."""
 
     out: Outbox
     election: LeaderElection
@@ -53,7 +53,7 @@
 
 
 class FrameRouter:
-    """Dispatches each frame; one of a type that has no handler is a later version's."""
+    """Dispatches each frame; ignores types without a handler, which a later version may send."""
 
     def __init__(self, targets: FrameTargets) -> None:
         self.targets = targets
@@ -74,7 +74,7 @@
         }
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
-        """A frame from a peer, whatever its type, is also a sign of life."""
+        """Handle a frame; one of any type also counts as a sign of life of its sender."""
         self.targets.peers.on_frame(now, sender)
         handler = self._handlers.get(type(frame))
         if handler is not None:
@@ -89,10 +89,10 @@
     def _on_relayed_answer(self, now: float, sender: str, frame: RelayedAnswer) -> None:
         self.targets.relay.on_answer(frame)
 
-    # -- for a leader ---------------------------------------------------------------------
+    # -- frames to the leader -------------------------------------------------------------
 
-    def _manager_of(self, epoch: int) -> ClusterManager | None:
-        """The cluster manager, if this member leads under that token; else the frame is stale."""
+    def _manager_of_term(self, epoch: int) -> ClusterManager | None:
+        """The cluster manager if this member leads the term `epoch`; None if the frame is stale."""
         cluster_manager = self.targets.leadership.cluster_manager
         if cluster_manager is None or cluster_manager.epoch != epoch:
             return None
@@ -105,11 +105,11 @@
             self.targets.out.send(sender, grant)
 
     def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
-        cluster_manager = self._manager_of(frame.epoch)
+        cluster_manager = self._manager_of_term(frame.epoch)
         member = cluster_manager.members.get(sender) if cluster_manager is not None else None
         if cluster_manager is None or member is None:
             return
-        # An earlier process of the member counted its updates anew.
+        # Each process of a member numbers its updates from the start.
         is_current = member.incarnation == frame.incarnation
         if is_current and member.replication_receiver.accept(
             frame.after_sequence, frame.last_sequence
@@ -117,11 +117,11 @@
             cluster_manager.on_machine_statuses(now, sender, frame.statuses)
 
     def _on_capacity_requests(self, now: float, sender: str, frame: CapacityRequests) -> None:
-        cluster_manager = self._manager_of(frame.epoch)
+        cluster_manager = self._manager_of_term(frame.epoch)
         if cluster_manager is not None:
             cluster_manager.on_capacity_requests(now, frame)
 
     def _on_zone_affinities(self, now: float, sender: str, frame: ZoneAffinities) -> None:
-        cluster_manager = self._manager_of(frame.epoch)
+        cluster_manager = self._manager_of_term(frame.epoch)
         if cluster_manager is not None:
             cluster_manager.on_zone_affinities(frame)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -1,4 +1,4 @@
-"""One controller: its parts wired together, ticked in order, and its inputs handed to routers."""
+"""The controller's state machine: creates its components, ticks them and routes inputs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from copperpass.core.scheduling.context import SchedulerContext
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.grant_client import GrantClient
-from copperpass.core.shards.partitioning import shards_of
+from copperpass.core.shards.partitioning import shards_by_team
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.core.shards.term import GrantClientContext
 from copperpass.core.storage.cached_inventory import CachedInventory
@@ -36,15 +36,16 @@
 from copperpass.settings import Settings
 from copperpass.tuning import Tuning
 
-# Users' requests are answered within this time, or refused for now, in seconds.
+# Time in seconds within which a user's request is to be answered, if only with a 503.
 API_READ_TIMEOUT_S = 1.6
 
 
 class Node:
-    """The state machine that the reactor side feeds and drains.
+    """The deterministic state machine of a controller, driven by the reactor side.
 
-    Takes inputs with the steady clock's time in seconds; leaves calls, frames, replies and log
-    lines in its outbox. `wall_clock_offset` is the time of day less the steady clock, in seconds.
+    Inputs come with the monotonic time in seconds. Calls, frames, replies and log records are left
+    in the outbox `out`. `wall_clock_offset` is the wall clock minus the monotonic clock, in
+    seconds.
     """
 
     def __init__(
@@ -58,20 +59,20 @@
         cluster = settings.cluster
         self.settings, self.cluster, self.tuning = settings, cluster, tuning or Tuning()
         self.rng, self.out = random.Random(seed), Outbox()
-        # The time of the last tick.
+        # The monotonic time of the last tick, in seconds.
         self.now = now
         self.timings = election_timings(cluster)
-        self.shards = shards_of(cluster, self.tuning)
+        self.shards = shards_by_team(cluster, self.tuning)
         self._call_timeout_s = self.timings.leader_ttl_s / 3
-        self._wire_records(wall_clock_offset)
-        self._wire_election(now)
-        self._wire_terms(now)
-        self._wire_routers()
+        self._create_storage(wall_clock_offset)
+        self._create_election(now)
+        self._create_term_components(now)
+        self._create_routers()
 
-    # -- wiring -------------------------------------------------------------------------
+    # -- construction -------------------------------------------------------------------
 
-    def _wire_records(self, wall_clock_offset: float) -> None:
-        """The store's queue and cache, and the records that the cache keeps up to date."""
+    def _create_storage(self, wall_clock_offset: float) -> None:
+        """Create the transaction queue, the watch cache and the records that the cache updates."""
         limits = self.cluster.state
         self.transactions = TransactionQueue(
             self.out, limits.least_write_rps, limits.least_txn_ops, self._call_timeout_s
@@ -84,8 +85,8 @@
         self.cached_inventory = CachedInventory()
         self.completion_versions: dict[str, int] = {}
 
-    def _wire_election(self, now: float) -> None:
-        """The election and what is known of the other members."""
+    def _create_election(self, now: float) -> None:
+        """Create the election and the components that track other members."""
         peers = [member.name for member in self.settings.members]
         partitioned = len(set(self.shards.values())) > 1
         self.election = LeaderElection(
@@ -113,8 +114,8 @@
         self.peers = PeerHeartbeats(peers, self.timings, self.out, now)
         self.isolation = IsolationMonitor(self.election, self.peers, self.cluster.workers)
 
-    def _wire_terms(self, now: float) -> None:
-        """What this member does in a term: as its leader, and as an owner of shards."""
+    def _create_term_components(self, now: float) -> None:
+        """Create what this member runs in a term as leader or shard owner, and the user API."""
         self.grant_client = GrantClient(
             GrantClientContext(
                 member=self.settings.name,
@@ -159,8 +160,8 @@
             )
         )
 
-    def _wire_routers(self) -> None:
-        """Where inputs go."""
+    def _create_routers(self) -> None:
+        """Create the routers that pass inputs to the other components."""
         workers = self.cluster.workers
         self.relay = HeartbeatRelay(self.out, workers.lease_s, workers.heartbeat_interval_s)
         self.worker_heartbeats = WorkerHeartbeatRouter(
@@ -199,7 +200,7 @@
         )
 
     def _manager_context(self) -> ClusterManagerContext:
-        """For a term that this member leads, with what earlier terms knew."""
+        """The context of a term that this member leads, with routes and owners of earlier terms."""
         client = self.grant_client
         return ClusterManagerContext(
             cluster=self.cluster,
@@ -211,15 +212,15 @@
             types=self.machine_types.types,
             cached_inventory=self.cached_inventory,
             shards=self.shards,
-            previous_routes=client.table.latest_routes(),
-            previous_owners=client.table.latest_owners(),
+            previous_routes=client.routing_table.latest_routes(),
+            previous_owners=client.routing_table.latest_owners(),
             incarnation=client.incarnation,
             heartbeats_arrive=self.peers.is_connected,
             all_upgraded=self.version_registry.all_upgraded,
         )
 
     def _make_scheduler(self, assignment: ShardAssignment) -> ShardScheduler:
-        """For a shard that is granted to this member."""
+        """Create the scheduler of a shard that is assigned to this member."""
         client = self.grant_client
         context = SchedulerContext(
             cluster=self.cluster,
@@ -243,7 +244,7 @@
     # -- inputs -------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """The passing of time; to be called many times a second."""
+        """Advance the time; called many times a second."""
         self.now = now
         self.watch_cache.tick(now)
         self.relay.tick(now)
@@ -254,8 +255,9 @@
         self.version_registry.tick(now)
         self.machine_types.tick(now)
         self.leadership.tick(now, self.watch_cache.revision, bool(self.machine_types.types))
-        # An owner whose watch cache falls behind that of others stops asking: its grant expires,
-        # and the leader assigns the shard to another member, long before the bound on the cache.
+        # An owner whose watch cache is behind that of other members stops requesting grants. Its
+        # grant then expires and the leader reassigns the shard, long before the cache's age reaches
+        # its bound.
         self.grant_client.requests_enabled = not self._is_behind()
         self.grant_client.tick(now, self.watch_cache.revision)
         if self.cluster_manager is not None:
@@ -264,18 +266,18 @@
             self.running_counts.send_if_due(now)
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
-        """A frame from another controller."""
+        """Handle a frame from another controller."""
         self.frame_router.on_frame(now, sender, frame)
 
     def worker_heartbeat(self, now: float, request: object, body: bytes) -> None:
-        """POST /v1/report."""
+        """Handle POST /v1/report, a worker's heartbeat."""
         self.worker_heartbeats.on_request(now, request, body)
 
-    # -- state that others look at --------------------------------------------------------
+    # -- state read from outside ----------------------------------------------------------
 
     @property
     def cluster_manager(self) -> ClusterManager | None:
-        """The manager of the term that this member leads, if it leads."""
+        """The manager of the term that this member leads; None if it does not lead."""
         return self.leadership.cluster_manager
 
     @property
@@ -284,18 +286,19 @@
         return list(self.grant_client.schedulers.values())
 
     def is_upgraded(self, member: str) -> bool:
-        """Whether a member is certainly of this version or a later one."""
+        """Whether a member certainly runs this version or a later one."""
         return self.version_registry.is_upgraded(member)
 
     def healthy(self, now: float) -> bool:
         """Whether this node can take requests now.
 
-        In an outage of the store all nodes are alike, and to leave the load balancer would only
-        delay the return. One that is refused alone, while others are served, takes no requests.
+        An outage of the store affects all nodes alike and does not make a node unhealthy: leaving
+        the load balancer would only delay recovery. A node that the store refuses while serving
+        others is unhealthy and takes no requests.
         """
         return bool(self.machine_types.types) and self.watch_cache.synced and not self._is_behind()
 
-    # -- between the parts ----------------------------------------------------------------
+    # -- callbacks of components ----------------------------------------------------------
 
     def _consistent_at(self) -> float:
         return self.watch_cache.consistent_at
--- a/src/copperpass/core/node/watch_router.py
+++ b/src/copperpass/core/node/watch_router.py
@@ -1,4 +1,4 @@
-"""Watch events go to the part of the node that keeps the record, by key or prefix of keys."""
+"""Dispatches watch events by key or key prefix to the component that keeps the record."""
 
 from __future__ import annotations
 
@@ -23,12 +23,17 @@
 from copperpass.core.shards.grant_client import GrantClient
 from copperpass.core.storage.cached_inventory import CachedInventory
 
+# Called with the time, the key, its value (None if deleted) and the version of the event.
 Handler = Callable[[float, str, bytes | None, int], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WatchTargets:
-    """The parts that keep stored records; `completion_versions` is shared with the schedulers."""
+    """The components that keep stored records.
+
+    `completion_versions` holds the version of each key of completions, 0 for a deleted one; it is
+    shared with the schedulers.
+    """
 
     election: LeaderElection
     machine_types: MachineTypeCatalog
@@ -41,7 +46,7 @@
 
 
 class WatchRouter:
-    """Dispatches each event; keys that no handler is for are another version's."""
+    """Dispatches each event; ignores keys without a handler, which other versions may write."""
 
     def __init__(self, targets: WatchTargets) -> None:
         self.targets = targets
@@ -56,7 +61,7 @@
         }
 
     def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        """A key was written, or deleted if `raw` is None, at that version."""
+        """Handle a write of a key at `version`, or its deletion if `raw` is None."""
         prefix_end = key.find("/", len(WATCHED_PREFIX)) + 1
         handler = self._handlers.get(key[:prefix_end] if prefix_end else key)
         if handler is not None:
--- a/src/copperpass/core/node/worker_heartbeats.py
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -1,4 +1,4 @@
-"""Where a worker's heartbeat is answered: here, by the member that owns its machine, or nowhere."""
+"""Routing of workers' heartbeats: answered here, relayed to the machine's owner or redirected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerHeartbeatRouter:
-    """Answers heartbeats of own machines; relays others to their owner, or redirects the worker."""
+    """Answers heartbeats of own machines; relays others to their owner or redirects the worker."""
 
     member: str
     out: Outbox
@@ -28,39 +28,39 @@
     relay: HeartbeatRelay
 
     def on_request(self, now: float, request: object, body: bytes) -> None:
-        """A worker's heartbeat over HTTP."""
+        """Answer, relay or redirect a heartbeat that a worker has sent to this member over HTTP."""
         heartbeat = decode(body, WorkerHeartbeat)
         if heartbeat is None:
             self.out.replies.append(Reply(request, 400, error_body("malformed report")))
             return
         owner = self.grant_client.owner_of(heartbeat.machine)
         if owner is None:
-            owner = self._owner_of_unowned(now, heartbeat)
+            owner = self._find_owner(now, heartbeat)
             is_own = owner == self.member and self.leadership.cluster_manager is not None
         else:
             is_own = owner == self.member
         if is_own:
             self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
         else:
-            self._pass_on(now, request, heartbeat.machine, body, owner)
+            self._relay_or_redirect(now, request, heartbeat.machine, body, owner)
 
     def on_relayed(self, now: float, sender: str, frame: RelayedHeartbeat) -> None:
-        """A heartbeat that a worker sent to another member."""
+        """Answer a heartbeat that another member has relayed; a malformed one gets no answer."""
         heartbeat = decode(frame.body, WorkerHeartbeat)
         if heartbeat is not None:
             status, body = self._answer(now, heartbeat, True)
             self.out.send(sender, RelayedAnswer(frame.number, status, body))
 
-    def _pass_on(
+    def _relay_or_redirect(
         self, now: float, request: object, machine: str, body: bytes, owner: str | None
     ) -> None:
-        """Relay a heartbeat to the machine's owner, or tell its worker where to go."""
+        """Relay a heartbeat to the machine's owner, or redirect its worker to another member."""
         connected = owner is not None and self.peers.is_connected(now, owner)
         if owner is not None and connected and self.relay.should_relay(now, machine):
             self.relay.relay_heartbeat(now, request, body, owner)
             return
         if owner is not None and not connected:
-            # The worker would hardly fare better: another member may reach the owner.
+            # The worker probably can't reach the owner either, but another member may.
             owner = next(
                 (
                     peer
@@ -71,8 +71,11 @@
             )
         self.out.replies.append(Reply(request, 421, redirect_body(owner)))
 
-    def _owner_of_unowned(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
-        """Who should answer a machine that no member is known to own: the leader decides."""
+    def _find_owner(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
+        """The member that should answer a machine without a known owner; None if undecided.
+
+        The leader assigns the machine to a shard; other members name the leader.
+        """
         cluster_manager = self.leadership.cluster_manager
         if cluster_manager is not None:
             if not cluster_manager.ready or not self.election.has_authority(now):
@@ -84,12 +87,12 @@
         return leader if leader != self.member else None
 
     def _answer(self, now: float, heartbeat: WorkerHeartbeat, relayed: bool) -> tuple[int, bytes]:
-        """The status and body with which this member itself answers."""
-        route = self.grant_client.table.routes.get(heartbeat.machine)
+        """Answer a heartbeat as the machine's owner; return the HTTP status and the body."""
+        route = self.grant_client.routing_table.routes.get(heartbeat.machine)
         scheduler = self.grant_client.schedulers.get(route.shard) if route is not None else None
         if scheduler is None or not self.grant_client.has_authority(now):
             if self.leadership.cluster_manager is not None and route is None and relayed:
-                self._owner_of_unowned(now, heartbeat)
+                self._find_owner(now, heartbeat)
             return 421, redirect_body(None)
         answer = scheduler.worker_heartbeat(now, heartbeat, relayed)
         if answer is None:
--- a/src/copperpass/core/ports.py
+++ b/src/copperpass/core/ports.py
@@ -1,7 +1,7 @@
 """The core's output ports: HTTP calls, replies, frames and log records as plain values.
 
-The core does no I/O. It leaves values of these types in its `Outbox`; the reactor side
-(`copperpass.net`), or the tests' simulation, carries them out in the order in which they were left.
+The core does no I/O. It queues values of these types in its `Outbox`. The reactor side
+(`copperpass.net`) or the tests' simulation carries them out in the order in which they were queued.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from copperpass.log_events import LogEvent, LogLevel, LogRecord
 from copperpass.protocol.frames.messages import Frame
 
-# Statuses of a call without an HTTP response. Without an answer it may have been carried out, or
-# may still be. One that was not sent, because no connection could be made, never will be.
+# Statuses of a call without an HTTP response. After `NO_ANSWER` the service may have carried out
+# the call or may still do so. After `NOT_SENT` it never will, because no connection could be made.
 NO_ANSWER = 0
 NOT_SENT = -1
 
@@ -31,7 +31,8 @@
 class CallOutcome:
     """How a call ended: `status` is an HTTP status, `NO_ANSWER` or `NOT_SENT`.
 
-    The reactor side passes `NOT_SENT` on for workers only; for the others it is `NO_ANSWER`.
+    The reactor side reports `NOT_SENT` only for calls to workers; for other services it reports
+    `NO_ANSWER` instead.
     """
 
     status: int
@@ -46,8 +47,9 @@
 class Call:
     """An HTTP request to an external service.
 
-    `path` contains the query. `address` (`host:port`) is set for workers only: the settings name
-    the others'. Without a response after `timeout_s` seconds the call ends as `NO_ANSWER`.
+    `path` contains the query. `address` (`host:port`) is set only for calls to workers; the
+    settings name the addresses of the other services. Without a response within `timeout_s` seconds
+    the call ends as `NO_ANSWER`.
     """
 
     service: ExternalService
@@ -63,8 +65,8 @@
 class Reply:
     """The response to a request of a user or a worker.
 
-    `request` is the handle that came in with the request: the core returns it unexamined.
-    `retry_after` is the header of that name, in seconds.
+    `request` is the opaque handle that came with the request; the core returns it unchanged.
+    `retry_after` is the value of the `Retry-After` header in seconds; None to omit the header.
     """
 
     request: object
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Everything that the core has left to be carried out after an input, each kind in order."""
+    """Outputs of the core that are to be carried out after an input, each kind in order."""
 
     calls: list[Call] = field(default_factory=list)
     replies: list[Reply] = field(default_factory=list)
--- a/src/copperpass/core/shards/__init__.py
+++ b/src/copperpass/core/shards/__init__.py
@@ -1,5 +1,5 @@
-"""Which controller owns which shard of machines, from the leader's side and the owners'.
+"""Ownership of shards by controllers: the leader's side and the owners' side.
 
-Grants and assignments (`grants`, `grant_client`), the routing table and its replication, fencing
-tokens of machines, relayed heartbeats. Invariant: no shard has two owners at any moment.
+Covers grants and assignments (`grants`, `grant_client`), the routing table and its replication,
+machines' fencing tokens and relayed heartbeats. Invariant: a shard never has two owners at once.
 """
--- a/src/copperpass/core/shards/fencing_tokens.py
+++ b/src/copperpass/core/shards/fencing_tokens.py
@@ -1,16 +1,19 @@
 """The layout of machines' fencing tokens.
 
 The high bits hold the epoch of the leader's term, the middle bits the number of the machine's
-handover in that term, the low bits how often its owner has raised the token. So a later term's
-token is higher than every earlier one, and so is a later handover's.
+handover in that term, the low bits the number of times that its owner has raised the token. A token
+of a later term is therefore higher than every token of an earlier term, and within a term a token
+of a later handover is higher than every token of an earlier one.
 """
 
 from __future__ import annotations
 
+# Positions of the fields, in bits.
 EPOCH_SHIFT, HANDOVER_SHIFT = 40, 20
+# Handovers that one term has numbers for.
 MAX_HANDOVERS = 1 << (EPOCH_SHIFT - HANDOVER_SHIFT)
 
 
 def base_token(epoch: int, handover: int) -> int:
-    """The lowest token of a machine's handover."""
+    """Return the lowest token of a handover; the owner raises it from there."""
     return (epoch << EPOCH_SHIFT) + (handover << HANDOVER_SHIFT)
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -1,4 +1,4 @@
-"""The leader's side of the grants: who owns which shard, for how long, and how it is reassigned."""
+"""The leader's side of shard grants: assigns shards, extends grants and reassigns shards."""
 
 from __future__ import annotations
 
@@ -24,17 +24,18 @@
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.kvstore import TRANSACTION_PATH, TransactionApplied, transaction_body
 
-# A member counts as live for this part of a grant's length after its last request.
-LIVE_PER_GRANT = 0.75
-# For this part of a grant's length a new term waits for members whose heartbeats come in.
-SETTLING_PER_GRANT = 0.5
+# How long a member counts as live after its last grant request, in lengths of a grant.
+LIVENESS_GRANT_RATIO = 0.75
+# How long a new term holds back assignments for members whose heartbeats arrive but which have not
+# requested a grant yet, in lengths of a grant.
+SETTLING_GRANT_RATIO = 0.5
 
 
 class ShardGrants:
     """Assigns each shard to one live member at a time.
 
-    A shard without an owner is assigned again only when every grant to the last one has certainly
-    expired (`Shard.assignable_at`), and no grant outlasts the leader's own authority.
+    A shard without an owner is assigned again only after every grant to its last owner has
+    certainly expired (`Shard.assignable_at`). No grant outlasts the leader's own authority.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self.out, self.election = context.out, context.election
         self.previous_owners = context.previous_owners
         self.heartbeats_arrive = context.heartbeats_arrive
-        # Of the latest assignment; numbers the assignments of the term.
+        # Generation of the latest assignment; each assignment of the term gets the next number.
         self.generation = 0
         # When the leader last released a shard of its own.
         self.last_rebalanced_at = state.elected_at
@@ -52,7 +53,7 @@
     # -- extending grants -----------------------------------------------------------------
 
     def on_grant_request(self, now: float, sender: str, request: GrantRequest) -> Grant | None:
-        """A member asks to have its grants extended; None where this leader must not answer."""
+        """Extend a member's grants; None for a request of another term or without authority."""
         state = self.state
         if request.epoch != state.epoch or not self.election.has_authority(now):
             return None
@@ -78,10 +79,10 @@
     def _on_member_restart(
         self, now: float, sender: str, member: MemberState, incarnation: int
     ) -> ReplicationSender[MachineRoute]:
-        """A member has just started, or has just joined this term: it owns nothing."""
+        """Reset the state of a member that has restarted or joined this term: it owns no shard."""
         if member.incarnation not in (0, incarnation):
-            # Its old grants are waited out all the same: a request held back on an old connection
-            # looks just like a restart.
+            # Its shards stay unassigned until its old grants have expired, because a delayed
+            # request from an old connection looks the same as a restart.
             for shard in self.state.shards.values():
                 if shard.owner == sender:
                     self.revoke(shard, member.grants_expire_at)
@@ -91,11 +92,12 @@
         return replication
 
     def _extend(self, now: float, member_state: MemberState) -> float:
-        """Extend a member's grants; returns their length in seconds from now."""
-        # A grant never outlasts the authority behind it.
+        """Extend a member's grants; return their length in seconds from now."""
+        # A grant must not outlast the leader's authority.
         remaining = self.election.remaining_authority_s(now) * (1 - 2 * CLOCK_DRIFT)
         length = max(0.0, min(self.state.grant_s, remaining))
-        # Recorded whether or not it owns a shard: a later grant may add one to the same time.
+        # Recorded even if the member owns no shard: a later grant may assign one to it, which it
+        # then owns until the same time.
         member_state.grants_expire_at = max(
             member_state.grants_expire_at, now + length * (1 + 4 * CLOCK_DRIFT)
         )
@@ -104,7 +106,7 @@
         return length
 
     def expire(self, now: float) -> None:
-        """Revoke the shards whose grants have expired; read the revisions that are missing."""
+        """Revoke shards whose owner's grants have expired; read missing required revisions."""
         for shard in self.state.shards.values():
             member = self.state.members.get(shard.owner)
             if (
@@ -116,65 +118,70 @@
             if shard.owner and shard.required_revision == UNKNOWN_REVISION:
                 self._read_revision(shard)
 
-    def defer_until_previous_grants_end(self, previous: dict[str, MemberState]) -> None:
-        """Assign no shard while a grant of this leader's own earlier term may be valid."""
-        until = max(
+    def defer_until_previous_grants_end(self, previous_members: dict[str, MemberState]) -> None:
+        """Assign no shard while a grant of this leader's own previous term may be valid."""
+        last_expiry = max(
             (
-                state.grants_expire_at
-                for member, state in previous.items()
-                if member != self.state.member
+                member.grants_expire_at
+                for name, member in previous_members.items()
+                if name != self.state.member
             ),
             default=float("-inf"),
         )
         for shard in self.state.shards.values():
-            shard.assignable_at = max(shard.assignable_at, until)
+            shard.assignable_at = max(shard.assignable_at, last_expiry)
 
     # -- assigning and revoking -----------------------------------------------------------
 
     def assign_free_shards(self, now: float) -> None:
-        """Assign the shards without an owner to live members, those with the fewest first."""
+        """Assign each shard without an owner to the live member with the fewest shards."""
         state = self.state
-        live = self._live_members(now)
-        settling = now - state.elected_at < SETTLING_PER_GRANT * state.grant_s
+        live_members = self._live_members(now)
+        settling = now - state.elected_at < SETTLING_GRANT_RATIO * state.grant_s
         others_expected = any(
-            member not in live and self.heartbeats_arrive(now, member)
+            member not in live_members and self.heartbeats_arrive(now, member)
             for member in self.election.peers
         )
         if len(state.shards) > 1 and others_expected and settling:
-            # Members whose heartbeats arrive will request grants in a moment.
+            # Members whose heartbeats arrive are expected to request grants soon.
             return
         for shard in state.shards.values():
             if shard.owner or now < shard.assignable_at or not state.ready:
                 continue
-            self._assign(now, shard, self._choose_owner(shard, live))
+            self._assign(now, shard, self._choose_owner(shard, live_members))
 
     def _live_members(self, now: float) -> list[str]:
-        """The leader and the members that have requested grants of late."""
+        """The leader and the members that have requested a grant recently."""
         state = self.state
         return [
             name
             for name, member in state.members.items()
-            if name == state.member or now - member.last_request_at < LIVE_PER_GRANT * state.grant_s
+            if name == state.member
+            or now - member.last_request_at < LIVENESS_GRANT_RATIO * state.grant_s
         ]
 
-    def _choose_owner(self, shard: Shard, live: list[str]) -> str:
-        """The live member with fewest shards: others before the leader, the last owner first."""
+    def _choose_owner(self, shard: Shard, live_members: list[str]) -> str:
+        """Return the live member with the fewest shards.
+
+        Ties go to other members before the leader, then to the shard's last owner, then by name.
+        """
         state = self.state
         if len(state.shards) == 1:
             return state.member
         loads = {
-            member: sum(other.owner == member for other in state.shards.values()) for member in live
+            member: sum(other.owner == member for other in state.shards.values())
+            for member in live_members
         }
         previous = self.previous_owners.get(shard.number)
         return min(
-            live,
+            live_members,
             key=lambda member: (loads[member], member == state.member, member != previous, member),
         )
 
     def _assign(self, now: float, shard: Shard, owner: str) -> None:
         state = self.state
         self.generation += 1
-        # Reserved for the owner until it has had time to request its grant.
+        # Keep the shard reserved until the owner has had time to request its grant.
         member = state.members[owner]
         member.grants_expire_at = max(member.grants_expire_at, now + state.grant_s)
         shard.owner, shard.generation = owner, self.generation
@@ -192,7 +199,7 @@
         )
 
     def revoke(self, shard: Shard, assignable_at: float) -> None:
-        """Take a shard from its owner: every machine of it gets a higher token."""
+        """Take a shard from its owner; each of its machines gets a higher fencing token."""
         self.out.log(
             LogLevel.INFO, LogEvent.SHARD_UNASSIGNED, shard=shard.number, owner=shard.owner
         )
@@ -207,13 +214,13 @@
                 self.records.reassign(machine, shard.number, occupancy)
 
     def rebalance(self, now: float) -> None:
-        """Release a shard of the leader's own to a member that has none.
+        """Release one of the leader's own shards if a live member owns none.
 
-        The first member to lead may have all shards before the others have asked, and one that was
-        down comes back with none: without this the leader's processor would serve the whole fleet
-        for good. Only the leader's own shards can be reassigned at once, without waiting for a
-        grant's end; each reassignment has its cost, so it waits until every machine is reconciled,
-        or is done before any machine is up.
+        A new leader may own all shards before other members have requested grants, and a member
+        that was down comes back without a shard. Without rebalancing, the leader's processor would
+        then serve the whole fleet permanently. Only the leader's own shards can be reassigned at
+        once; other owners' grants would have to expire first. Each reassignment has a cost, so it
+        is done before any machine is up or else only when every registered machine is reconciled.
         """
         state = self.state
         own = [shard for shard in state.shards.values() if shard.owner == state.member]
@@ -233,7 +240,7 @@
             self.revoke(own[0], now)
 
     def _read_revision(self, shard: Shard) -> None:
-        """Read a revision that is certainly after all that the last owner can have acted on."""
+        """Read a store revision certainly later than any that the last owner can have acted on."""
         if shard.reading_revision:
             return
         shard.reading_revision, generation = True, shard.generation
--- a/src/copperpass/core/shards/owned_shards.py
+++ b/src/copperpass/core/shards/owned_shards.py
@@ -1,4 +1,4 @@
-"""The shards that a member owns in the followed term, with a scheduler for each."""
+"""The shards that a member owns in the followed term, with one scheduler per shard."""
 
 from __future__ import annotations
 
@@ -7,32 +7,34 @@
 from copperpass.core.autoscaling.state import UNKNOWN_REVISION
 from copperpass.core.scheduling.shard_scheduler import ShardScheduler
 from copperpass.core.shards.routing_table import RoutingTable
-from copperpass.core.shards.term import MakeScheduler
+from copperpass.core.shards.term import SchedulerFactory
 from copperpass.protocol.frames.messages import MachineRoute, ShardAssignment
 
 
 class OwnedShards:
-    """Makes, runs and ends the schedulers; each lives for one assignment of its shard."""
+    """Creates, runs and ends the schedulers; each serves one assignment of its shard."""
 
-    def __init__(self, member: str, make_scheduler: MakeScheduler, table: RoutingTable) -> None:
-        self.member, self.make_scheduler, self.table = member, make_scheduler, table
+    def __init__(
+        self, member: str, make_scheduler: SchedulerFactory, routing_table: RoutingTable
+    ) -> None:
+        self.member, self.make_scheduler, self.routing_table = member, make_scheduler, routing_table
         self.schedulers: dict[int, ShardScheduler] = {}
 
     def begin_term(self) -> None:
-        """The followed term has ended, and every ownership with it."""
+        """End all schedulers: this member's ownership of shards ends with the followed term."""
         for scheduler in self.schedulers.values():
             scheduler.ended = True
         self.schedulers = {}
 
     def on_route(self, now: float, route: MachineRoute) -> None:
-        """A route has been replicated."""
+        """Pass a replicated route to every scheduler."""
         for scheduler in self.schedulers.values():
             scheduler.on_route(now, route)
 
     def apply_assignments(self, now: float, assignments: Iterable[ShardAssignment]) -> None:
-        """End the schedulers of shards that were reassigned, make those of new shards."""
-        self.table.apply_assignments(assignments)
-        current = self.table.assignments
+        """End the schedulers of reassigned shards and create those of newly assigned shards."""
+        self.routing_table.apply_assignments(assignments)
+        current = self.routing_table.assignments
         for shard, scheduler in list(self.schedulers.items()):
             assignment = current.get(shard)
             if (
@@ -48,7 +50,7 @@
             owned = self.schedulers.get(shard)
             if owned is None:
                 owned = self.schedulers[shard] = self.make_scheduler(assignment)
-                for route in self.table.routes.values():
+                for route in self.routing_table.routes.values():
                     owned.on_route(now, route)
             owned.required_revision = assignment.required_revision
 
@@ -57,10 +59,11 @@
     ) -> None:
         """Run the schedulers.
 
-        One begins once the watch cache and the routes have caught up with its assignment.
+        A scheduler begins once the watch cache and the replicated routes have caught up with the
+        revision and the sequence number that its assignment requires.
         """
         for shard, scheduler in self.schedulers.items():
-            assignment = self.table.assignments[shard]
+            assignment = self.routing_table.assignments[shard]
             if (
                 not scheduler.ready
                 and assignment.required_revision != UNKNOWN_REVISION
--- a/src/copperpass/core/shards/partitioning.py
+++ b/src/copperpass/core/shards/partitioning.py
@@ -1,4 +1,4 @@
-"""Which shard each team's jobs and machines belong to."""
+"""Assignment of teams, with their jobs and machines, to shards."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from copperpass.tuning import Tuning
 
 
-def shards_of(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
-    """The shard of each team: one each, or one for all where a controller can carry them.
+def shards_by_team(cluster: Cluster, tuning: Tuning) -> dict[str, int]:
+    """Return the shard of each team: one for all teams if one controller can serve them.
 
-    Partitioning costs capacity, since a machine serves one shard at a time; it pays where the
-    teams' guarantees are more than one controller's processor should command.
+    Otherwise each team gets its own, up to `MAX_SHARDS`; beyond that teams share shards.
+    Partitioning costs capacity, since a machine serves one shard at a time. It pays only where the
+    teams' guaranteed CPUs exceed what one controller's processor should manage.
     """
     guaranteed = sum(team.cpus for team in cluster.teams)
     partitioned = guaranteed > tuning.part_cpus_per_core * cluster.resources.cores
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -1,9 +1,10 @@
 """Relaying of workers' heartbeats to the member that owns their machine.
 
-A worker that comes for the first time may have lost its way to the owner (a network partition
-between two zones can outlast a lease): its heartbeat is relayed over the link between controllers
-and the owner's answer returned, which renews its lease. Its next heartbeat is redirected. If it
-comes back soon after that, it can't reach the owner, and its heartbeats are relayed from then on.
+A worker whose heartbeat arrives here for the first time may be cut off from its owner (a network
+partition between two zones can outlast a lease). The heartbeat is relayed over the link between
+controllers, and the owner's answer, which renews the worker's lease, is returned to the worker. The
+worker's next heartbeat is redirected to the owner. If the worker comes back soon after that, it
+can't reach the owner, and its heartbeats are relayed for `RELAY_DURATION_LEASES`.
 """
 
 from __future__ import annotations
@@ -15,15 +16,16 @@
 from copperpass.protocol.frames.messages import RelayedAnswer, RelayedHeartbeat
 from copperpass.protocol.json_codec import error_body
 
-# For so many leases the heartbeats of a worker that can't reach its owner are relayed.
-RELAY_LEASES = 3
-# A worker that hasn't come for longer than that is forgotten: bounded by the fleet, not by a count.
-FORGET_LEASES = RELAY_LEASES + 1
+# How long the heartbeats of a worker that can't reach its owner are relayed, in worker leases.
+RELAY_DURATION_LEASES = 3
+# How long a worker is remembered after its last heartbeat, in worker leases. The size of the fleet
+# bounds the number of remembered workers, so there is no other limit on it.
+RETENTION_LEASES = RELAY_DURATION_LEASES + 1
 
 
 @dataclass(slots=True)
 class RelayedWorker:
-    """A worker whose heartbeats arrive here although another member owns its machine."""
+    """A worker that sends its heartbeats here although another member owns its machine."""
 
     last_heartbeat_at: float
     redirected: bool = False
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRelay:
-    """A relayed heartbeat whose answer hasn't come: the worker's request, and how long it waits."""
+    """A relayed heartbeat without an answer so far: the worker's request and its deadline."""
 
     request: object
     deadline: float
@@ -41,18 +43,18 @@
 class HeartbeatRelay:
     """Relays heartbeats to owners and returns their answers.
 
-    `pending` is in the order of the deadlines, `workers` in that of the last heartbeats. Times are
-    in seconds.
+    `pending` is ordered by deadline, `workers` by the time of the last heartbeat. Times are in
+    seconds.
     """
 
     def __init__(self, out: Outbox, lease_s: float, timeout_s: float) -> None:
         self.out, self.lease_s, self.timeout_s = out, lease_s, timeout_s
         self.workers: OrderedDict[str, RelayedWorker] = OrderedDict()
         self.pending: OrderedDict[int, PendingRelay] = OrderedDict()
-        self.last_number = 0
+        self.last_relay_number = 0
 
     def should_relay(self, now: float, machine: str) -> bool:
-        """Whether a machine's heartbeat is to be relayed rather than redirected."""
+        """Record a machine's heartbeat; return whether to relay it rather than redirect it."""
         worker = self.workers.get(machine)
         if worker is None or now - worker.last_heartbeat_at > self.lease_s:
             self.workers[machine] = RelayedWorker(now)
@@ -62,27 +64,27 @@
         self.workers.move_to_end(machine)
         if worker.redirected:
             worker.redirected = False
-            worker.relay_until = now + RELAY_LEASES * self.lease_s
+            worker.relay_until = now + RELAY_DURATION_LEASES * self.lease_s
         if now < worker.relay_until:
             return True
         worker.redirected = True
         return False
 
     def relay_heartbeat(self, now: float, request: object, body: bytes, owner: str) -> None:
-        """Relay a heartbeat to the owner; the request is answered later."""
-        self.last_number = (self.last_number + 1) & 0xFFFFFFFF
-        self.pending[self.last_number] = PendingRelay(request, now + self.timeout_s)
-        self.out.send(owner, RelayedHeartbeat(self.last_number, body))
+        """Relay a heartbeat to the owner; the request is answered by `on_answer` or `tick`."""
+        self.last_relay_number = (self.last_relay_number + 1) & 0xFFFFFFFF
+        self.pending[self.last_relay_number] = PendingRelay(request, now + self.timeout_s)
+        self.out.send(owner, RelayedHeartbeat(self.last_relay_number, body))
 
     def on_answer(self, frame: RelayedAnswer) -> None:
-        """Return the owner's answer; one that comes after the deadline is dropped."""
+        """Return the owner's answer to the worker; drop it if it comes after the deadline."""
         pending = self.pending.pop(frame.number, None)
         if pending is not None:
             self.out.replies.append(Reply(pending.request, frame.status, frame.body))
 
     def tick(self, now: float) -> None:
-        """Answer the requests whose deadline has passed; forget workers that stay away."""
-        self._forget_workers(now)
+        """Answer requests whose deadline has passed; forget workers without recent heartbeats."""
+        self._remove_inactive_workers(now)
         while self.pending:
             number, pending = next(iter(self.pending.items()))
             if now < pending.deadline:
@@ -90,10 +92,10 @@
             del self.pending[number]
             self.out.replies.append(Reply(pending.request, 503, error_body("not reached")))
 
-    def _forget_workers(self, now: float) -> None:
-        """Forget the workers that haven't come for longer than their state matters."""
+    def _remove_inactive_workers(self, now: float) -> None:
+        """Forget workers whose last heartbeat is older than `RETENTION_LEASES`."""
         while self.workers:
             worker = next(iter(self.workers.values()))
-            if now - worker.last_heartbeat_at <= FORGET_LEASES * self.lease_s:
+            if now - worker.last_heartbeat_at <= RETENTION_LEASES * self.lease_s:
                 break
             self.workers.popitem(last=False)
--- a/src/copperpass/core/shards/replication.py
+++ b/src/copperpass/core/shards/replication.py
@@ -1,8 +1,8 @@
 """Replication of keyed logs between controllers, over links that lose, delay and repeat frames.
 
-The leader replicates its routes to the members, an owner the statuses of its machines to the
-leader. Both logs hold one entry a machine, and only the newest counts; so what was lost is sent
-again until it is acknowledged, and a repeated or late batch changes nothing.
+The leader replicates its routes to the members; each owner replicates the statuses of its machines
+to the leader. A log holds one entry per machine, and only the newest entry counts. Lost entries are
+therefore sent again until they are acknowledged, and a repeated or late batch has no effect.
 """
 
 from __future__ import annotations
@@ -10,64 +10,66 @@
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
 
-class Named(Protocol):
-    """What is keyed by a machine's name."""
+class MachineEntry(Protocol):
+    """A log entry, keyed by a machine's name."""
 
     @property
     def name(self) -> str:
-        """The machine's name."""
+        """The machine's name, the key of the entry."""
 
 
-T = TypeVar("T", bound=Named)
+EntryT = TypeVar("EntryT", bound=MachineEntry)
 
 
-class Batch(NamedTuple, Generic[T]):
-    """Consecutive entries of a log: those after one sequence number, up to another."""
+class Batch(NamedTuple, Generic[EntryT]):
+    """The entries of a log after `after_sequence`, up to and including `last_sequence`."""
 
     after_sequence: int
     last_sequence: int
-    entries: list[T]
+    entries: list[EntryT]
 
 
-class ReplicationLog(Generic[T]):
+class ReplicationLog(Generic[EntryT]):
     """The newest entry for each machine, in the order of their sequence numbers."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, tuple[int, T]] = {}
+        self.entries: dict[str, tuple[int, EntryT]] = {}
         self.last_sequence = 0
 
-    def put(self, entry: T) -> bool:
-        """Set a machine's entry; returns whether that changed anything."""
-        present = self.entries.get(entry.name)
-        if present is not None and present[1] == entry:
+    def put(self, entry: EntryT) -> bool:
+        """Set a machine's entry; return False if it is the same as before."""
+        existing = self.entries.get(entry.name)
+        if existing is not None and existing[1] == entry:
             return False
         self.last_sequence += 1
-        # Dictionaries keep the order of insertion: the newest stays last.
+        # Insert the entry anew: a dictionary keeps insertion order, so the newest entry is last.
         self.entries.pop(entry.name, None)
         self.entries[entry.name] = (self.last_sequence, entry)
         return True
 
-    def after(self, sequence: int, limit: int) -> Batch[T]:
+    def after(self, sequence: int, limit: int) -> Batch[EntryT]:
         """Up to `limit` entries newer than a sequence number, oldest first."""
-        newer: list[tuple[int, T]] = []
-        # The newest stand last: what a receiver has already is not gone over.
-        for numbered in reversed(self.entries.values()):
-            if numbered[0] <= sequence:
+        newer: list[tuple[int, EntryT]] = []
+        # The newest entries are last, so the scan skips those that the receiver already has.
+        for numbered_entry in reversed(self.entries.values()):
+            if numbered_entry[0] <= sequence:
                 break
-            newer.append(numbered)
+            newer.append(numbered_entry)
         newer.reverse()
         last = self.last_sequence if len(newer) <= limit else newer[limit - 1][0]
         return Batch(sequence, max(sequence, last), [entry for _, entry in newer[:limit]])
 
 
-class ReplicationSender(Generic[T]):
-    """Tracks what one receiver has acknowledged, and makes the batches to send it.
+class ReplicationSender(Generic[EntryT]):
+    """Tracks what one receiver has acknowledged and creates the batches to send to it.
 
-    Sends again from the last acknowledged entry when `max_unchanged_acknowledgements` in a row
-    have brought no progress.
+    Resends from the last acknowledged entry after `max_unchanged_acknowledgements` acknowledgements
+    in a row without progress.
     """
 
-    def __init__(self, log: ReplicationLog[T], max_unchanged_acknowledgements: int = 3) -> None:
+    def __init__(
+        self, log: ReplicationLog[EntryT], max_unchanged_acknowledgements: int = 3
+    ) -> None:
         self.log = log
         self.max_unchanged_acknowledgements = max_unchanged_acknowledgements
         self.acknowledged_sequence = 0
@@ -76,11 +78,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether the log has entries that were not sent yet."""
+        """Whether the log has entries that are not sent yet or are to be sent again."""
         return self.sent_sequence < self.log.last_sequence
 
     def on_acknowledged(self, sequence: int) -> None:
-        """The receiver has every entry up to a sequence number."""
+        """Process an acknowledgement: the receiver has every entry up to `sequence`."""
         if sequence > self.acknowledged_sequence or sequence >= self.sent_sequence:
             self.acknowledged_sequence = max(self.acknowledged_sequence, sequence)
             self.sent_sequence = max(self.sent_sequence, self.acknowledged_sequence)
@@ -91,15 +93,15 @@
             self.sent_sequence = self.acknowledged_sequence
             self.unchanged_acknowledgements = 0
 
-    def next_batch(self, limit: int) -> Batch[T]:
-        """The next entries to send, at most `limit` of them."""
+    def next_batch(self, limit: int) -> Batch[EntryT]:
+        """Return the next entries to send, at most `limit`, and count them as sent."""
         batch = self.log.after(self.sent_sequence, limit)
         self.sent_sequence = batch.last_sequence
         return batch
 
 
 class ReplicationReceiver:
-    """Accepts batches in order, without gaps."""
+    """Accepts batches in order and without gaps."""
 
     def __init__(self) -> None:
         self.applied_sequence = 0
@@ -107,9 +109,10 @@
     def accept(self, after_sequence: int, last_sequence: int) -> bool:
         """Whether a batch may be applied now; if so, it counts as applied.
 
-        One that brings nothing beyond what is there may be a late one, held back on an old
-        connection: its entries may be older than those that have come since. A batch that reaches
-        further was made when all that is there was known, so whatever it holds is newer.
+        A batch that does not go beyond the applied sequence may have been delayed on an old
+        connection, so that its entries may be older than those received since. A batch that does go
+        beyond it was created when the sender's log held everything applied here, so its entries are
+        at least as new.
         """
         if after_sequence > self.applied_sequence or last_sequence <= self.applied_sequence:
             return False
--- a/src/copperpass/core/shards/routing_table.py
+++ b/src/copperpass/core/shards/routing_table.py
@@ -1,4 +1,4 @@
-"""Routes to machines and owners of shards, as a member knows them."""
+"""A member's view of the routes to machines and the owners of shards."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RoutingTable:
-    """Routes and assignments of the followed term, beside what earlier terms left behind.
+    """Routes and assignments of the followed term, and the last known ones of earlier terms.
 
     `previous_routes` and `previous_owners` are kept until a later term replaces them: a member
     that wins the next election starts from them.
@@ -21,7 +21,7 @@
         self.previous_owners: dict[int, str] = {}
 
     def begin_term(self) -> None:
-        """The followed term has ended: its routes and assignments are those of an earlier one."""
+        """Begin another term: the current routes and assignments become those of an earlier one."""
         self.previous_routes = self.latest_routes()
         self.previous_owners = self.latest_owners()
         self.routes, self.assignments = {}, {}
@@ -39,16 +39,16 @@
         self.assignments = {assignment.shard: assignment for assignment in assignments}
 
     def latest_routes(self) -> dict[str, MachineRoute]:
-        """The last known route of each machine, of whichever term."""
+        """The last known route of each machine, from any term."""
         return {**self.previous_routes, **self.routes}
 
     def latest_owners(self) -> dict[int, str]:
-        """The last known owner of each shard, of whichever term."""
+        """The last known owner of each shard, from any term."""
         owners = {shard: assignment.member for shard, assignment in self.assignments.items()}
         return {**self.previous_owners, **owners}
 
     def owner_of(self, machine: str) -> str | None:
-        """The member that owns a machine's shard; None where that is not known."""
+        """The member that owns a machine's shard in the followed term; None if unknown."""
         route = self.routes.get(machine)
         assignment = self.assignments.get(route.shard) if route is not None else None
         return assignment.member if assignment is not None else None
--- a/src/copperpass/core/shards/term.py
+++ b/src/copperpass/core/shards/term.py
@@ -1,4 +1,4 @@
-"""What the parts of a grant client share: what a node gives it, and the term it follows."""
+"""State that the parts of a grant client share: the node's context and the followed term."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     ZoneAffinities,
 )
 
-MakeScheduler = Callable[[ShardAssignment], ShardScheduler]
+SchedulerFactory = Callable[[ShardAssignment], ShardScheduler]
 
 
-def _always() -> float:
+def _never_expires() -> float:
     return float("inf")
 
 
@@ -28,27 +28,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GrantClientContext:
-    """What a node gives to its grant client; the same for the life of the process."""
+    """Settings and collaborators of a grant client; constant for the life of the process."""
 
     member: str
-    # Tells this run of the member from its earlier ones.
+    # Distinguishes this process of the member from its earlier ones.
     incarnation: int
-    # Lengths in seconds: of a grant, and between reports of the capacity that is missing.
+    # In seconds: the length of a grant, and the time between capacity requests.
     grant_s: float
     capacity_interval_s: float
     out: Outbox
-    make_scheduler: MakeScheduler
-    # Until when this member's watch cache counts as current enough to own shards.
-    watch_cache_valid_until: Callable[[], float] = _always
-    # Whether a member is certainly of this version or a later one.
+    make_scheduler: SchedulerFactory
+    # The time until which this member's watch cache is current enough to own shards, in seconds.
+    watch_cache_valid_until: Callable[[], float] = _never_expires
+    # Whether a member certainly runs this version or a later one.
     is_upgraded: Callable[[str], bool] = _never_upgraded
 
 
 @dataclass(frozen=True, slots=True)
 class FollowedTerm:
-    """The leader's term that a member follows, and the way to its leader.
+    """The leader's term that a member follows; sends the member's reports to its leader.
 
-    `leader` is empty while none is followed; `cluster_manager` is there if this member leads.
+    `leader` is empty while no term is followed. `cluster_manager` is set if this member is the
+    leader: reports are then handed over directly, without frames.
     """
 
     epoch: int
@@ -58,7 +59,7 @@
     def send_statuses(
         self, now: float, context: GrantClientContext, frame: MachineStatusUpdates
     ) -> None:
-        """Report statuses of machines to the leader."""
+        """Report machine statuses to the leader."""
         if self.cluster_manager is None:
             context.out.send(self.leader, frame)
         else:
@@ -67,14 +68,14 @@
     def send_capacity_requests(
         self, now: float, context: GrantClientContext, frame: CapacityRequests
     ) -> None:
-        """Report to the leader which tasks lack capacity."""
+        """Report the tasks that lack capacity to the leader."""
         if self.cluster_manager is None:
             context.out.send(self.leader, frame)
         else:
             self.cluster_manager.on_capacity_requests(now, frame)
 
     def send_zone_affinities(self, context: GrantClientContext, frame: ZoneAffinities) -> None:
-        """Report zone affinities; leaders of earlier versions don't know the frame."""
+        """Report zone affinities, unless the leader may run a version without this frame."""
         if self.cluster_manager is not None:
             self.cluster_manager.on_zone_affinities(frame)
         elif context.is_upgraded(self.leader):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -9,7 +9,7 @@
 from copperpass.core.autoscaling.scale_out_plan import MAX_MACHINES_PER_CALL, max_machines_per_plan
 from copperpass.core.ports import Outbox
 from copperpass.core.shards.fencing_tokens import MAX_HANDOVERS, base_token
-from copperpass.core.shards.partitioning import shards_of
+from copperpass.core.shards.partitioning import shards_by_team
 from copperpass.core.shards.relay import HeartbeatRelay
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.format import MAX_REQUESTS_PER_FRAME
@@ -94,7 +94,7 @@
 def test_more_teams_than_shards_share_them():
     cluster = parse(raw_settings(deployment=LARGE)).cluster
     cluster.teams = [Team(f"team-{n}", 10_000.0, 0.0) for n in range(600)]
-    shards = shards_of(cluster, Tuning())
+    shards = shards_by_team(cluster, Tuning())
     assert max(shards.values()) == MAX_SHARDS - 1 < NO_SHARD
     share = ShardAssignment(MAX_SHARDS - 1, "n0", 1, 2)
     grant = Grant(1, 2, 3, 400, 5, False, 6, (share,) * MAX_SHARDS)
