--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -227,7 +227,7 @@
             transactions=self.transactions,
             jobs=self.jobs,
             types=self.machine_types.types,
-            versions=self.completion_versions,
+            completion_versions=self.completion_versions,
             shard=assignment.shard,
             shards=self.shards,
             epoch=client.epoch,
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -1,4 +1,4 @@
-"""Collaborators, identity and timings that the parts of a shard's scheduler share."""
+"""Collaborators, identity and timings shared by the components of a shard's scheduler."""
 
 from __future__ import annotations
 
@@ -20,80 +20,82 @@
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
-# The images that each machine has, with their sizes in GB; kept beyond a shard assignment.
+# Sizes in GB of the images cached on each machine, by machine and image, least recently used first.
+# Kept when a shard assignment ends.
 Images = dict[str, "OrderedDict[str, float]"]
 
 
-def _never() -> float:
+def _never_consistent() -> float:
     return float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerContext:
-    """The collaborators and identity of the scheduler of one shard assignment."""
+    """Collaborators and identity of the scheduler of one shard assignment."""
 
     cluster: Cluster
     out: Outbox
     transactions: TransactionQueue
     jobs: JobTable
     types: dict[str, MachineType]
-    versions: dict[str, int]
-    # The shard that is scheduled, and the shard of each team.
+    # Versions of the stored completion pages, by key; the node keeps them up to date.
+    completion_versions: dict[str, int]
+    # The shard of this scheduler, and the shard of every team.
     shard: int
     shards: dict[str, int]
     epoch: int
     generation: int
     token_version: Callable[[], int]
-    # Whether this member still owns the shard at a moment.
+    # Whether this member owns the shard at a given time.
     has_authority: Callable[[float], bool]
     tuning: Tuning = field(default_factory=Tuning)
     images: Images = field(default_factory=dict)
-    # The watch cache has every change that was confirmed before this moment.
-    consistent_at: Callable[[], float] = _never
+    # The watch cache contains every change that was confirmed before the returned time.
+    consistent_at: Callable[[], float] = _never_consistent
 
     def schedules_team(self, team: str) -> bool:
-        """Whether a team belongs to this shard; unknown teams count as belonging to it."""
+        """Whether a team belongs to this shard; an unknown team counts as one that does."""
         return self.shards.get(team, self.shard) == self.shard
 
 
 @dataclass(slots=True)
 class Timing:
-    """Times in seconds that follow from the settings; all but `boot_s` are constant."""
+    """Durations in seconds, derived from the settings; all but `boot_s` are constant."""
 
     heartbeat_interval_s: float
-    # A worker that has had no answer for this long has certainly ended its tasks.
+    # A worker that has received no answer for this long has certainly ended its tasks.
     lease_s: float
-    # For this long an owner of the term before may still answer workers.
-    overlap_s: float
+    # How long an owner from the previous term may still answer workers.
+    ownership_overlap_s: float
     # A machine without a heartbeat for this long gets no new tasks.
     heartbeat_timeout_s: float
-    # A worker whose controller is unreachable has found another one after this long at most: to
-    # delete its machine sooner would lose its tasks.
+    # Upper bound on the time that a worker takes to find another controller when its own is
+    # unreachable. Deleting its machine sooner would lose its tasks.
     unreachable_timeout_s: float
-    # The longest boot of any machine type; the node updates it with the machine types.
+    # Longest boot time of any machine type; the node updates it when the machine types change.
     boot_s: float
     gang_stop_deadline_s: float
     gang_wait_s: float
 
     @classmethod
-    def of(cls, context: SchedulerContext) -> Timing:
-        """The times for one scheduler."""
+    def from_context(cls, context: SchedulerContext) -> Timing:
+        """Derive the durations from the cluster settings, the tuning and the machine types."""
         cluster, workers = context.cluster, context.cluster.workers
         heartbeat_interval_s = workers.heartbeat_interval_s
         heartbeat_timeout_s = context.tuning.silence_reports * heartbeat_interval_s
         # A leader of an older version that resigns, or is re-elected at once, deletes its key
-        # before its grants have expired: an owner of that term that has no event of it yet may
-        # answer workers for the duration of a grant.
-        partitioned = len(set(context.shards.values())) > 1
-        rerouted_s = 1.25 * heartbeat_interval_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
+        # before its grants have expired. An owner of that term that has not received the deletion
+        # event yet may answer workers for the duration of a grant.
+        has_several_shards = len(set(context.shards.values())) > 1
+        failover_s = 1.25 * heartbeat_interval_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
             heartbeat_interval_s=heartbeat_interval_s,
             lease_s=worker_lease_expiry_s(cluster),
-            overlap_s=GRANT_TTL_RATIO * election_timings(cluster).leader_ttl_s
-            if partitioned
+            ownership_overlap_s=GRANT_TTL_RATIO * election_timings(cluster).leader_ttl_s
+            if has_several_shards
             else 0.0,
             heartbeat_timeout_s=heartbeat_timeout_s,
-            unreachable_timeout_s=max(1.5 * heartbeat_timeout_s, rerouted_s),
+            unreachable_timeout_s=max(1.5 * heartbeat_timeout_s, failover_s),
             boot_s=longest_boot(context.types),
             gang_stop_deadline_s=workers.gang_stop_deadline_s,
             gang_wait_s=workers.gang_wait_s or 2 * workers.lease_s,
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -56,7 +56,7 @@
         smallest_cpus = min(job.spec.cpus for job in waiting)
         requests = []
         self.zone_affinities.clear()
-        requested_cpus = {team: state.quota_usage.of(team)[0] for team in state.by_team}
+        requested_cpus = {team: state.quota_usage.of(team)[0] for team in state.teams_by_name}
         for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
             # Tasks that may be running on machines without a heartbeat yet need no machines.
             if not self.is_startable(job, now, unreported_kinds):
@@ -98,7 +98,7 @@
         gang, so it needs no machines.
         """
         spec, count = job.spec, job.pending_count()
-        free_quota = self.state.by_team[spec.team].cpus_limit - requested_cpus[spec.team]
+        free_quota = self.state.teams_by_name[spec.team].cpus_limit - requested_cpus[spec.team]
         if len(job.failed_on) >= FAILED_MACHINES and not spec.gang:
             # Probably it has a mistake; but it must find capacity for retries while it is not
             # cancelled.
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -183,7 +183,7 @@
             and not urgency.starving
         ):
             used = used.plus(reservation.cpus, reservation.gpus)
-        return exceeds_limit(self.state.by_team[spec.team], used, spec.cpus, spec.gpus)
+        return exceeds_limit(self.state.teams_by_name[spec.team], used, spec.cpus, spec.gpus)
 
     def _reserve_quota(self, job: Job, urgency: Urgency) -> None:
         """Reserve quota under its team's limit for a large task.
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -35,7 +35,7 @@
         are not proven gone. `started_on` lists the machines that the round has started tasks on.
         """
         spec, count = job.spec, len(job.unassigned())
-        team = self.state.by_team[spec.team]
+        team = self.state.teams_by_name[spec.team]
         if exceeds_limit(team, used, count * spec.cpus, count * spec.gpus):
             return None
         if self._has_earlier_attempt(job):
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -119,7 +119,9 @@
         and the next change of leader too.
         """
         state, timing = self.state, self.state.timing
-        unanswered_s = now - max(machine.last_answer_at - timing.overlap_s, state.owned_since)
+        unanswered_s = now - max(
+            machine.last_answer_at - timing.ownership_overlap_s, state.owned_since
+        )
         unreachable = (
             machine.name in state.unreconciled
             and unanswered_s > timing.unreachable_timeout_s
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -31,7 +31,7 @@
                 job_table=context.jobs,
                 transactions=context.transactions,
                 token_version=context.token_version,
-                versions=context.versions,
+                versions=context.completion_versions,
                 shard=context.shard,
                 page_bytes=RECORD_FILL_RATIO * limits.least_value_bytes,
                 interval_s=max(
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -101,7 +101,7 @@
             machine.registered_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif route.recorded and route.occupancy != Occupancy.EMPTY:
             # An earlier owner may have answered the worker up to this moment, or may yet.
-            machine.last_answer_at = now + self.state.timing.overlap_s
+            machine.last_answer_at = now + self.state.timing.ownership_overlap_s
             self.state.unreconciled.add(route.name)
         return machine
 
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -86,7 +86,7 @@
         under_guarantee = (
             bool(over_guarantee - {spec.team})
             and state.slos.guarantee_target_s is not None
-            and fits_within(used_cpus + spec.cpus, state.by_team[spec.team].cpus)
+            and fits_within(used_cpus + spec.cpus, state.teams_by_name[spec.team].cpus)
         )
         return Preemptor(job, slack_s, under_guarantee)
 
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of one shard of teams: from heartbeats and job changes to commands for workers.
+"""Scheduler of one shard of teams: turns heartbeats and job changes into commands for workers.
 
-The work is done by the parts in `core.scheduling`; this module wires them, and is their only
-interface to the node, the grant client and the user API.
+This module wires the components in `core.scheduling`, which do the work. The node, the grant client
+and the user API access them only through it.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 
 
 class ShardScheduler:
-    """Schedules the tasks of one shard on its machines, for the time of one shard assignment.
+    """Schedules the tasks of one shard on its machines, for the duration of one shard assignment.
 
-    Moments (`now`) are of the steady clock, in seconds.
+    Times (`now`) are seconds of the monotonic clock.
     """
 
     def __init__(self, context: SchedulerContext, *, revision: int, now: float) -> None:
@@ -61,7 +61,7 @@
         self.demand = Demand(context, state, reservations)
         self.dispatcher = Dispatcher(self._dispatch_parts(tasks, reservations), now)
         self.next_scan_at = now
-        # References that never change, for the node, the grant client and the tests.
+        # Constant references, used by the node, the grant client and the tests.
         self.shard, self.generation, self.has_authority = (
             context.shard,
             context.generation,
@@ -70,7 +70,7 @@
         self.machines: dict[str, Machine] = state.machines
         self.unreconciled: set[str] = state.unreconciled
         self.quota_usage: QuotaUsage = state.quota_usage
-        self.by_team: dict[str, Team] = state.by_team
+        self.teams_by_name: dict[str, Team] = state.teams_by_name
         self.timing: Timing = state.timing
         self.zone_affinities: dict[str, str] = self.demand.zone_affinities
         self.completions: CompletionStore = self.results.completions
@@ -78,7 +78,7 @@
             job.reset_tasks()
 
     def _dispatch_parts(self, tasks: TaskLifecycle, reservations: Reservations) -> DispatchParts:
-        """What the dispatcher works with."""
+        """Collect the components that the dispatcher needs."""
         state = self.state
         placement = PlacementParts(
             state=state,
@@ -97,13 +97,13 @@
     # -- events ------------------------------------------------------------------------
 
     def on_watch_synced(self, now: float) -> None:
-        """The watch cache has caught up: a job that is not in it has completed."""
+        """Match tasks with jobs: a job missing from the synced watch cache has completed."""
         self.state.ready = True
         self.reconciler.match_jobs()
         self.state.dirty = True
 
     def on_route(self, now: float, route: MachineRoute) -> None:
-        """The leader has replicated a route of a machine."""
+        """Apply a machine's route that the leader has replicated."""
         self.ownership.on_route(now, route)
 
     def worker_heartbeat(
@@ -111,22 +111,25 @@
     ) -> HeartbeatAnswer | None:
         """Handle a worker's heartbeat; None if it must not be answered with 200.
 
-        `relayed`: another controller forwarded it, since its worker can't reach this one.
+        `relayed`: another controller forwarded it because the worker can't reach this one.
         """
         return self.heartbeats.on_heartbeat(now, heartbeat, relayed)
 
     def on_job_completed(self, now: float, job: Job) -> None:
-        """The job's record is deleted: no task of it may start, and all of them are stopped."""
+        """Stop all tasks of a job whose record is deleted, and start no more of them."""
         self.results.on_job_completed(now, job)
 
     def on_job_cancelled(self, now: float, job: Job) -> None:
-        """A job's cancellation is stored, though the watch cache may lag behind: stop its tasks."""
+        """Stop the tasks of a job whose cancellation is stored; the watch cache may lag behind."""
         self.results.on_job_cancelled(now, job)
 
     # -- time --------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Run what is due: the scan, probes, batched completions, a dispatch round."""
+        """Run the scan, probes, batched completion writes and a dispatch round, each when due.
+
+        Does nothing before the watch cache is synced, or without authority over the shard.
+        """
         if not self.state.ready or not self.context.has_authority(now):
             return
         if now >= self.next_scan_at:
@@ -139,23 +142,23 @@
             self.dispatch_round(now)
 
     def scan(self, now: float) -> None:
-        """Check for expired worker leases, unresponsive machines and completions to be stored."""
+        """Check for expired worker leases, unresponsive machines and unstored completions."""
         self.heartbeat_timeouts.scan(now)
         self.results.store_outstanding(now)
         self.state.dirty = True
 
     def dispatch_round(self, now: float) -> None:
-        """One dispatch round."""
+        """Run a dispatch round at once, also if none is due."""
         self.dispatcher.run_round(now)
 
     # -- reports to the leader ---------------------------------------------------------
 
     def statuses(self, now: float) -> list[MachineStatus]:
-        """The statuses to report: changed ones, and those of released machines."""
+        """Return the changed machine statuses, and those of released machines."""
         return self.ownership.statuses(now)
 
     def capacity_requests(self, now: float) -> list[PendingTasks]:
-        """Pending tasks that the machines have no capacity for in time."""
+        """Return the pending tasks for which the machines will not have capacity in time."""
         return self.demand.capacity_requests(now)
 
     # -- state for the node and the grant client -----------------------------------------
@@ -167,7 +170,7 @@
 
     @property
     def dirty(self) -> bool:
-        """Whether something has changed that a dispatch round must consider."""
+        """Whether a change requires another dispatch round."""
         return self.state.dirty
 
     @dirty.setter
@@ -176,7 +179,7 @@
 
     @property
     def last_heartbeat_at(self) -> float:
-        """When a worker last sent a heartbeat that proves connectivity in both directions."""
+        """When a heartbeat last proved connectivity with a worker in both directions."""
         return self.state.last_heartbeat_at
 
     @property
@@ -190,7 +193,7 @@
 
     @property
     def required_revision(self) -> int:
-        """The revision after which created jobs were not started by an earlier owner."""
+        """Jobs created after this revision were not started by an earlier owner of the shard."""
         return self.state.required_revision
 
     @required_revision.setter
@@ -199,7 +202,7 @@
 
     @property
     def on_demand_excess(self) -> bool:
-        """Whether on-demand machines could be scaled in."""
+        """Whether there are on-demand machines that could be scaled in."""
         return self.state.on_demand_excess
 
     @on_demand_excess.setter
@@ -208,7 +211,7 @@
 
     @property
     def needs_machines(self) -> bool:
-        """Whether capacity requests should be sent to the leader at once."""
+        """Whether to send capacity requests to the leader without delay."""
         return self.state.needs_machines
 
     @needs_machines.setter
@@ -217,7 +220,7 @@
 
     @property
     def has_new_releases(self) -> bool:
-        """Whether released machines should be reported to the leader at once."""
+        """Whether to report released machines to the leader without delay."""
         return self.state.has_new_releases
 
     @has_new_releases.setter
@@ -226,5 +229,5 @@
 
     @property
     def next_round_at(self) -> float:
-        """When the next dispatch round may be at the earliest."""
+        """The earliest time of the next dispatch round."""
         return self.dispatcher.next_round_at
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -41,7 +41,11 @@
 }
 
 # The same in a scheduler, for versions up to 0.5.0.
-FORMER_SCHEDULER_NAMES = {"quota_usage": "tally", "unreconciled": "unsettled"}
+FORMER_SCHEDULER_NAMES = {
+    "quota_usage": "tally",
+    "unreconciled": "unsettled",
+    "teams_by_name": "by_team",
+}
 
 
 def commit():
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -74,7 +74,7 @@
         assert self.task_index.matches(self.cloud.workers())
         for node in self.nodes.values():
             for scheduler in node.schedulers:
-                for team in scheduler.by_team:
+                for team in scheduler_attribute(scheduler, "teams_by_name"):
                     active = [
                         p
                         for m in scheduler.machines.values()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -153,10 +153,10 @@
 
 
 def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
-    # Holds `overlap_s`: the leader restarted at once, and that owner had not seen it.
+    # Holds `ownership_overlap_s`: the leader restarted at once, and that owner had not seen it.
     bench = SchedulerBench()
     bench.add(version=40)
-    bench.scheduler.timing.overlap_s = 1.5
+    bench.scheduler.timing.ownership_overlap_s = 1.5
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.scheduler.scan(bench.now + 1.4 + bench.scheduler.timing.lease_s)
     assert machine.name in bench.scheduler.unreconciled
