--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -77,7 +77,7 @@
     for machine in machines:
         if machine.deletion_requested or machine.failed or machine.quarantined:
             continue
-        if machine.draining or machine.notice_until is not None:
+        if machine.draining or machine.interruption_at is not None:
             continue
         unresponsive = now - machine.last_heartbeat_at > heartbeat_timeout_s
         if machine.registered and (unresponsive or machine.unreachable_since is not None):
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -99,7 +99,7 @@
             fetch_s,
             (machine_type.cpus > 2 * spec.cpus and left_cpus) or 0.0,
             left_cpus,
-            machine_type.memory_gb - machine.used_memory,
+            machine_type.memory_gb - machine.used_memory_gb,
         )
 
     def _is_reserved(self, machine: Machine) -> bool:
--- a/src/copperpass/core/scheduling/command_results.py
+++ b/src/copperpass/core/scheduling/command_results.py
@@ -62,7 +62,7 @@
     def _back_off(self, now: float, machine: Machine) -> None:
         """Send nothing directly for a while, and no new tasks until contact is proven."""
         machine.command_backoff_until = now + 2 * self.state.timing.heartbeat_interval_s
-        self.commands.suspect_unreachable(now, machine)
+        self.commands.mark_unreachable(now, machine)
 
     def _apply_status(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Apply the status in an answer, if it is newer than the last one."""
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -69,7 +69,7 @@
             MIN_DIRECT_REQUESTS, connections // (CONNECTIONS_PER_DIRECT_REQUEST * shards)
         )
 
-    def suspect_unreachable(self, now: float, machine: Machine) -> None:
+    def mark_unreachable(self, now: float, machine: Machine) -> None:
         """What was sent has certainly not arrived, although heartbeats may still come in.
 
         The starts sent to such a machine would be lost again and again. It gets no new tasks until
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -21,7 +21,7 @@
 from copperpass.core.scheduling.reservations import Reservations
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_order import task_order
-from copperpass.core.scheduling.task_statuses import FAILED_MACHINES
+from copperpass.core.scheduling.task_statuses import MIN_MACHINES_OF_FAULTY_JOB
 from copperpass.protocol.frames.messages import PendingTasks
 from copperpass.protocol.users import JobSpec
 
@@ -99,7 +99,7 @@
         """
         spec, count = job.spec, job.pending_count()
         free_quota = self.state.teams_by_name[spec.team].cpus_limit - requested_cpus[spec.team]
-        if len(job.failed_on) >= FAILED_MACHINES and not spec.gang:
+        if len(job.failed_on) >= MIN_MACHINES_OF_FAULTY_JOB and not spec.gang:
             # Probably it has a mistake; but it must find capacity for retries while it is not
             # cancelled.
             count = 1
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -54,7 +54,9 @@
             self.next_round_at = now + MIN_PAUSE_S
             return
         silence_s = state.timing.heartbeat_timeout_s
-        usable = [machine for machine in state.machines.values() if machine.usable(now, silence_s)]
+        usable = [
+            machine for machine in state.machines.values() if machine.is_usable(now, silence_s)
+        ]
         queues = self._queues(now, jobs, usable)
         current = DispatchRound(now, self.placement, queues, jobs, usable)
         self.reservations.reserve_on_demand(now, jobs, usable)
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -107,7 +107,7 @@
                 # It sends heartbeats, but for a whole lease no answer has reached it: its agent
                 # epoch has ended by then, and a machine that can be commanded is worth more.
                 return DeletionReason.ANSWERS_UNDELIVERED
-        return DeletionReason.QUARANTINED if machine.quarantined and machine.empty() else None
+        return DeletionReason.QUARANTINED if machine.quarantined and machine.is_empty() else None
 
     def _never_registered(
         self, now: float, machine: Machine, expired: bool, minority: bool, longest_s: float
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -118,8 +118,8 @@
 
     def _apply_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Apply the cloud's interruption notice, and what the token proves."""
-        if heartbeat.notice_s is not None and machine.notice_until is None:
-            until = machine.notice_until = now + heartbeat.notice_s
+        if heartbeat.notice_s is not None and machine.interruption_at is None:
+            until = machine.interruption_at = now + heartbeat.notice_s
             self.evictions.on_interruption_notice(now, machine, until - now)
         if machine.unreachable_since is not None and heartbeat.token >= machine.probe_token:
             machine.unreachable_since, self.state.dirty = None, True
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -137,7 +137,7 @@
             idle = (
                 machine.registered
                 and machine.recorded
-                and machine.empty()
+                and machine.is_empty()
                 and now >= machine.retain_until
             )
             reconciled = machine.reconciled and not machine.holds_other_shard
--- a/src/copperpass/core/scheduling/placements.py
+++ b/src/copperpass/core/scheduling/placements.py
@@ -1,7 +1,7 @@
-"""Placements: the attempts of tasks that are, or may be, on a machine, and why they are stopped.
+"""Placements: task attempts that are, or may be, on a machine, and the reasons for stopping them.
 
-A placement ends only when a heartbeat proves the task gone, when its machine's agent session has
-ended, or when the cloud has confirmed that the machine is deleted.
+A placement ends only when a heartbeat proves that the task is gone, when the agent session of its
+machine has ended, or when the cloud has confirmed that the machine is deleted.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class StopReason(StrEnum):
-    """Why a task is stopped; the values go into the log."""
+    """Why a task is stopped; the values are logged."""
 
     JOB_COMPLETED = "job completed"
     CANCELLED = "job cancelled"
@@ -29,7 +29,7 @@
     DUPLICATE = "duplicate attempt"
     OTHER_SHARD = "task of another shard"
     FAULTY_MACHINE = "machine quarantined"
-    # Of gangs.
+    # Reasons for stopping gangs only.
     ATTEMPT_ENDED = "attempt ended"
     TASK_LOST = "task lost"
     TASK_EXITED = "task exited"
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """One attempt of a task on one machine; moments are of the steady clock, in seconds."""
+    """One attempt of a task on one machine; times are seconds of the monotonic clock."""
 
     job_id: str
     index: int
@@ -58,27 +58,28 @@
     sent_at: float = 0.0
     running_at: float = 0.0
     reported: bool = False
-    # The sequence of the worker's last status as the start was sent or confirmed; -1 before.
+    # Sequence of the worker's latest status at the time when the start was sent in an answer, or
+    # confirmed; -1 until then.
     sent_sequence: int = -1
     sent_directly: bool = False
-    # Set if the outcome of a direct start is unknown: a worker that has accepted this token refuses
-    # the start.
+    # Nonzero if the outcome of a direct start is unknown: a worker that has accepted this token
+    # refuses the start.
     barrier_token: int = 0
-    # The token that the start was sent with.
+    # The fencing token with which the start was sent.
     start_token: int = 0
-    # Time for a checkpoint before the task is killed; None unless it is to be stopped.
+    # Seconds for a checkpoint before the task is killed; None unless the task is to be stopped.
     stop_grace_s: float | None = None
     stop_sent_at: float = 0.0
     stop_reason: StopReason | None = None
-    # Whether the exit is recorded, or needs no record: the worker may forget the task.
+    # Whether the exit is stored, or needs no record, so that the worker may forget the task.
     stored: bool = False
-    # A task of another shard, whose completion only the owner of that shard may record.
+    # The task belongs to another shard, and only the owner of that shard may record its completion.
     of_other_shard: bool = False
     shard: int = NO_SHARD
 
     @property
     def key(self) -> PlacementKey:
-        """Unique among the placements of a machine."""
+        """The job id, index and attempt, unique among the placements of a machine."""
         return (self.job_id, self.index, self.attempt)
 
     @property
@@ -87,8 +88,8 @@
         return self.state != TaskState.EXITED
 
     def mark_for_stop(self, reason: StopReason) -> None:
-        """Have the task stopped without time for a checkpoint.
+        """Mark the task to be stopped without time for a checkpoint.
 
-        A stop that was sent directly before isn't sent directly again: `stop_sent_at` stays.
+        A stop that has already been sent directly isn't sent directly again: `stop_sent_at` stays.
         """
         self.stop_grace_s, self.stop_reason = 0.0, reason
--- a/src/copperpass/core/scheduling/quota_usage.py
+++ b/src/copperpass/core/scheduling/quota_usage.py
@@ -28,11 +28,11 @@
     def drop(self, machine: Machine) -> None:
         """Subtract a machine that the shard doesn't own any more."""
         self._add(machine, -1.0)
-        machine.by_team = {}
+        machine.usage_by_team = {}
         self.unidentified.discard(machine.name)
 
     def _add(self, machine: Machine, sign: float) -> None:
-        for team, (cpus, gpus) in machine.by_team.items():
+        for team, (cpus, gpus) in machine.usage_by_team.items():
             sums = self.teams.setdefault(team, [0.0, 0.0])
             sums[0] += sign * cpus
             sums[1] += sign * gpus
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -95,7 +95,7 @@
 
     def release_if_empty(self, machine: Machine) -> bool:
         """Release a machine to the leader if it is proven empty; return whether it was released."""
-        if not (machine.empty() and machine.reconciled and machine.unreachable_since is None):
+        if not (machine.is_empty() and machine.reconciled and machine.unreachable_since is None):
             return False
         contact = MachineContact(machine.address, machine.agent_epoch, machine.sequence)
         self.release(
--- a/src/copperpass/core/scheduling/task_reconciliation.py
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of the tasks on machines with heartbeats, and with jobs in the watch cache."""
+"""Reconciliation of placements with the tasks in heartbeats and the jobs in the watch cache."""
 
 from __future__ import annotations
 
@@ -18,23 +18,26 @@
 def proves_absent(
     machine: Machine, placement: Placement, heartbeat: WorkerHeartbeat, unsolicited: bool
 ) -> bool:
-    """Whether a heartbeat that doesn't list a task proves that it is not, and won't be, there."""
+    """Whether a heartbeat that doesn't list a task proves that it neither is nor will be there.
+
+    `unsolicited`: the worker sent the heartbeat on its own, not to answer a direct command.
+    """
     if placement.reported:
         return True
     if placement in machine.pending_starts:
         return False
     if placement.barrier_token:
-        # The outcome of the start is unknown: only a worker that has accepted a higher token since
-        # refuses it.
+        # The outcome of the start is unknown: only a worker that has since accepted this higher
+        # token refuses the start.
         return heartbeat.token >= placement.barrier_token
     if placement.sent_sequence >= 0:
-        # Sent with an answer: the next heartbeat shows whether the answer arrived.
+        # Sent in the answer to a heartbeat: the next heartbeat shows whether the answer arrived.
         return unsolicited and heartbeat.sequence > placement.sent_sequence
     return False
 
 
 class TaskReconciler:
-    """Brings placements up to the tasks that workers list, and matches them with jobs."""
+    """Updates placements from the tasks that workers list, and matches them with jobs."""
 
     def __init__(
         self,
@@ -51,21 +54,21 @@
     def apply(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, unsolicited: bool
     ) -> None:
-        """Bring the machine's tasks up to those that are listed.
+        """Update the machine's placements from the tasks that the heartbeat lists.
 
-        `unsolicited`: the worker has sent it by itself; else it is the answer to a direct command.
+        `unsolicited`: the worker sent the heartbeat on its own, not to answer a direct command.
         """
         listed = set()
-        for task in heartbeat.tasks:
-            name = parse_task_id(task.task)
-            if name is None:
+        for task_status in heartbeat.tasks:
+            parsed_id = parse_task_id(task_status.task)
+            if parsed_id is None:
                 continue
-            key = (name[0], name[1], task.attempt)
+            key = (parsed_id[0], parsed_id[1], task_status.attempt)
             listed.add(key)
             placement = machine.tasks.get(key)
             if placement is None:
                 placement = self._adopt(now, machine, key)
-            self.task_statuses.update(now, machine, placement, task)
+            self.task_statuses.update(now, machine, placement, task_status)
         start_undelivered = False
         for placement in list(machine.tasks.values()):
             if placement.key not in listed and proves_absent(
@@ -74,10 +77,10 @@
                 start_undelivered = start_undelivered or not placement.reported
                 self.tasks.remove(now, machine, placement)
         if start_undelivered:
-            self.commands.suspect_unreachable(now, machine)
+            self.commands.mark_unreachable(now, machine)
 
     def _adopt(self, now: float, machine: Machine, key: PlacementKey) -> Placement:
-        """Record a task that an earlier owner has started."""
+        """Record a task that an earlier owner of the machine has started."""
         job_id, index, attempt = key
         placement = Placement(
             job_id,
@@ -102,7 +105,7 @@
         return placement
 
     def match_jobs(self) -> None:
-        """The watch cache is synced: match all tasks with their jobs again."""
+        """Match all tasks with their jobs again, now that the watch cache is synced."""
         for machine in self.state.machines.values():
             for placement in list(machine.tasks.values()):
                 self._match_job(machine, placement)
@@ -134,7 +137,7 @@
                 placement.mark_for_stop(StopReason.DUPLICATE)
 
     def _identify(self, machine: Machine, placement: Placement, job: Job) -> None:
-        """Fill in what only the job tells of a task, and count it towards the team's quota."""
+        """Fill in the fields that come from the job; count the task towards the team's quota."""
         spec = job.spec
         placement.team, placement.job_class = spec.team, spec.job_class
         placement.priority = PRIORITY_LEVELS[spec.priority]
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -1,4 +1,4 @@
-"""Statuses of single tasks in heartbeats, and the quarantine of machines where tasks fail."""
+"""Handling of task statuses in heartbeats, and quarantine of machines where tasks fail."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.workers import ExitCause, TaskState, TaskStatus
 
-# A job that has failed on as many machines probably has a fault of its own.
-FAILED_MACHINES = 3
-# As many jobs without such a fault that fail on one machine show that the machine is faulty.
-FAULTY_MACHINE_JOBS = 2
-# The backoff after a failure doubles at most this often.
+# A job that has failed on at least this many machines is probably faulty itself.
+MIN_MACHINES_OF_FAULTY_JOB = 3
+# A machine on which at least this many jobs that are not faulty by that measure fail is faulty.
+MIN_JOBS_OF_FAULTY_MACHINE = 2
+# Upper bound on the doublings of the backoff after failures.
 MAX_BACKOFF_DOUBLINGS = 6
 
 
 class TaskStatusHandler:
-    """Updates placements and jobs by the task statuses in heartbeats."""
+    """Updates placements and jobs from the task statuses in heartbeats."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
     def update(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
     ) -> None:
-        """A heartbeat lists the placement, in any state."""
+        """Apply the status of a placement that a heartbeat lists, in any state."""
         was_active = placement.active
         placement.reported = True
         if placement.of_other_shard:
@@ -75,7 +75,7 @@
         status: TaskStatus,
         job: Job | None,
     ) -> None:
-        """A task that was active is reported as exited."""
+        """Handle the exit of a task that was active before this status."""
         placement.state, placement.exit_cause = TaskState.EXITED, status.exit_cause or ""
         machine.usage_stale = True
         if placement.exit_cause != ExitCause.DONE:
@@ -107,8 +107,8 @@
     def _on_completed(self, now: float, machine: Machine, placement: Placement, job: Job) -> None:
         current = is_current(machine, placement, job)
         if job.spec.gang:
-            # They complete together: if one has completed, all have. The others' machines may be
-            # lost before they report it, and no task is left that could run again.
+            # The tasks of a gang complete together: if one has completed, all have. The machines of
+            # the others may be lost before they report it, and none of the tasks could run again.
             job.unstored.update(i for i in range(job.spec.tasks) if not job.is_completed(i))
         machine.failed_jobs.clear()
         job.failed_on.clear()
@@ -134,42 +134,42 @@
         elif placement.exit_cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY):
             machine.backoff_until = now + heartbeat_interval_s
         elif placement.exit_cause == ExitCause.UNKNOWN:
-            # The worker reads the job's specification itself, and its read may lag behind.
+            # The worker reads the job's specification itself, and that read may lag behind.
             job.backoff_until = now + heartbeat_interval_s
         if job.spec.gang:
             self.gangs.on_task_exited(now, job, placement)
 
     def _on_failed(self, now: float, machine: Machine, job: Job) -> None:
-        """Back off, and distinguish a faulty machine, where many jobs fail, from a faulty job."""
+        """Back off, and quarantine the machine if it, rather than the job, appears faulty."""
         timing = self.state.timing
         job.failures += 1
         job.failed_on.add(machine.name)
         machine.failed_jobs.add(job.spec.id)
-        if len(job.failed_on) >= FAILED_MACHINES:
-            # Guards the fleet against a job that fails everywhere: exponential backoff.
-            wait = timing.heartbeat_interval_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
-            job.backoff_until = max(job.backoff_until, now + min(wait, timing.lease_s))
+        if len(job.failed_on) >= MIN_MACHINES_OF_FAULTY_JOB:
+            # Exponential backoff protects the cluster from a job that fails on every machine.
+            backoff_s = timing.heartbeat_interval_s * 2 ** min(job.failures, MAX_BACKOFF_DOUBLINGS)
+            job.backoff_until = max(job.backoff_until, now + min(backoff_s, timing.lease_s))
         jobs = self.jobs.jobs
-        suspects = [
-            name
-            for name in machine.failed_jobs
-            if name in jobs and len(jobs[name].failed_on) < FAILED_MACHINES
+        failed_sound_jobs = [
+            job_id
+            for job_id in machine.failed_jobs
+            if job_id in jobs and len(jobs[job_id].failed_on) < MIN_MACHINES_OF_FAULTY_JOB
         ]
-        # A gang that fails repeatedly, and on this machine only, would be placed here again and
-        # again: the machine is faulty. A faulty gang fails on its other machines too.
-        only_here = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
+        # A gang that fails repeatedly, and only on this machine, would be placed here again and
+        # again. The machine is faulty: a faulty gang would fail on its other machines too.
+        only_failed_here = job.spec.gang and job.failures >= 2 and job.failed_on == {machine.name}
         if machine.quarantined:
             return
-        if len(suspects) >= FAULTY_MACHINE_JOBS or only_here:
-            self._quarantine(now, machine, len(suspects))
+        if len(failed_sound_jobs) >= MIN_JOBS_OF_FAULTY_MACHINE or only_failed_here:
+            self._quarantine(now, machine, len(failed_sound_jobs))
         else:
             machine.backoff_until = now + 2 * timing.heartbeat_interval_s
 
-    def _quarantine(self, now: float, machine: Machine, suspects: int) -> None:
-        """Start nothing more on a faulty machine, and stop the tasks that don't run there yet."""
+    def _quarantine(self, now: float, machine: Machine, failed_job_count: int) -> None:
+        """Start no more tasks on a faulty machine, and stop those that don't run there yet."""
         machine.quarantined = True
         self.out.log(
-            LogLevel.INFO, LogEvent.MACHINE_QUARANTINED, machine=machine.name, jobs=suspects
+            LogLevel.INFO, LogEvent.MACHINE_QUARANTINED, machine=machine.name, jobs=failed_job_count
         )
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -1,4 +1,4 @@
-"""The lifecycle of placements: started on a machine, stopped, or proven not to be there.
+"""Lifecycle of placements: starting and stopping them, and removing those proven gone.
 
 Invariant: a task is requeued only once it is proven gone from the machine it was assigned to.
 """
@@ -14,17 +14,18 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
 
-# The bits of an attempt number: the term, the generation of the shard assignment in it, a count.
+# Bit offsets of the term, and of the generation of the shard assignment in that term, in an attempt
+# number. The job's attempt count is in the lowest bits.
 EPOCH_SHIFT, GENERATION_SHIFT = 44, 28
-# The grace period of a stopped task, as a multiple of the checkpoint time that its job states.
+# Grace period of a stopped task, as a multiple of the checkpoint time declared by its job.
 CHECKPOINT_GRACE_RATIO = 1.2
 
 
 def is_current(machine: Machine, placement: Placement, job: Job) -> bool:
-    """Whether the placement is the one that the job has assigned for its task.
+    """Whether the placement is the one to which the job has assigned its task.
 
-    Not if another attempt of the task runs on the machine: an exited one that was not cleared yet
-    would free the task of the running one.
+    It is not if another attempt of the task is active on the machine. Otherwise an exited attempt
+    that the worker has not forgotten yet would free the task of the active one.
     """
     return job.assigned.get(placement.index) == machine.name and not any(
         other is not placement
@@ -36,7 +37,7 @@
 
 
 def request_stop(placement: Placement, reason: StopReason, grace_s: float = 0.0) -> None:
-    """Stop a task with its machine's next commands, also if an earlier stop was sent."""
+    """Stop a task with its machine's next commands, even if an earlier stop was sent."""
     placement.stop_grace_s, placement.stop_reason = grace_s, reason
     placement.stop_sent_at = 0.0
 
@@ -57,7 +58,7 @@
         self.jobs = context.jobs
 
     def new_attempt(self, job: Job) -> int:
-        """The number of the job's next attempt; it is unique over terms and shard assignments."""
+        """Return the job's next attempt number, unique across terms and shard assignments."""
         job.attempts += 1
         context = self.context
         return (
@@ -94,7 +95,7 @@
         )
 
     def remove(self, now: float, machine: Machine, placement: Placement) -> None:
-        """A task is proven not to be on its machine: it may start elsewhere."""
+        """Remove a task proven not to be on its machine, so that it may start elsewhere."""
         machine.tasks.pop(placement.key, None)
         if placement in machine.pending_starts:
             machine.pending_starts.remove(placement)
@@ -108,12 +109,12 @@
 
     def _on_gang_task_lost(self, now: float, job: Job, placement: Placement) -> None:
         if job.gang_started and placement.attempt == job.attempt and not job.all_completed():
-            # The others exit without a checkpoint: the work since the last one is lost.
+            # The other tasks exit without a checkpoint: work since the last checkpoint is lost.
             self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
         job.finish_attempt()
 
     def on_session_ended(self, now: float, machine: Machine) -> None:
-        """A machine's session has ended, and with it all of its tasks."""
+        """Remove all tasks of a machine whose agent session has ended."""
         for placement in list(machine.tasks.values()):
             self.remove(now, machine, placement)
         machine.pending_starts.clear()
@@ -121,25 +122,30 @@
         if machine.draining:
             self.state.release_if_empty(machine)
 
-    def stop(self, now: float, placement: Placement, reason: StopReason, save: bool = True) -> None:
+    def stop(
+        self, now: float, placement: Placement, reason: StopReason, checkpoint: bool = True
+    ) -> None:
         """Stop a task gracefully; of a started gang all tasks, so that they checkpoint together.
 
-        Unless `save`, it has no grace period, and only its last checkpoint is kept.
+        Without `checkpoint`, a task that is stopped alone has no grace period: only its last
+        checkpoint is kept.
         """
         job = self.jobs.jobs.get(placement.job_id)
         if job is None or not job.spec.gang or not job.gang_started or job.gang_ending:
-            # A gang that hasn't started waits for a replacement under the same attempt.
-            request_stop(placement, reason, self._checkpoint_grace_s(placement) if save else 0.0)
+            # A gang that hasn't started waits for a replacement task under the same attempt.
+            request_stop(
+                placement, reason, self._checkpoint_grace_s(placement) if checkpoint else 0.0
+            )
         else:
             self.end_gang(now, job, reason, self._checkpoint_grace_s(placement))
 
     def end_gang(
         self, now: float, job: Job, reason: StopReason, grace_s: float, exit_cause: str = ""
     ) -> None:
-        """End an attempt: all its tasks are stopped, as close together in time as possible.
+        """End a gang's attempt: stop all its tasks, as close together in time as possible.
 
-        Another begins only when every one of them is proven gone. `exit_cause` is that of the task
-        that ended the attempt, if one did.
+        The next attempt begins only when all of them are proven gone. `exit_cause` is the cause
+        reported by the task whose exit ended the attempt; empty if the attempt ended otherwise.
         """
         if job.gang_ending:
             return
@@ -166,7 +172,7 @@
         job.finish_attempt()
 
     def stop_all(self, now: float, job: Job, reason: StopReason) -> None:
-        """Withdraw a job's unsent starts, and stop its tasks wherever they may be."""
+        """Withdraw a job's unsent starts, and stop its tasks on all machines that may have them."""
         for name in list(self.machines_of_job.get(job.spec.id, ())):
             machine = self.machines.get(name)
             if machine is None:
@@ -186,7 +192,7 @@
                 self.commands.send(now, machine)
 
     def _checkpoint_grace_s(self, placement: Placement) -> float:
-        """The grace period of a stopped task in seconds: 0 if its job writes no checkpoints."""
+        """Return the grace period in seconds of a stopped task: 0 if its job has no checkpoints."""
         job = self.jobs.jobs.get(placement.job_id)
         return (
             CHECKPOINT_GRACE_RATIO * job.spec.save_s if job and job.spec.checkpoint_s > 0 else 0.0
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -292,7 +292,7 @@
         simulation.run(0.5)
     said = b"".join(copies)
     revived = [m for n, m in node.schedulers[0].machines.items() if f'"{n}"'.encode() in said]
-    assert not any(m.usable(simulation.now, 99.0) for m in revived)
+    assert not any(m.is_usable(simulation.now, 99.0) for m in revived)
     simulation.run_until(finished(simulation, 1), 150)
     assert not simulation.violations
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -73,7 +73,7 @@
         bench.scheduler.heartbeats.apply(
             bench.now, machine, bench.message([], sequence=bench.sequence + second), False
         )
-    assert not machine.usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
+    assert not machine.is_usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
     bench.scheduler.worker_heartbeat(bench.now, bench.message([], sequence=1))
     assert machine.last_answer_at == bench.now
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -343,7 +343,7 @@
 
 
 def test_nothing_starts_on_a_machine_that_the_fleets_record_does_not_know_as_up():
-    # The next leader would not know to ask it. Holds `recorded` in `Machine.usable`.
+    # The next leader would not know to ask it. Holds `recorded` in `Machine.is_usable`.
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
     machine.recorded = False
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -131,7 +131,7 @@
                 best = afresh.best([])
                 assert ranking._score(chosen) == afresh._score(best)
                 chosen.used_cpus += each.spec.cpus
-                chosen.used_memory += each.spec.memory_gb
+                chosen.used_memory_gb += each.spec.memory_gb
                 chosen.images[each.spec.image] = each.spec.image_gb
                 each.assigned[index] = chosen.name
                 log.append(chosen)
