--- a/src/copperpass/core/scheduling/command_results.py
+++ b/src/copperpass/core/scheduling/command_results.py
@@ -1,4 +1,4 @@
-"""Results of direct commands: what has become of the starts, and the status in the answer."""
+"""Results of direct requests: the fate of the starts, and the machine status in the answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CommandResultHandler:
-    """Applies the results of direct requests; an answer carries the same status as a heartbeat."""
+    """Applies the results of direct requests; answers carry the same status as heartbeats."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self.heartbeats = heartbeats
 
     def on_result(self, now: float, machine: Machine, result: DirectResult) -> None:
-        """A direct request was answered, or has failed: settle its starts, send what waits."""
+        """Settle the starts of an answered or failed direct request; send pending commands."""
         status = result.outcome.status
         heartbeat = None
         if status in (200, 409):
@@ -38,15 +38,15 @@
             if machine.tasks.get(placement.key) is placement and not placement.reported
         ]
         if status == NOT_SENT and result.had_commands:
-            # No connection: what runs there can't be reached, so it gets no new tasks for now.
+            # No connection: the worker can't be reached, so the machine gets no new tasks for now.
             self._back_off(now, machine)
         if status in (400, 409, NOT_SENT):
-            # Nothing was executed, for certain.
+            # The worker has certainly executed nothing.
             for placement in unconfirmed:
                 self.tasks.remove(now, machine, placement)
         elif (status != 200 or heartbeat is None) and result.had_commands:
-            # Outcome unknown: it may be executed at any later time, until the worker has accepted
-            # a higher token or begun another agent epoch.
+            # Outcome unknown: the worker may execute the request at any later time, until it has
+            # accepted a higher token or begun another agent epoch.
             self._back_off(now, machine)
             for placement in unconfirmed:
                 placement.barrier_token = machine.token
@@ -60,17 +60,18 @@
         self.commands.send(now, machine)
 
     def _back_off(self, now: float, machine: Machine) -> None:
-        """Send nothing directly for a while, and no new tasks until contact is proven."""
+        """Pause direct requests for a while, and new tasks until contact is proven."""
         machine.command_backoff_until = now + 2 * self.state.timing.heartbeat_interval_s
         self.commands.mark_unreachable(now, machine)
 
     def _apply_status(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
-        """Apply the status in an answer, if it is newer than the last one."""
+        """Apply the status in an answer if it is newer and not from a later handover."""
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
             return
         if heartbeat.token >> HANDOVER_SHIFT > machine.base_token >> HANDOVER_SHIFT:
             return
         if heartbeat.agent_epoch != machine.agent_epoch:
-            # The request named an agent epoch that has ended; now the current one is known.
+            # The request named an agent epoch that has ended. The current one is known now, so the
+            # machine can be probed again at once.
             machine.next_probe_at = now
         self.heartbeats.apply(now, machine, heartbeat, unsolicited=False)
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -1,4 +1,4 @@
-"""Commands to workers: in answers to heartbeats, sent directly, and probes without commands."""
+"""Commands to workers, in answers to heartbeats or in direct requests, and probes."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     WorkerHeartbeat,
 )
 
-# The part of all connections that direct requests of all shards together may use, and the least
-# number for one shard.
+# One in this many connections is available to the direct requests of all shards together, but each
+# shard may use at least `MIN_DIRECT_REQUESTS`.
 CONNECTIONS_PER_DIRECT_REQUEST = 8
 MIN_DIRECT_REQUESTS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class DirectResult:
-    """How a direct request ended, the starts in it, and whether it had any command."""
+    """Outcome of a direct request, the starts in it, and whether it contained any command."""
 
     outcome: CallOutcome
     starts: list[Placement]
@@ -41,19 +41,19 @@
 
 
 def _start_command(placement: Placement) -> Command:
-    name = task_id(placement.job_id, placement.index)
-    return Command(CommandKind.START, name, placement.attempt)
+    task = task_id(placement.job_id, placement.index)
+    return Command(CommandKind.START, task, placement.attempt)
 
 
 def _stop_command(placement: Placement) -> Command:
-    name = task_id(placement.job_id, placement.index)
-    return Command(CommandKind.STOP, name, placement.attempt, placement.stop_grace_s)
+    task = task_id(placement.job_id, placement.index)
+    return Command(CommandKind.STOP, task, placement.attempt, placement.stop_grace_s)
 
 
 class Commands:
-    """Sends starts, stops and clearances; at most one direct request a machine at a time.
+    """Sends starts, stops and clearances, with at most one direct request per machine in flight.
 
-    `on_result` is set by the scheduler that wires the parts, before the first command.
+    `ShardScheduler` sets `on_result` before the first command.
     """
 
     on_result: OnDirectResult
@@ -61,7 +61,7 @@
     def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.context, self.state = context, state
         self.timing = state.timing
-        # Direct requests without a result yet, and how many there may be.
+        # Number of direct requests without a result yet; `max_requests` is its upper limit.
         self.requests_in_flight = 0
         shards = len(set(context.shards.values()))
         connections = context.cluster.resources.max_connections
@@ -70,11 +70,11 @@
         )
 
     def mark_unreachable(self, now: float, machine: Machine) -> None:
-        """What was sent has certainly not arrived, although heartbeats may still come in.
+        """Mark a machine as unreachable: commands don't arrive, although heartbeats may come in.
 
-        The starts sent to such a machine would be lost again and again. It gets no new tasks until
-        it shows a token that only an answer of this owner can have brought it, which takes one
-        heartbeat if all is well.
+        Starts sent to such a machine would be lost again and again. It gets no new tasks until it
+        reports a token that only an answer from this owner can have delivered, which takes one
+        heartbeat if the connection works.
         """
         machine.token += 1
         machine.probe_token = machine.token
@@ -87,7 +87,7 @@
     def for_heartbeat(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> list[Command]:
-        """The commands in the answer to a heartbeat."""
+        """Return the commands for the answer to a heartbeat; none without authority."""
         if not self.context.has_authority(now):
             return []
         commands: list[Command] = []
@@ -97,12 +97,12 @@
                 if not placement.stored or not placement.reported:
                     continue
                 if placement.sent_directly and placement.start_token >= heartbeat.token:
-                    # A repeat of the start could still arrive: have the worker accept a higher
-                    # token first.
+                    # A repeat of the start could still arrive. Before the worker forgets the task,
+                    # it must accept a higher token, so that it refuses the repeat.
                     raise_token = raise_token or machine.token <= placement.start_token
                     continue
-                name = task_id(placement.job_id, placement.index)
-                commands.append(Command(CommandKind.FORGET, name, placement.attempt))
+                task = task_id(placement.job_id, placement.index)
+                commands.append(Command(CommandKind.FORGET, task, placement.attempt))
             elif placement.stop_grace_s is not None and placement.reported:
                 commands.append(_stop_command(placement))
                 placement.stop_sent_at = now
@@ -124,7 +124,7 @@
         return commands
 
     def send(self, now: float, machine: Machine) -> None:
-        """Send starts and stops at once, one request at a time for each machine."""
+        """Send a machine's pending starts and stops in a direct request, if one may be sent now."""
         if (
             machine.command_in_flight
             or not machine.address
@@ -132,7 +132,8 @@
             or now < max(machine.command_backoff_until, machine.relayed_until)
             or not self.context.has_authority(now)
             or machine.deletion_requested
-            # Beyond the sockets that are kept for this, commands go with answers to heartbeats.
+            # Beyond the connections available to direct requests, commands wait for answers to
+            # heartbeats.
             or self.requests_in_flight >= self.max_requests
         ):
             return
@@ -187,11 +188,11 @@
             self.on_result(now, machine, result)
 
     def probe(self, now: float) -> None:
-        """Ask unreconciled machines for their status, without waiting for their heartbeats.
+        """Request the status of unreconciled machines, without waiting for their heartbeats.
 
-        A request without commands brings a worker the new token, after which nothing of an earlier
-        owner can be carried out, and its answer lists all tasks there: as good a proof as a
-        heartbeat, and there within milliseconds. Until it is there, no older job may start.
+        A request without commands delivers the new token to the worker, which then refuses all
+        commands from earlier owners. The answer lists all tasks on the machine: it proves as much
+        as a heartbeat, and arrives within milliseconds. Until then no older job may start.
         """
         for name in self.state.unreconciled:
             if self.requests_in_flight >= self.max_requests:
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""Demand of the shard's teams: what they use, may start, claim, and need machines for."""
+"""Demand of the shard's teams: usage, startable jobs, capacity requests and claims."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class Demand:
-    """What the shard's jobs ask for: which may start, what teams use, which need machines.
+    """Computes which jobs may start or need machines, and what the teams use and claim.
 
-    All answers are computed from the state; only `zone_affinities` is kept, for the requests that
-    were computed last.
+    All results are computed from the state. Only `zone_affinities` is kept, from the latest
+    capacity requests.
     """
 
     def __init__(
@@ -42,11 +42,12 @@
         self.state, self.reservations = state, reservations
         self.types, self.machines = context.types, state.machines
         self.has_gpu_quotas = context.cluster.has_gpu_quotas
-        # Jobs in need of machines that may only run in the zone where others of their tasks are.
+        # The zones, by job id, of jobs that need machines and may run only in the zone of their
+        # placed tasks.
         self.zone_affinities: dict[str, str] = {}
 
     def capacity_requests(self, now: float) -> list[PendingTasks]:
-        """Tasks that the machines have no capacity for in time, by start deadline."""
+        """Return tasks for which the machines have no capacity in time, by start deadline."""
         state, timing = self.state, self.state.timing
         waiting = [job for job in state.own_jobs() if job.pending_count() > 0]
         if not waiting:
@@ -58,7 +59,8 @@
         self.zone_affinities.clear()
         requested_cpus = {team: state.quota_usage.of(team)[0] for team in state.teams_by_name}
         for job in task_order(waiting, state.slos, now, timing.boot_s / 2):
-            # Tasks that may be running on machines without a heartbeat yet need no machines.
+            # No machines are needed for tasks that may already run on machines from which no
+            # heartbeat has arrived yet.
             if not self.is_startable(job, now, unreported_kinds):
                 continue
             count = self._count_under_limit(job, requested_cpus)
@@ -68,22 +70,22 @@
             spec = self._with_affinity(job)
             pack = pack_gang if spec.gang else pack_tasks
             reserved = self.reservations.reserved_types.reserved_from(spec)
-            left = pack(capacities, spec, count, horizon_s, reserved)
-            if left > 0:
-                requests.append(PendingTasks(spec.id, left, horizon_s))
-                # Without it each job that waits would look at each full machine.
+            unplaced_count = pack(capacities, spec, count, horizon_s, reserved)
+            if unplaced_count > 0:
+                requests.append(PendingTasks(spec.id, unplaced_count, horizon_s))
+                # Otherwise each waiting job would examine each full machine.
                 capacities = without_exhausted(capacities, smallest_cpus)
         return requests
 
     def _horizon_s(self, job: Job, now: float) -> float:
-        """Within how many seconds there must be capacity for the job's next task."""
+        """Return in how many seconds the job needs capacity for its next task."""
         if job.spec.gang and job.assigned:
-            # Its placed tasks wait for the rest: the capacity that they take isn't free before.
+            # The placed tasks of the gang wait for the rest, and hold their capacity until then.
             return 0.0
         return max(0.0, self.state.slos.capacity_deadline(job, now) - now)
 
     def _with_affinity(self, job: Job) -> JobSpec:
-        """The job's spec, in the zone that its placed tasks bind the rest to."""
+        """Return the job's spec, restricted to the zone to which its placed tasks bind the rest."""
         machines = self.machines
         zones = (machines[name].zone for name in job.assigned.values() if name in machines)
         spec = with_zone_affinity(job.spec, zones)
@@ -92,16 +94,16 @@
         return spec
 
     def _count_under_limit(self, job: Job, requested_cpus: dict[str, float]) -> int | None:
-        """How many tasks of a job may request machines under its team's limit.
+        """Return how many tasks of a job may request machines under its team's limit.
 
-        Adds them to the team's `requested_cpus`. None: the limit doesn't allow the whole of a
-        gang, so it needs no machines.
+        Adds the job's tasks to the team's `requested_cpus`. None if the limit doesn't allow a whole
+        gang, which then needs no machines.
         """
         spec, count = job.spec, job.pending_count()
         free_quota = self.state.teams_by_name[spec.team].cpus_limit - requested_cpus[spec.team]
         if len(job.failed_on) >= MIN_MACHINES_OF_FAULTY_JOB and not spec.gang:
-            # Probably it has a mistake; but it must find capacity for retries while it is not
-            # cancelled.
+            # The job is probably faulty, but until it is cancelled it must find capacity for
+            # retries.
             count = 1
         requested_cpus[spec.team] += count * spec.cpus
         if spec.cpus > 0:
@@ -112,10 +114,11 @@
         return count
 
     def usage(self) -> dict[str, ResourceUsage]:
-        """What each team's tasks use, or may use: all that could run unseen counts for every team.
+        """Return what each team's tasks use or may use.
 
-        That is the free capacity of machines whose tasks are not all identified, and the whole of
-        machines of other shards that may hold tasks of this one.
+        Capacity that unidentified tasks may use counts for every team: the free capacity of
+        machines whose tasks are not all identified, and the whole capacity of machines of other
+        shards that may hold tasks of this shard.
         """
         state, types = self.state, self.types
         unidentified_cpus = unidentified_gpus = 0.0
@@ -137,9 +140,9 @@
     def is_startable(
         self, job: Job, now: float, unreported_kinds: set[MachineKind] | None = None
     ) -> bool:
-        """Whether tasks of a job may be started, whatever capacity there is.
+        """Whether tasks of a job may be started, regardless of capacity.
 
-        A caller with many jobs passes `unreported_kinds()`, so the machines are scanned once.
+        A caller with many jobs passes `unreported_kinds()`, so that the machines are scanned once.
         """
         state = self.state
         if now < job.backoff_until or job.gang_ending or job.cancelled:
@@ -148,8 +151,8 @@
             state.unreconciled or state.other_shard_machines
         ):
             return True
-        # Tasks of a job from before this ownership may still run on machines without a heartbeat
-        # since, but only on machines that the job allows and that can hold one of its tasks.
+        # Tasks of a job that is older than this assignment may still run on machines that have sent
+        # no heartbeat since, but only on machines that the job allows and that can hold a task.
         if unreported_kinds is None:
             unreported_kinds = self.unreported_kinds()
         return not any(self._may_hold(job.spec, kind) for kind in unreported_kinds)
@@ -164,7 +167,7 @@
         )
 
     def unreported_kinds(self) -> set[MachineKind]:
-        """The kinds of machines that may hold tasks which have not been reported yet."""
+        """Return the kinds of machines that may hold tasks which have not been reported yet."""
         kinds = set(self.state.other_shard_machines.values())
         for name in self.state.unreconciled:
             machine = self.machines[name]
@@ -172,7 +175,7 @@
         return kinds
 
     def claims(self) -> list[allocation.Claim]:
-        """What each team with work claims of the machines, by the mean of its latest tasks."""
+        """Return the capacity claim of each team with tasks, from the mean of its latest tasks."""
         claims = []
         task_counts: dict[str, int] = {}
         for job in self.state.own_jobs():
@@ -183,13 +186,13 @@
             recent = self.state.recent_tasks[team.name]
             if not recent or not task_counts.get(team.name):
                 continue
-            cpus, gpus, memory = (
+            cpus, gpus, memory_gb = (
                 sum(task[resource] for task in recent) / len(recent) for resource in range(3)
             )
             cap = float(task_counts[team.name])
             if cpus > 0:
                 cap = min(cap, team.cpus_limit / cpus)
             weight = allocation.weight_of_quota(team.cpus, team.gpus, self.has_gpu_quotas)
-            second = gpus if self.has_gpu_quotas else memory
-            claims.append(allocation.Claim(team.name, (cpus, second), weight, cap))
+            second_resource = gpus if self.has_gpu_quotas else memory_gb
+            claims.append(allocation.Claim(team.name, (cpus, second_resource), weight, cap))
         return claims
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -1,4 +1,4 @@
-"""Heartbeat timeouts: worker leases that have expired, and machines to be deleted."""
+"""Heartbeat timeouts: detects expired worker leases, and machines to be deleted."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.log_events import DeletionReason, LogEvent, LogLevel
 
-# The machines of an unresponsive zone are deleted after as many leases without contact.
+# Machines of an unresponsive zone are deleted after this many lease durations without contact.
 ZONE_OUTAGE_LEASES = 4.0
 
 
 @dataclass(slots=True)
 class MachineCounts:
-    """How many machines should send heartbeats, and how many of them are unresponsive."""
+    """Number of machines that should send heartbeats, and of the unresponsive ones among them."""
 
     unresponsive: int = 0
     total: int = 0
 
 
 class UnresponsiveMachines:
-    """Counts of the unresponsive machines, in all and in each zone."""
+    """Counts of unresponsive machines, in total and by zone."""
 
     def __init__(
         self, machines: Iterable[Machine], unreconciled: set[str], now: float, timeout_s: float
@@ -39,11 +39,11 @@
         self.total = sum(counts.total for counts in self.zones.values())
 
     def is_minority(self, zone: str) -> bool:
-        """Whether most other machines are responsive, in all and in the zone."""
+        """Whether at most a third of all machines is unresponsive, and the zone has no outage."""
         return self.unresponsive * 3 <= self.total and not self.is_zone_outage(zone)
 
     def is_zone_outage(self, zone: str) -> bool:
-        """Whether most of a zone is unresponsive, and more than a machine or two."""
+        """Whether more than half of a zone's machines, and more than two, are unresponsive."""
         counts = self.zones.get(zone)
         if counts is None:
             return False
@@ -57,7 +57,7 @@
         self.out, self.state, self.tasks = context.out, state, tasks
 
     def scan(self, now: float) -> None:
-        """Look at all machines once."""
+        """Check all machines for expired leases and for reasons to delete them."""
         state, timing = self.state, self.state.timing
         unresponsive = UnresponsiveMachines(
             state.machines.values(), state.unreconciled, now, timing.heartbeat_timeout_s
@@ -83,40 +83,40 @@
     def _deletion_reason(
         self, now: float, machine: Machine, expired: bool, unresponsive: UnresponsiveMachines
     ) -> DeletionReason | None:
-        """Why a machine should be deleted, if it should."""
+        """Return why a machine should be deleted; None if it should not."""
         timing = self.state.timing
         minority = unresponsive.is_minority(machine.zone)
         outage = unresponsive.is_zone_outage(machine.zone)
-        longest_s = ZONE_OUTAGE_LEASES * timing.lease_s if outage else timing.lease_s
+        max_silence_s = ZONE_OUTAGE_LEASES * timing.lease_s if outage else timing.lease_s
         if not machine.registered:
             if machine.recorded and self._never_registered(
-                now, machine, expired, minority, longest_s
+                now, machine, expired, minority, max_silence_s
             ):
                 return DeletionReason.NEVER_REGISTERED
         else:
             without_contact_s = now - machine.last_contact_at
             if without_contact_s > timing.unreachable_timeout_s and (
-                minority or without_contact_s > longest_s
+                minority or without_contact_s > max_silence_s
             ):
-                # One unresponsive machine among responsive ones: its deletion frees its tasks
-                # sooner than the expiry of its lease would. A whole zone is more likely partitioned
-                # than dead: its machines are worth more when it is back than new ones, whose
-                # heartbeats would reach no controller either.
+                # Deleting one unresponsive machine among responsive ones frees its tasks sooner
+                # than the expiry of its lease would. A whole unresponsive zone is more likely
+                # partitioned than dead: once it is reachable again, its machines are worth more
+                # than new ones, whose heartbeats would not reach a controller either.
                 return DeletionReason.HEARTBEAT_TIMEOUT
             if not machine.reconciled and now - machine.registered_at > timing.lease_s:
-                # It sends heartbeats, but for a whole lease no answer has reached it: its agent
-                # epoch has ended by then, and a machine that can be commanded is worth more.
+                # The machine sends heartbeats, but no answer has reached it for a whole lease. Its
+                # agent epoch has ended by then, and a machine that can be commanded is worth more.
                 return DeletionReason.ANSWERS_UNDELIVERED
         return DeletionReason.QUARANTINED if machine.quarantined and machine.is_empty() else None
 
     def _never_registered(
-        self, now: float, machine: Machine, expired: bool, minority: bool, longest_s: float
+        self, now: float, machine: Machine, expired: bool, minority: bool, max_silence_s: float
     ) -> bool:
-        """Whether a machine known by its record alone is deleted or partitioned.
+        """Whether a machine known only from its record has been deleted or partitioned.
 
-        It is, if it was unresponsive for longer than a worker takes to reach another controller
-        while others are responsive, or for a whole lease. Its record would hold up all older jobs,
-        and the next change of leader too.
+        It has if it was unresponsive for longer than a worker takes to reach another controller
+        while other machines are responsive, or for more than `max_silence_s`. If it were kept, its
+        record would block all older jobs, and the next change of leader too.
         """
         state, timing = self.state, self.state.timing
         unanswered_s = now - max(
@@ -127,4 +127,4 @@
             and unanswered_s > timing.unreachable_timeout_s
             and minority
         )
-        return unreachable or (expired and unanswered_s > longest_s)
+        return unreachable or (expired and unanswered_s > max_silence_s)
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: what they prove of a machine, and when they renew its lease."""
+"""Handling of worker heartbeats: what they prove of a machine, and when they renew its lease."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class HeartbeatHandler:
-    """Brings machines up to the heartbeats of their workers, and answers these.
+    """Applies worker heartbeats to the state of their machines, and answers them.
 
-    Invariant: of one machine, statuses are applied in the order of agent epoch and sequence; one
-    that is not newer than the last changes nothing but the time of the last answer.
+    Invariant: the statuses of a machine are applied in the order of agent epoch and sequence. A
+    status that is not newer than the last one changes nothing but the time of the last answer.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
     def on_heartbeat(
         self, now: float, heartbeat: WorkerHeartbeat, relayed: bool
     ) -> HeartbeatAnswer | None:
-        """Apply a worker's heartbeat; None when it must not be answered with 200.
+        """Apply a worker's heartbeat; None if it must not be answered with 200.
 
-        `relayed`: another controller forwarded it, since its worker doesn't reach this one.
+        `relayed`: another controller forwarded it because the worker can't reach this one.
         """
         machine = self.machines.get(heartbeat.machine)
         if machine is None or (
@@ -51,13 +51,13 @@
         ):
             return None
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence):
-            # A late copy: it changes nothing, and its answer carries no commands. What its answer
-            # could renew was sent before the newest message that has arrived.
-            newest = max(machine.last_heartbeat_at, machine.last_message_at)
-            machine.last_answer_at = max(machine.last_answer_at, newest)
+            # A late copy: it changes nothing, and its answer carries no commands. The answer can
+            # only renew a lease for a heartbeat sent before the newest message arrived.
+            newest_message_at = max(machine.last_heartbeat_at, machine.last_message_at)
+            machine.last_answer_at = max(machine.last_answer_at, newest_message_at)
             return HeartbeatAnswer(machine.token, [])
-        # A worker that reaches this controller again can be sent direct commands: a new machine's
-        # first heartbeat often arrives at another controller.
+        # Direct commands can be sent to a worker that reaches this controller again. A new
+        # machine's first heartbeat often arrives at another controller.
         machine.relayed_until = (
             now + 2 * self.timing.heartbeat_interval_s if relayed else float("-inf")
         )
@@ -65,8 +65,8 @@
         if self._must_not_renew_lease(now, machine):
             return None
         if machine.reconciled:
-            # Only two-way contact counts as contact with workers: a heartbeat alone may be a late
-            # copy.
+            # Only communication in both directions proves contact with workers: a heartbeat alone
+            # may be a late copy.
             self.state.last_heartbeat_at = now
         machine.last_answer_at = max(machine.last_answer_at, now)
         commands = self.commands.for_heartbeat(now, machine, heartbeat)
@@ -75,9 +75,9 @@
     def apply(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, unsolicited: bool
     ) -> None:
-        """Bring a machine's state up to a newer status.
+        """Update a machine's state from a newer status.
 
-        `unsolicited`: the worker has sent it by itself; else it is the answer to a direct command.
+        `unsolicited`: the worker sent it on its own, not to answer a direct command.
         """
         self._apply_agent_epoch(now, machine, heartbeat, unsolicited)
         self._apply_proofs(now, machine, heartbeat)
@@ -95,32 +95,34 @@
     def _apply_agent_epoch(
         self, now: float, machine: Machine, heartbeat: WorkerHeartbeat, unsolicited: bool
     ) -> None:
-        """Record the agent epoch, the sequence, and when the message arrived."""
+        """Record the agent epoch, the sequence, and the arrival time of the message."""
         if heartbeat.agent_epoch != machine.agent_epoch:
             if machine.agent_epoch:
-                # The tasks of the earlier epoch are gone. Whether the new epoch has had no other
-                # owner only a token can show: an earlier owner may have known it already.
+                # The tasks of the previous epoch are gone. Only a token can prove that the new
+                # epoch has had no other owner: an earlier owner may have known it already.
                 self.tasks.on_session_ended(now, machine)
             machine.agent_epoch = heartbeat.agent_epoch
-            # Its lease began before this was sent. Counted from the last answer in the epoch
-            # before, the expiry of that lease would free the tasks of the new one.
+            # The lease of the new epoch began before this heartbeat was sent. If expiry were still
+            # counted from the last answer in the previous epoch, it would free the tasks of the new
+            # one too early.
             machine.last_answer_at = max(machine.last_answer_at, now)
         machine.sequence = heartbeat.sequence
         machine.address = heartbeat.address
         machine.last_message_at = now
         if unsolicited or not machine.registered:
-            # Guards against a machine that can be commanded but can't send heartbeats: nothing
-            # renews its lease, so all tasks started there fail, and it must count as unresponsive.
+            # Once the machine is registered, answers to direct commands don't count. A machine that
+            # can be commanded but can't send heartbeats must count as unresponsive: nothing renews
+            # its lease, so all tasks started there fail.
             machine.last_heartbeat_at = now
         if not machine.registered:
             machine.registered, machine.registered_at, machine.idle_since = True, now, now
             self.state.dirty = True
 
     def _apply_proofs(self, now: float, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
-        """Apply the cloud's interruption notice, and what the token proves."""
+        """Apply the cloud's interruption notice, and the proofs that the token gives."""
         if heartbeat.notice_s is not None and machine.interruption_at is None:
-            until = machine.interruption_at = now + heartbeat.notice_s
-            self.evictions.on_interruption_notice(now, machine, until - now)
+            interruption_at = machine.interruption_at = now + heartbeat.notice_s
+            self.evictions.on_interruption_notice(now, machine, interruption_at - now)
         if machine.unreachable_since is not None and heartbeat.token >= machine.probe_token:
             machine.unreachable_since, self.state.dirty = None, True
         if not machine.reconciled and heartbeat.token >= machine.base_token:
@@ -129,11 +131,11 @@
             self.state.dirty = True
 
     def _must_not_renew_lease(self, now: float, machine: Machine) -> bool:
-        """Whether a machine has tasks whose jobs may be completed or cancelled unseen.
+        """Whether a machine has tasks whose jobs may have been completed or cancelled unnoticed.
 
-        To renew its lease would keep them running. One owner may do so for a moment, until its
-        watch cache is synced; but owners that succeed one another while the state service is
-        unavailable would do it for good, and a job cancelled before that would run past any bound.
+        Renewing its lease would keep these tasks running. A single owner may do so briefly, until
+        its watch cache is synced. But a succession of owners during an outage of the state service
+        would renew it indefinitely, and a job cancelled before would run past any bound.
         """
         if self.state.ready or now - self.context.consistent_at() < self.timing.lease_s / 4:
             return False
--- a/src/copperpass/core/scheduling/job_results.py
+++ b/src/copperpass/core/scheduling/job_results.py
@@ -1,4 +1,4 @@
-"""Completions of tasks and jobs: storing them, and cleaning up after a completed job."""
+"""Stores the completions of tasks and jobs, and cleans up after completed jobs."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from copperpass.protocol.records import completed_job_value
 from copperpass.protocol.users import JobState
 
-# The part of a record's size limit that is used: sizes are estimates.
+# Fraction of a record's size limit that is used, because record sizes are estimates.
 RECORD_FILL_RATIO = 0.8
-# Completions are batched for the time that as many writes take at the lowest write rate.
+# Completions are batched for at least the time of this many writes at the lowest write rate.
 BATCHED_WRITES = 4
 
 
 class JobResults:
-    """Stores completions; a job is completed when all of its tasks are."""
+    """Stores completions; a job is completed when all of its tasks are completed."""
 
     def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
         self.context, self.state, self.tasks = context, state, tasks
@@ -72,14 +72,15 @@
         self.context.transactions.submit(now, operation)
 
     def store_outstanding(self, now: float) -> None:
-        """Store all completions that are not stored, nor being stored."""
+        """Store all completions that are neither stored nor being stored."""
         for job in self.state.own_jobs():
-            # Also a job whose completions were all stored by an earlier owner, but not its own.
+            # This includes jobs for which an earlier owner stored the completions of all tasks, but
+            # not that of the job itself.
             if (job.unstored or job.all_completed()) and not job.completion_in_flight:
                 self.store(now, job)
 
     def on_job_completed(self, now: float, job: Job) -> None:
-        """The job's record is deleted: no task of it may start, and all of them are stopped."""
+        """Stop all tasks of a job whose record is deleted, and start no more of them."""
         if not self.context.schedules_team(job.spec.team):
             return
         self.completions.remove(job)
@@ -88,7 +89,7 @@
         self.state.dirty = True
 
     def on_job_cancelled(self, now: float, job: Job) -> None:
-        """A job's cancellation is stored, though the watch cache may lag behind: stop its tasks."""
+        """Stop the tasks of a job whose cancellation is stored; the watch cache may lag behind."""
         if self.context.schedules_team(job.spec.team):
             self.tasks.stop_all(now, job, StopReason.CANCELLED)
             self.state.dirty = True
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -35,7 +35,7 @@
     reconciled: bool = False
     # The machine has tasks of another shard.
     holds_other_shard: bool = False
-    # The machine is to be released to the leader as soon as it has no tasks.
+    # The machine is to be released to the leader as soon as it is empty.
     draining: bool = False
     # Since when commands may fail to arrive (None: they arrive), and the token with which a
     # heartbeat proves that they do again.
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of machines: assigned by the leader's routing table, released, and their statuses."""
+"""Ownership of machines: assignment by the leader's routing table, release, and statuses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Ownership:
-    """Follows the leader's routing table, and produces the statuses that the leader gets."""
+    """Applies the leader's routing table, and produces the machine statuses sent to the leader."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.machines = state.machines
 
     def on_route(self, now: float, route: MachineRoute) -> None:
-        """The leader's routing table has a new route for a machine."""
+        """Apply a new route for a machine from the leader's routing table."""
         state, name = self.state, route.name
         machine = self.machines.get(name)
         last_status = state.released.get(name)
@@ -52,7 +52,7 @@
         if route.recorded and not machine.recorded:
             machine.recorded, state.dirty = True, True
         if route.failed and not machine.failed:
-            # It has terminated on its own: nothing runs there any more.
+            # The machine has terminated on its own, so no task runs there any more.
             machine.failed = True
             state.unreconciled.discard(name)
             self.tasks.on_session_ended(now, machine)
@@ -60,11 +60,11 @@
             self._release_or_drain(now, machine, route.drain)
 
     def _on_other_route(self, now: float, route: MachineRoute, machine: Machine | None) -> None:
-        """The machine is assigned to another shard, or deleted."""
+        """Apply the route of a machine that is assigned to another shard, or deleted."""
         if route.deleted and machine is not None:
             self._on_machine_deleted(now, machine)
-        other_shard = route.shard != self.context.shard and not route.deleted
-        if route.occupancy == Occupancy.ANY_SHARD and other_shard and not route.failed:
+        in_other_shard = route.shard != self.context.shard and not route.deleted
+        if route.occupancy == Occupancy.ANY_SHARD and in_other_shard and not route.failed:
             self.state.other_shard_machines[route.name] = (route.type, route.zone, route.spot)
         elif self.state.other_shard_machines.pop(route.name, None) is not None:
             self.state.dirty = True
@@ -72,8 +72,8 @@
     def _discard(self, now: float, machine: Machine) -> None:
         """Discard the state of a machine from an earlier assignment.
 
-        The grant of the shard arrived before the route: with the earlier token, the machine's
-        heartbeats would be refused for good.
+        The grant of the shard arrived before the route. With the earlier token, the machine's
+        heartbeats would be refused permanently.
         """
         for placement in list(machine.tasks.values()):
             self.tasks.remove(now, machine, placement)
@@ -95,18 +95,18 @@
         if route.contact is not None:
             machine.address, machine.agent_epoch = route.contact.address, route.contact.agent_epoch
         if route.proven_empty and route.contact is not None:
-            # Proven empty by its last owner: tasks may start at once.
+            # The last owner has proven the machine empty, so tasks may start at once.
             machine.sequence = route.contact.sequence
             machine.reconciled = machine.registered = True
             machine.registered_at = machine.last_heartbeat_at = machine.last_answer_at = now
         elif route.recorded and route.occupancy != Occupancy.EMPTY:
-            # An earlier owner may have answered the worker up to this moment, or may yet.
+            # An earlier owner may have answered the worker until now, and may still answer it.
             machine.last_answer_at = now + self.state.timing.ownership_overlap_s
             self.state.unreconciled.add(route.name)
         return machine
 
     def _release_or_drain(self, now: float, machine: Machine, drain: bool) -> None:
-        """The leader reclaims a machine: release it if proven empty, else drain it if `drain`."""
+        """Release a reclaimed machine if it is proven empty; otherwise drain it if `drain`."""
         if self.state.release_if_empty(machine) or not drain:
             return
         machine.draining = True
@@ -118,7 +118,7 @@
         self.commands.send(now, machine)
 
     def _on_machine_deleted(self, now: float, machine: Machine) -> None:
-        """The cloud has confirmed the deletion: the machine and all tasks on it are gone."""
+        """Remove a machine, and all tasks on it, after the cloud has confirmed its deletion."""
         machine.draining = False
         self.state.unreconciled.discard(machine.name)
         self.tasks.on_session_ended(now, machine)
@@ -127,13 +127,13 @@
         self.context.images.pop(machine.name, None)
 
     def statuses(self, now: float) -> list[MachineStatus]:
-        """The statuses of machines that have changed since they were last sent to the leader.
+        """Return the machine statuses that have changed since they were last sent to the leader.
 
-        Those of released machines are repeated until the leader has reassigned them.
+        The statuses of released machines are repeated until the leader has reassigned them.
         """
         statuses = list(self.state.released.values())
         for machine in self.machines.values():
-            # Capacity that is reserved for a gang must not count as idle and be reclaimed.
+            # Capacity reserved for a gang must not count as idle, or the leader would reclaim it.
             idle = (
                 machine.registered
                 and machine.recorded
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -165,11 +165,14 @@
         else:
             machine.backoff_until = now + 2 * timing.heartbeat_interval_s
 
-    def _quarantine(self, now: float, machine: Machine, failed_job_count: int) -> None:
+    def _quarantine(self, now: float, machine: Machine, failed_sound_job_count: int) -> None:
         """Start no more tasks on a faulty machine, and stop those that don't run there yet."""
         machine.quarantined = True
         self.out.log(
-            LogLevel.INFO, LogEvent.MACHINE_QUARANTINED, machine=machine.name, jobs=failed_job_count
+            LogLevel.INFO,
+            LogEvent.MACHINE_QUARANTINED,
+            machine=machine.name,
+            jobs=failed_sound_job_count,
         )
         for placement in machine.tasks.values():
             if placement.active and placement.stop_grace_s is None and not placement.running_at:
