--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -149,15 +149,15 @@
 
     @staticmethod
     def _has_changed(machine: Machine, idle: bool, reconciled: bool) -> bool:
-        last = machine.last_status
+        last_status = machine.last_status
         return (
-            last is None
-            or last.base_token != machine.base_token
-            or last.registered != machine.registered
-            or last.idle != idle
-            or last.reconciled != reconciled
-            or last.deletion_requested != machine.deletion_requested
-            or last.used_cpus != machine.used_cpus
+            last_status is None
+            or last_status.base_token != machine.base_token
+            or last_status.registered != machine.registered
+            or last_status.idle != idle
+            or last_status.reconciled != reconciled
+            or last_status.deletion_requested != machine.deletion_requested
+            or last_status.used_cpus != machine.used_cpus
             or machine.last_status_epoch != machine.agent_epoch
         )
 
