--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -73,7 +73,7 @@
         bench.scheduler.heartbeats.apply(
             bench.now, machine, bench.message([], sequence=bench.sequence + second), False
         )
-    assert not machine.usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
+    assert not machine.is_usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
     bench.scheduler.worker_heartbeat(bench.now, bench.message([], sequence=1))
     assert machine.last_answer_at == bench.now
@@ -153,10 +153,10 @@
 
 
 def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
-    # Holds `overlap_s`: the leader restarted at once, and that owner had not seen it.
+    # Holds `ownership_overlap_s`: the leader restarted at once, and that owner had not seen it.
     bench = SchedulerBench()
     bench.add(version=40)
-    bench.scheduler.timing.overlap_s = 1.5
+    bench.scheduler.timing.ownership_overlap_s = 1.5
     machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.scheduler.scan(bench.now + 1.4 + bench.scheduler.timing.lease_s)
     assert machine.name in bench.scheduler.unreconciled
