--- a/src/copperpass/core/autoscaling/__init__.py
+++ b/src/copperpass/core/autoscaling/__init__.py
@@ -1,8 +1,9 @@
-"""The leader's control loop: which machines are provisioned, assigned and released.
+"""The leader's control loop: provisions machines, assigns them to shards and releases them.
 
-`cluster_manager` runs it for one term; `planner` makes a plan four times per heartbeat interval:
-`demand` is measured, the fleet allocated (`allocation_plan`), capacity requests are served
-(`placement_plan`), warm capacity is kept (`warm_capacity`), and the machines of the
-`scale_out_plan` are requested (`instance_requests`). `machine_tracking` and `cloud_listing` follow
-what becomes of machines. The rest are the rules that these use.
+`cluster_manager` runs the loop for one term. Up to four times per heartbeat interval, `planner`
+makes a plan: it measures the demand (`demand`), allocates the fleet among teams
+(`allocation_plan`), serves the shards' capacity requests (`placement_plan`), maintains warm
+capacity (`warm_capacity`), and requests the machines of the `scale_out_plan` from the cloud
+(`instance_requests`). `machine_tracking` and `cloud_listing` follow the lifecycle of each machine.
+The other modules hold the data types and rules that these use.
 """
--- a/src/copperpass/core/autoscaling/allocation_plan.py
+++ b/src/copperpass/core/autoscaling/allocation_plan.py
@@ -1,4 +1,4 @@
-"""The allocation of the whole fleet among teams, and how much of it each shard has."""
+"""Allocates the fleet among teams and computes how far each shard is from its allocation."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True)
 class RemainingWork:
-    """What a team has left to do: tasks, their CPUs, and the other resource of the allocation.
+    """A team's tasks that are not completed, with their total CPUs and second resource.
 
-    That is GPUs where the deployment has them, else memory in GB.
+    The second resource is GPUs if the deployment has GPU quotas, otherwise memory in GB.
     """
 
     tasks: float = 0.0
@@ -24,7 +24,7 @@
 
 
 def remaining_by_team(cluster: Cluster, jobs: Iterable[Job]) -> dict[str, RemainingWork]:
-    """The remaining work of each team that has jobs."""
+    """Sum up the remaining work of each team that has jobs."""
     teams: dict[str, RemainingWork] = {}
     has_gpu_quotas = cluster.has_gpu_quotas
     for job in jobs:
@@ -38,9 +38,9 @@
 
 
 def allocate(
-    cluster: Cluster, serving: list[ManagedMachine], remaining: dict[str, RemainingWork]
+    cluster: Cluster, active_machines: list[ManagedMachine], remaining: dict[str, RemainingWork]
 ) -> allocation.Allocation:
-    """Bottleneck-aware allocation of all machines among the teams that have work left."""
+    """Allocate all active machines, bottleneck-aware, among the teams with remaining work."""
     has_gpu_quotas = cluster.has_gpu_quotas
     claims = []
     for team in cluster.teams:
@@ -50,29 +50,35 @@
         tasks, cpus = work.tasks, work.cpus
         max_tasks = min(tasks, team.cpus_limit * tasks / cpus) if cpus > 0 else tasks
         weight = allocation.weight_of_quota(team.cpus, team.gpus, has_gpu_quotas)
-        per_task = (cpus / tasks, work.second_resource / tasks)
-        claims.append(allocation.Claim(team.name, per_task, weight, max_tasks))
+        resources_per_task = (cpus / tasks, work.second_resource / tasks)
+        claims.append(allocation.Claim(team.name, resources_per_task, weight, max_tasks))
     capacity = (
-        sum(machine.type.cpus for machine in serving),
-        sum(m.type.gpus if has_gpu_quotas else m.type.memory_gb for m in serving),
+        sum(machine.type.cpus for machine in active_machines),
+        sum(
+            machine.type.gpus if has_gpu_quotas else machine.type.memory_gb
+            for machine in active_machines
+        ),
     )
     return allocation.allocate(claims, capacity)
 
 
-def fullness(
+def allocation_ratio(
     shard: Shard,
-    serving: list[ManagedMachine],
+    active_machines: list[ManagedMachine],
     remaining: dict[str, RemainingWork],
     allocated: allocation.Allocation,
 ) -> float:
-    """A shard's CPUs as a part of its allocation; infinite without one.
+    """Return the ratio of a shard's CPUs to its allocated CPUs; infinite if it has no allocation.
 
-    The shard with the lowest is served first: it is the furthest below its allocation.
+    The planner serves the shard with the lowest ratio first: it is the furthest below its
+    allocation.
     """
-    cpus = sum(machine.type.cpus for machine in serving if machine.route.shard == shard.number)
-    work = [remaining[team] for team in shard.teams if team in remaining]
-    tasks_left = sum(team.tasks for team in work)
-    cpus_left = sum(team.cpus for team in work)
+    cpus = sum(
+        machine.type.cpus for machine in active_machines if machine.route.shard == shard.number
+    )
+    shard_work = [remaining[team] for team in shard.teams if team in remaining]
+    remaining_tasks = sum(work.tasks for work in shard_work)
+    remaining_cpus = sum(work.cpus for work in shard_work)
     allocated_tasks = sum(allocated.tasks.get(team, 0.0) for team in shard.teams)
-    target_cpus = cpus_left * allocated_tasks / tasks_left if tasks_left > 0 else 0.0
+    target_cpus = remaining_cpus * allocated_tasks / remaining_tasks if remaining_tasks > 0 else 0.0
     return cpus / target_cpus if target_cpus > 0 else float("inf")
--- a/src/copperpass/core/autoscaling/bin_packing.py
+++ b/src/copperpass/core/autoscaling/bin_packing.py
@@ -1,4 +1,4 @@
-"""Bin packing of pending tasks into free capacity, to find how many tasks no machine can take."""
+"""Packs pending tasks into free capacity to find how many tasks no machine can take."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Packing(NamedTuple):
-    """Tasks of a gang that could be packed into one machine's free capacity."""
+    """The number of a gang's tasks to pack into one machine's free capacity."""
 
     capacity: FreeCapacity
     tasks: int
 
 
 def with_zone_affinity(spec: JobSpec, zones: Iterable[str]) -> JobSpec:
-    """A job's shape as it can still be placed: all in one zone, where its other tasks are.
+    """Pin a one-zone job to the first of the zones in which its other tasks are placed.
 
-    Capacity that is counted or provisioned in another zone is of no use to it: machines booted,
-    idled and were returned.
+    The job cannot use capacity in another zone. When such capacity was counted or provisioned for
+    it, machines booted, idled and were released again.
     """
     if not spec.one_zone or spec.zone is not None:
         return spec
@@ -41,7 +41,7 @@
     horizon: float,
     excluded_types: set[str],
 ) -> int:
-    """First-fit packing of tasks that may start within the horizon; returns how many are left."""
+    """Pack tasks first-fit, to start within `horizon` seconds; returns how many do not fit."""
     for capacity in capacities:
         if count <= 0:
             break
@@ -57,9 +57,10 @@
     horizon: float,
     excluded_types: set[str],
 ) -> int:
-    """Pack all tasks of a gang or none of them; returns how many are left.
+    """Pack all tasks of a gang, to start within `horizon` seconds, or none of them.
 
-    A gang of one zone takes the first zone, by name, that can hold it.
+    A one-zone gang takes the first zone, in order of names, that has capacity for all its tasks.
+    Returns the number of tasks that are not packed: 0 or `count`.
     """
     zones: dict[str, list[FreeCapacity]] = {}
     for capacity in capacities:
@@ -80,24 +81,24 @@
 def _gang_packings(
     capacities: list[FreeCapacity], spec: JobSpec, count: int, horizon: float
 ) -> list[Packing] | None:
-    """Where all tasks of a gang fit; None if they don't. Changes nothing."""
-    # A gang that is to be spread has at most half of its tasks in a zone.
+    """Find capacity for all tasks of a gang without reserving it; None if they do not all fit."""
+    # A gang with `spread` has at most half of its tasks, rounded up, in one zone.
     max_per_zone = (spec.tasks + 1) // 2 if spec.spread else count
     packings: list[Packing] = []
     packed_by_zone: dict[str, int] = {}
-    left = count
+    unpacked = count
     for capacity in capacities:
         packed = packed_by_zone.get(capacity.zone, 0)
-        tasks = min(capacity.feasible_tasks(spec, left, horizon), max_per_zone - packed)
+        tasks = min(capacity.feasible_tasks(spec, unpacked, horizon), max_per_zone - packed)
         if tasks > 0:
             packings.append(Packing(capacity, tasks))
             packed_by_zone[capacity.zone] = packed + tasks
-            left -= tasks
-    return packings if left <= 0 else None
+            unpacked -= tasks
+    return packings if unpacked <= 0 else None
 
 
 def without_exhausted(capacities: list[FreeCapacity], smallest_cpus: float) -> list[FreeCapacity]:
-    """The machines that the smallest pending task may still fit at some time."""
+    """Keep the machines that can hold `smallest_cpus` once their running tasks have completed."""
     return [
         capacity
         for capacity in capacities
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines: machines that the records lack, addresses, and failures."""
+"""Reads the cloud's list of machines to find unrecorded machines, addresses and failures."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class CloudListing:
-    """Reads the list page by page, one reading at a time, within the budget of calls."""
+    """Lists the cloud's machines page by page.
+
+    One listing runs at a time. Its first page takes a token from the budget of calls to the cloud.
+    """
 
     def __init__(
         self,
@@ -26,33 +29,33 @@
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
         self.out, self.cloud = context.out, context.cluster.cloud
-        self.next_reading_at = state.elected_at
-        self.reading = False
+        self.next_listing_at = state.elected_at
+        self.listing_in_progress = False
 
     def tick(self, now: float) -> None:
-        """Start a reading when one is due."""
-        if now < self.next_reading_at or self.reading:
+        """Start a listing when one is due and the call budget allows it."""
+        if now < self.next_listing_at or self.listing_in_progress:
             return
         if not self.instance_requests.call_budget.take(now, 1.0):
             return
-        self.reading = True
-        self.next_reading_at = now + max(self.cloud.list_lag_s / 2, 4 / self.cloud.rps)
+        self.listing_in_progress = True
+        self.next_listing_at = now + max(self.cloud.list_lag_s / 2, 4 / self.cloud.rps)
         self._read_page("")
 
     def _read_page(self, after: str) -> None:
-        """Request the machines whose names come after one."""
+        """Request the page of machines whose names sort after `after`; empty for the first page."""
 
         def on_done(done_at: float, outcome: CallOutcome) -> None:
             page = decode(outcome.body, MachineList) if outcome.status == 200 else None
             if page is None or not self.state.ready:
-                self.reading = False
+                self.listing_in_progress = False
                 return
             for item in page.machines:
                 self._on_listed(done_at, item)
             if page.more and page.machines:
                 self._read_page(page.machines[-1].id)
                 return
-            self.reading = False
+            self.listing_in_progress = False
 
         call = Call(
             ExternalService.CLOUD, "GET", machines_path(after), on_done, b"", CALL_TIMEOUT_S
@@ -60,7 +63,7 @@
         self.out.calls.append(call)
 
     def _on_listed(self, now: float, item: ListedMachine) -> None:
-        """Record what the list says of a machine."""
+        """Add a machine that is not recorded; record its address; release it if it has failed."""
         state, records = self.state, self.records
         if item.id in state.deleted_at or item.type not in state.types:
             return
@@ -73,7 +76,7 @@
         if item.address and machine.route.contact is None:
             records.record_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.route.failed:
-            # It has stopped on its own: nothing runs there any more.
+            # The machine has stopped without a request to delete it, so no task runs on it.
             records.set_route(
                 machine, replace(machine.route, failed=True, occupancy=Occupancy.EMPTY)
             )
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -1,4 +1,4 @@
-"""The leader's control loop: ownership of shards and machines, scale out and scale in."""
+"""Runs the leader's control loop: ownership of shards and machines, scale-out and scale-in."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 class ClusterManager:
-    """Manages the cluster for one term; a new one is made for each term that isn't a continuation.
+    """Manages the cluster for one term of the leader.
 
-    Until `begin` it assigns no shard, provisions nothing and only reads the inventory; from then on
-    it is the inventory's only writer.
+    Every term gets a new manager, except that a term which continues the previous one keeps its
+    manager if there is a single shard. Before `begin` the manager assigns no shards, provisions no
+    machines and only reads the inventory. From `begin` on it is the only writer of the inventory.
     """
 
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
@@ -51,11 +52,11 @@
         self.inventory.on_marks_stored = self.records.mark_recorded
         self.paged = self.inventory.paged
 
-    # -- state for other parts ---------------------------------------------------------------
+    # -- state for other modules -------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Whether the term has begun."""
+        """Whether `begin` has been called, that is, whether the manager may act."""
         return self.state.ready
 
     @property
@@ -73,17 +74,20 @@
         self.state.boot_s = seconds
 
     def token_version(self) -> int:
-        """The version of the fencing token that guards this term's writes."""
+        """Return the version of the fencing token key, which guards this term's writes."""
         return self.state.token_version()
 
     def assignments(self) -> tuple[ShardAssignment, ...]:
-        """Which member owns which shard."""
+        """Return the current assignment of each shard that has an owner."""
         return self.state.assignments()
 
     # -- start of a term ---------------------------------------------------------------------
 
     def begin(self, now: float) -> None:
-        """The watch cache has caught up with the election: restore machines and requests."""
+        """Start acting: restore machines and resume stored instance requests.
+
+        Called once the watch cache has caught up with the election.
+        """
         self.state.ready = True
         self.records.restore(now)
         self.instance_requests.resume(now)
@@ -92,10 +96,10 @@
     def on_inventory_event(
         self, cached: CachedInventory, key: str = INVENTORY_KEY, version: int = 0
     ) -> None:
-        """An inventory record has changed, by the watch.
+        """Apply a watch event for an inventory record or page.
 
-        Until this term begins it may be a late write of an earlier leader's; afterwards only this
-        leader can have made it.
+        Before `begin`, the event may come from a late write of an earlier leader. After `begin`,
+        only this leader can have made the write.
         """
         number = page_number(key)
         if not self.state.ready:
@@ -106,43 +110,46 @@
             self.inventory.on_page_event(number, version, number in cached.pages)
 
     def defer_until_previous_grants_end(self, previous: ClusterManager) -> None:
-        """Assign no shard while a grant of this leader's own earlier term may be valid."""
+        """Defer assignments while a grant from this leader's previous term may still be valid."""
         self.grants.defer_until_previous_grants_end(previous.members)
 
     # -- frames and heartbeats ---------------------------------------------------------------
 
     def on_grant_request(self, now: float, sender: str, request: GrantRequest) -> Grant | None:
-        """A member asks to have its grants extended; None where it must not be answered."""
+        """Extend a member's grants; returns None if the request must not be answered."""
         return self.grants.on_grant_request(now, sender, request)
 
     def on_machine_statuses(
         self, now: float, sender: str, statuses: Iterable[MachineStatus]
     ) -> None:
-        """An owner has replicated statuses of its machines."""
+        """Apply the machine statuses that an owner has replicated."""
         self.machine_tracker.on_machine_statuses(now, sender, statuses)
 
     def on_zone_affinities(self, frame: ZoneAffinities) -> None:
-        """An owner reports which jobs are tied to a zone; earlier versions don't."""
+        """Store which jobs of a shard are tied to a zone; earlier versions do not report this."""
         shard = self.shards.get(frame.shard)
         if shard is not None:
             shard.zone_affinities = dict(frame.zones)
 
     def on_capacity_requests(self, now: float, frame: CapacityRequests) -> None:
-        """An owner reports tasks that its machines have no capacity for in time."""
+        """Handle an owner's report of tasks that its machines cannot start in time."""
         self.planner.on_capacity_requests(now, frame)
 
     def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
-        """A machine without an owner has sent a heartbeat: assign it to a shard."""
+        """Assign a machine that has no owner to a shard, on its heartbeat."""
         self.machine_tracker.on_unowned_heartbeat(now, heartbeat)
 
     # -- time --------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Run every part that is due; steps down where this term can't go on."""
+        """Run every component that is due; step down if this term cannot continue.
+
+        It cannot continue without handovers left, nor with an inventory write of unknown outcome.
+        """
         if not self.state.ready or not self.election.has_authority(now):
             return
         if self.records.handovers_exhausted():
-            # Only a new term has tokens for more handovers.
+            # Only a new term, with a higher epoch, has base tokens for more handovers.
             self.election.step_down(now, StepDownReason.HANDOVERS_EXHAUSTED)
             return
         if self.inventory.blocked():
@@ -152,16 +159,16 @@
         self.grants.rebalance(now)
         self.grants.assign_free_shards(now)
         self.inventory.tick(now)
-        self._log_paged_once()
+        self._log_migration_once()
         self.cloud_listing.tick(now)
         if self.planner.due(now):
             self.planner.plan(now)
             self.machine_tracker.sweep(now)
 
-    def _log_paged_once(self) -> None:
-        """Log the inventory's migration from one record to pages, once."""
+    def _log_migration_once(self) -> None:
+        """Log once that the inventory has been migrated from a single record to pages."""
         if self.inventory.paged and not self.paged:
-            # From here on a version that reads the single record alone can't lead any more.
+            # From now on, members of versions that read only the single record cannot lead.
             self.paged = True
             self.out.log(
                 LogLevel.INFO, LogEvent.INVENTORY_MIGRATED, pages=len(self.inventory.pages)
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -126,8 +126,8 @@
         counts: dict[int, int] = {}
         for task in heartbeat.tasks:
             job = self.jobs.jobs.get(task.task.rpartition("/")[0])
-            if job is not None and job.spec.team in self.state.shard_of:
-                number = self.state.shard_of[job.spec.team]
+            if job is not None and job.spec.team in self.state.shard_by_team:
+                number = self.state.shard_by_team[job.spec.team]
                 counts[number] = counts.get(number, 0) + 1
         if counts:
             return max(counts, key=lambda number: counts[number])
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from copperpass.core.autoscaling.allocation_plan import allocate, fullness, remaining_by_team
+from copperpass.core.autoscaling.allocation_plan import (
+    allocate,
+    allocation_ratio,
+    remaining_by_team,
+)
 from copperpass.core.autoscaling.demand import Demand, DemandTracker, WarmTargets
 from copperpass.core.autoscaling.instance_requests import InstanceRequests
 from copperpass.core.autoscaling.machine_records import MachineRecords
@@ -98,7 +102,7 @@
         allocated = allocate(self.cluster, serving, remaining)
         shards = sorted(
             state.shards.values(),
-            key=lambda shard: fullness(shard, serving, remaining, allocated),
+            key=lambda shard: allocation_ratio(shard, serving, remaining, allocated),
         )
         # Not while a machine may hold tasks of any shard, as after a failover.
         if not any(machine.route.occupancy == Occupancy.ANY_SHARD for machine in serving):
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -188,7 +188,7 @@
         self.members: dict[str, MemberState] = {}
         self.members[self.member] = MemberState(context.incarnation, now, now, float("inf"))
         # By team.
-        self.shard_of = context.shards
+        self.shard_by_team = context.shards
         self.shards: dict[int, Shard] = {}
         for team, number in context.shards.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
