--- a/src/copperpass/core/autoscaling/bin_packing.py
+++ b/src/copperpass/core/autoscaling/bin_packing.py
@@ -38,15 +38,15 @@
     capacities: list[FreeCapacity],
     spec: JobSpec,
     count: int,
-    horizon: float,
+    horizon_s: float,
     excluded_types: set[str],
 ) -> int:
-    """Pack tasks first-fit, to start within `horizon` seconds; returns how many do not fit."""
+    """Pack tasks first-fit, to start within `horizon_s` seconds; returns how many do not fit."""
     for capacity in capacities:
         if count <= 0:
             break
         if capacity.machine_type.name not in excluded_types:
-            count -= capacity.reserve(spec, count, horizon)
+            count -= capacity.reserve(spec, count, horizon_s)
     return count
 
 
@@ -54,10 +54,10 @@
     capacities: list[FreeCapacity],
     spec: JobSpec,
     count: int,
-    horizon: float,
+    horizon_s: float,
     excluded_types: set[str],
 ) -> int:
-    """Pack all tasks of a gang, to start within `horizon` seconds, or none of them.
+    """Pack all tasks of a gang, to start within `horizon_s` seconds, or none of them.
 
     A one-zone gang takes the first zone, in order of names, that has capacity for all its tasks.
     Returns the number of tasks that are not packed: 0 or `count`.
@@ -70,16 +70,16 @@
         if satisfies_constraints(spec, machine_type, capacity.zone, capacity.spot):
             zones.setdefault(capacity.zone if spec.one_zone else "", []).append(capacity)
     for zone in sorted(zones):
-        packings = _gang_packings(zones[zone], spec, count, horizon)
+        packings = _gang_packings(zones[zone], spec, count, horizon_s)
         if packings is not None:
             for packing in packings:
-                packing.capacity.reserve(spec, packing.tasks, horizon)
+                packing.capacity.reserve(spec, packing.tasks, horizon_s)
             return 0
     return count
 
 
 def _gang_packings(
-    capacities: list[FreeCapacity], spec: JobSpec, count: int, horizon: float
+    capacities: list[FreeCapacity], spec: JobSpec, count: int, horizon_s: float
 ) -> list[Packing] | None:
     """Find capacity for all tasks of a gang without reserving it; None if they do not all fit."""
     # A gang with `spread` has at most half of its tasks, rounded up, in one zone.
@@ -89,7 +89,7 @@
     unpacked = count
     for capacity in capacities:
         packed = packed_by_zone.get(capacity.zone, 0)
-        tasks = min(capacity.feasible_tasks(spec, unpacked, horizon), max_per_zone - packed)
+        tasks = min(capacity.feasible_tasks(spec, unpacked, horizon_s), max_per_zone - packed)
         if tasks > 0:
             packings.append(Packing(capacity, tasks))
             packed_by_zone[capacity.zone] = packed + tasks
--- a/src/copperpass/core/autoscaling/free_capacity.py
+++ b/src/copperpass/core/autoscaling/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity: what machines can offer to pending tasks, now and within a horizon."""
+"""The capacity of machines for pending tasks: free now, or expected free within a horizon."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from copperpass.protocol.users import JobSpec
 from copperpass.protocol.workers import TaskState
 
-# What a running task will release: seconds until then, CPUs, GPUs, memory in GB. A plain tuple,
-# since one is made for every running task whenever a scheduler measures its unmet demand.
+# Resources that a running task will release: seconds until then, CPUs, GPUs, memory in GB. A plain
+# tuple for speed: one is created per running task whenever a scheduler measures its unmet demand.
 ExpectedRelease = tuple[float, float, float, float]
 
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """What one machine offers to pending tasks; decreases as tasks are packed into it."""
+    """One machine's capacity for pending tasks; decreases as tasks are packed into it."""
 
     machine_type: MachineType
     zone: str
@@ -32,34 +32,34 @@
     gpus: float
     memory_gb: float
     expected_releases: list[ExpectedRelease]
-    # The CPUs that are free once all that runs on the machine has completed.
+    # The CPUs that are free once all tasks running on the machine have completed.
     max_cpus: float = 0.0
 
     def __post_init__(self) -> None:
         self.max_cpus = self.cpus + sum(release[1] for release in self.expected_releases)
 
-    def feasible_tasks(self, spec: JobSpec, limit: int, horizon: float) -> int:
-        """How many tasks, up to `limit`, fit here if they may start within `horizon` seconds."""
+    def feasible_tasks(self, spec: JobSpec, limit: int, horizon_s: float) -> int:
+        """Count the tasks, up to `limit`, that can start here within `horizon_s` seconds."""
         if limit <= 0 or spec.cpus > self.max_cpus + CAPACITY_TOLERANCE:
             return 0
         if not satisfies_constraints(spec, self.machine_type, self.zone, self.spot):
             return 0
         cpus, gpus, memory_gb = self.cpus, self.gpus, self.memory_gb
         for seconds, released_cpus, released_gpus, released_memory_gb in self.expected_releases:
-            if seconds <= horizon:
+            if seconds <= horizon_s:
                 cpus += released_cpus
                 gpus += released_gpus
                 memory_gb += released_memory_gb
-        # As `slots_in`, without a call: this runs for each pending job and each machine.
+        # Inlined from `slots_in` for speed: this runs for each pending job and each machine.
         tasks = limit
-        for need, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
-            if need > 0:
-                tasks = min(tasks, int((free + CAPACITY_TOLERANCE) / need))
+        for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
+            if needed > 0:
+                tasks = min(tasks, int((free + CAPACITY_TOLERANCE) / needed))
         return max(0, tasks)
 
-    def reserve(self, spec: JobSpec, limit: int, horizon: float) -> int:
-        """Pack up to `limit` tasks that may start within the horizon; returns how many fit."""
-        tasks = self.feasible_tasks(spec, limit, horizon)
+    def reserve(self, spec: JobSpec, limit: int, horizon_s: float) -> int:
+        """Pack up to `limit` tasks, to start within `horizon_s` seconds; returns how many fit."""
+        tasks = self.feasible_tasks(spec, limit, horizon_s)
         if tasks <= 0:
             return 0
         self.cpus -= tasks * spec.cpus
@@ -72,7 +72,7 @@
 def free_capacities(
     machines: Iterable[Machine], now: float, heartbeat_timeout_s: float
 ) -> list[FreeCapacity]:
-    """The free capacity of all machines that serve, or soon will."""
+    """Return the free capacity of all machines that can take tasks, booting ones included."""
     capacities = []
     for machine in machines:
         if machine.deletion_requested or machine.failed or machine.quarantined:
@@ -86,7 +86,7 @@
         expected_releases = [
             (remaining_s(task, now), task.cpus, task.gpus, task.memory_gb)
             for task in machine.tasks.values()
-            # A gang's task that waits for the others completes after them, not by itself.
+            # A gathering gang task completes only after the tasks it waits for, not on its own.
             if task.active and task.state != TaskState.GATHERING
         ]
         capacities.append(
@@ -100,17 +100,17 @@
 def unused_capacity(
     machine_type: MachineType, machine_group: MachineGroup, used_cpus: float = 0.0
 ) -> FreeCapacity:
-    """About what a machine offers beside the CPUs in use; the whole machine if there are none.
+    """Estimate a machine's unused capacity; the whole machine if no CPUs are in use.
 
-    Its GPUs and its memory are taken to be in use to the same part as its CPUs.
+    Assumes that its GPUs and memory are in use in the same proportion as its CPUs.
     """
-    unused = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
+    unused_ratio = 1.0 - used_cpus / machine_type.cpus if machine_type.cpus > 0 else 1.0
     return FreeCapacity(
         machine_type,
         machine_group.zone,
         machine_group.spot,
         machine_type.cpus - used_cpus,
-        machine_type.gpus * unused,
-        machine_type.memory_gb * unused,
+        machine_type.gpus * unused_ratio,
+        machine_type.memory_gb * unused_ratio,
         [],
     )
--- a/src/copperpass/core/autoscaling/group_selection.py
+++ b/src/copperpass/core/autoscaling/group_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the cheapest machine group for pending tasks."""
+"""Selects the cheapest machine group for pending tasks or for warm capacity."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from copperpass.protocol.cloud import MachineType
 from copperpass.protocol.users import JobSpec
 
-# Keeps the price for a unit finite.
-MIN_UNITS = 1e-6
+# Lower bound of the units of a machine, so that the price per unit stays finite.
+MIN_UNITS_PER_MACHINE = 1e-6
 
 
 class PurchaseOption(enum.Enum):
-    """Which machines may be chosen: spot, on-demand or both."""
+    """Which machines may be chosen; each value lists the allowed values of `spot`."""
 
     ANY = (True, False)
     SPOT = (True,)
@@ -31,36 +31,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupQuery:
-    """What a machine group is wanted for.
+    """The requirements for a machine group.
 
-    Without a `spec` it is for capacity as such, whose price counts per CPU.
+    Without a `spec`, any capacity is suitable and groups are compared by their price per CPU.
     """
 
     spec: JobSpec | None = None
-    # How many tasks of the shape wait.
+    # The number of pending tasks with this spec.
     tasks: int = 1
     purchase_option: PurchaseOption = PurchaseOption.ANY
     excluded_types: set[str] = field(default_factory=set)
-    # The only zone allowed, if there is one.
+    # The only allowed zone; None allows every zone.
     zone: str | None = None
-    # The machines that there are by zone: of equal prices the emptiest zone is chosen.
+    # The number of machines by zone. Of equal prices, the zone with the fewest machines is chosen.
     machines_by_zone: Mapping[str, int] = field(default_factory=dict)
 
 
 def choose_machine_group(
     types: dict[str, MachineType], backoff: CapacityBackoff, now: float, query: GroupQuery
 ) -> MachineGroup | None:
-    """The cheapest feasible group, spread over zones; None if there is none now.
+    """Choose the cheapest feasible group that is not in backoff; None if there is none.
 
-    The price counts per task that fits an empty machine of the group. Of equal scores the first is
-    taken, in the order of the cloud's offer, spot before on-demand.
+    Prices are compared per task that fits an empty machine of the group. Of equal prices, the zone
+    with the fewest machines is chosen, which spreads machines over zones, then the first zone by
+    name. Remaining ties go to the first type in the cloud's list, spot before on-demand.
     """
     best: MachineGroup | None = None
     best_score: tuple[float, int, str] | None = None
     for machine_type in types.values():
         if not _feasible_type(machine_type, query):
             continue
-        units = max(_units_per_machine(machine_type, query), MIN_UNITS)
+        units = max(_units_per_machine(machine_type, query), MIN_UNITS_PER_MACHINE)
         for group in _groups_of_type(machine_type, query):
             if not backoff.allows(group, now):
                 continue
@@ -72,31 +73,31 @@
 
 
 def _feasible_type(machine_type: MachineType, query: GroupQuery) -> bool:
-    """Whether machines of a type may be chosen and can hold a task."""
+    """Whether the query allows a type and one task fits an empty machine of it."""
     if machine_type.name in query.excluded_types:
         return False
     return query.spec is None or feasible_on_type(query.spec, machine_type)
 
 
 def _units_per_machine(machine_type: MachineType, query: GroupQuery) -> float:
-    """For how many tasks that wait an empty machine has capacity; its CPUs without a shape."""
+    """Count the pending tasks that fit an empty machine; without a spec, count its CPUs."""
     spec = query.spec
     if spec is None:
         return machine_type.cpus
     ratios = [
-        have / need
-        for need, have in (
+        available / needed
+        for needed, available in (
             (spec.cpus, machine_type.cpus),
             (spec.gpus, machine_type.gpus),
             (spec.memory_gb, machine_type.memory_gb),
         )
-        if need > 0
+        if needed > 0
     ]
     return min(query.tasks, int(min(ratios) + CAPACITY_TOLERANCE)) if ratios else query.tasks
 
 
 def _groups_of_type(machine_type: MachineType, query: GroupQuery) -> Iterator[MachineGroup]:
-    """The groups of a type that the query allows."""
+    """Yield the groups of a type that the query allows, spot before on-demand."""
     spec = query.spec
     for spot in query.purchase_option.value:
         if spot and machine_type.spot_price is None:
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud that request machines and release them."""
+"""Sends the calls to the cloud that request and release machines."""
 
 from __future__ import annotations
 
@@ -23,23 +23,24 @@
 from copperpass.protocol.frames.messages import Occupancy
 from copperpass.protocol.json_codec import decode
 
-# Releases and listings may take this part of the cloud's rate; as much of it as accrues in
-# `BURST_S` seconds can be saved up.
-RATE_PART = 0.9
+# The share of the cloud's request rate that releases and listings may use. Unused calls accumulate
+# up to `BURST_S` seconds of the full rate.
+CALL_RATE_RATIO = 0.9
 BURST_S = 1.8
 MAX_ATTEMPTS = 3
 CALL_TIMEOUT_S = 3.0
-# Seconds after which a release that the cloud hasn't confirmed is repeated.
+# A release that the cloud has not confirmed is repeated after this time.
 RELEASE_RETRY_S = 2.0
 MAX_RELEASES_PER_CALL = 100
-TOO_MANY_REQUESTS = 429
+HTTP_TOO_MANY_REQUESTS = 429
 
 
 class InstanceRequests:
     """Requests machines and releases them, under the authority of one term.
 
-    A request is stored in the inventory before it is sent, under an id that no other node ever
-    uses, so that a later term can repeat it and learn which machines it brought: it is idempotent.
+    An instance request is stored in the inventory before it is sent, under an id that is never used
+    for another request. The cloud handles repeated ids idempotently, so a later term can repeat the
+    request to learn which machines it provisioned.
     """
 
     def __init__(
@@ -48,28 +49,28 @@
         self.state, self.records, self.inventory = state, records, state.inventory
         self.out, self.election = context.out, context.election
         rps = context.cluster.cloud.rps
-        # For releases and listings; requests for machines are bounded by the plan.
-        self.call_budget = TokenBucket(RATE_PART * rps, max(BURST_S * rps, 2.0))
+        # Limits releases and listings; instance requests are limited by the scale-out plan.
+        self.call_budget = TokenBucket(CALL_RATE_RATIO * rps, max(BURST_S * rps, 2.0))
         self.request_count = 0
 
     def resume(self, now: float) -> None:
-        """Repeat the requests of earlier terms: they may have been carried out."""
+        """Repeat the stored requests of earlier terms: the cloud may have carried them out."""
         for request_id, (machine_group, count) in list(self.inventory.pending_requests.items()):
-            shard = self.state.neediest_shard()
+            shard = self.state.shard_with_highest_demand()
             request = InstanceRequest(machine_group, count, shard)
             self.state.pending_requests[request_id] = request
             self._send(request_id, request, MAX_ATTEMPTS)
 
     def provision(self, now: float, machine_group: MachineGroup, count: int, shard: int) -> None:
-        """Request machines for a shard."""
+        """Store a request for machines of a shard, then send it."""
         self.request_count += 1
-        # The epoch is this authority's alone, so no node ever uses the id again.
+        # The epoch belongs to this term alone, so no node ever reuses the id.
         request_id = f"b-{self.state.epoch}-{self.request_count}"
         request = InstanceRequest(machine_group, count, shard)
         self.state.pending_requests[request_id] = request
 
-        def on_stored(done_at: float, ok: bool) -> None:
-            if ok and self.election.has_authority(done_at):
+        def on_stored(done_at: float, may_send: bool) -> None:
+            if may_send and self.election.has_authority(done_at):
                 self._send(request_id, request, MAX_ATTEMPTS)
             else:
                 self.state.pending_requests.pop(request_id, None)
@@ -78,19 +79,20 @@
         self.inventory.record_request(now, request_id, machine_group, count, on_stored)
 
     def _send(self, request_id: str, request: InstanceRequest, attempts: int) -> None:
-        """Send a stored request to the cloud, with so many attempts at the most."""
+        """Send a stored request to the cloud, in at most `attempts` attempts."""
 
         def on_done(done_at: float, outcome: CallOutcome) -> None:
             if outcome.status == 200:
                 self._on_machines(done_at, request_id, request, outcome.body)
                 return
-            retryable = outcome.status in (NO_ANSWER, TOO_MANY_REQUESTS)
+            retryable = outcome.status in (NO_ANSWER, HTTP_TOO_MANY_REQUESTS)
             if retryable and attempts > 1 and self.election.has_authority(done_at):
                 self._send(request_id, request, attempts - 1)
                 return
             self.state.pending_requests.pop(request_id, None)
             self.state.backoff.on_exhausted(group, done_at, self.state.boot_s / 2)
-            # Without an answer it may have been carried out: it stays stored for a later term.
+            # Without a response the cloud may have carried out the request. It stays stored, so
+            # that a later term repeats it.
             if outcome.status != NO_ANSWER:
                 self.inventory.record_answer(done_at, request_id, [])
 
@@ -105,10 +107,10 @@
     def _on_machines(
         self, now: float, request_id: str, request: InstanceRequest, body: bytes
     ) -> None:
-        """The cloud has carried out a request, in full or in part."""
+        """Add the machines of a request that the cloud has carried out, in full or in part."""
         state, machine_group = self.state, request.machine_group
         pending = state.pending_requests.pop(request_id, None)
-        shard = pending.shard if pending is not None else state.neediest_shard()
+        shard = pending.shard if pending is not None else state.shard_with_highest_demand()
         answer = decode(body, InstanceAnswer)
         names = answer.machines if answer else []
         if len(names) < request.machines:
@@ -128,7 +130,10 @@
                 self.records.add(now, name, machine_group, shard, Occupancy.EMPTY)
 
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
-        """Release machines, together with those whose release hasn't been confirmed in time."""
+        """Release machines, and repeat releases that the cloud has not confirmed in time.
+
+        What exceeds the call budget or one call's limit is released by a later call.
+        """
         if not self.election.has_authority(now):
             return
         for machine in machines:
--- a/src/copperpass/core/autoscaling/machine_groups.py
+++ b/src/copperpass/core/autoscaling/machine_groups.py
@@ -1,4 +1,4 @@
-"""Machine groups: what can be provisioned."""
+"""Machine groups, the units in which the cloud provisions machines, and their boot time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from copperpass.protocol.cloud import MachineType
 
-# Seconds that a common machine boots for; counts before the cloud's offer is known.
+# The boot time of a common machine type, used until the cloud's machine types are known.
 DEFAULT_BOOT_S = 20.0
 
 
 class MachineGroup(NamedTuple):
-    """Machines that are provisioned alike: of one type, in one zone, all spot or all on-demand."""
+    """Machines of one type in one zone, either all spot or all on-demand."""
 
     type: str
     zone: str
@@ -19,5 +19,5 @@
 
 
 def longest_boot(types: dict[str, MachineType]) -> float:
-    """The longest usual boot time in seconds; before the offer is known, that of a common type."""
+    """Return the longest usual boot time of the types, in seconds; a default without any types."""
     return max((machine_type.boot_s for machine_type in types.values()), default=DEFAULT_BOOT_S)
--- a/src/copperpass/core/autoscaling/machine_records.py
+++ b/src/copperpass/core/autoscaling/machine_records.py
@@ -1,4 +1,4 @@
-"""Machines and their routes: the writer of the leader's replication log, and of base tokens."""
+"""Writes the machines' routes to the leader's replication log and issues their base tokens."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
     Occupancy,
 )
 
-# Handovers left beside one for each machine when the leader steps down for lack of more.
+# The leader steps down when at most one handover per machine and this many more are left.
 RESERVED_HANDOVERS = 1000
 
 
 class MachineRecords:
     """Adds, changes and removes machines; the only writer of the routes' replication log.
 
-    Every change of a machine's owner takes a higher base token, so that what an earlier owner still
-    sends is fenced off.
+    Every change of a machine's owner issues a higher base token, which fences off messages that an
+    earlier owner still sends.
     """
 
     def __init__(self, context: ClusterManagerContext, state: ClusterState) -> None:
         self.state, self.inventory = state, state.inventory
         self.previous_routes = context.previous_routes
-        self.handover = 0
+        self.last_handover = 0
 
     def next_base_token(self) -> int:
-        """A token higher than all earlier ones of this term."""
-        self.handover += 1
-        return base_token(self.state.epoch, self.handover)
+        """Return a token higher than all those issued before in this term."""
+        self.last_handover += 1
+        return base_token(self.state.epoch, self.last_handover)
 
     def handovers_exhausted(self) -> bool:
-        """Whether there are hardly more handovers left than machines that need one each."""
-        return self.handover >= MAX_HANDOVERS - len(self.state.machines) - RESERVED_HANDOVERS
+        """Whether too few handovers are left for this term to reassign every machine once more."""
+        return self.last_handover >= MAX_HANDOVERS - len(self.state.machines) - RESERVED_HANDOVERS
 
     def set_route(self, machine: ManagedMachine, route: MachineRoute) -> None:
         """Replace a machine's route and replicate it."""
         machine.route = route
         self.state.replication_log.put(route)
 
-    def set_empty(self, machine: ManagedMachine) -> None:
-        """Nothing of an earlier owner runs on a machine any more."""
+    def mark_empty(self, machine: ManagedMachine) -> None:
+        """Mark that no tasks of an earlier owner run on a machine."""
         self.set_route(machine, replace(machine.route, occupancy=Occupancy.EMPTY))
 
     def add(
@@ -58,7 +58,7 @@
         occupancy: int,
         contact: MachineContact | None = None,
     ) -> ManagedMachine:
-        """Add a machine; one that the inventory has no mark of has never been up."""
+        """Add a machine, as empty if the inventory has no stored mark that it has been up."""
         state = self.state
         recorded = name in self.inventory.stored_up
         token = self.next_base_token()
@@ -82,7 +82,7 @@
         return machine
 
     def restore(self, now: float) -> None:
-        """Add the machines of the inventory, with the shards and contacts of earlier terms."""
+        """Add the inventory's machines, with their shards and contacts from earlier terms."""
         for name, machine_group in self.inventory.machines.items():
             if machine_group.type in self.state.types and name not in self.state.deleted_at:
                 previous = self.previous_routes.get(name)
@@ -91,14 +91,14 @@
                 self.add(now, name, machine_group, shard, Occupancy.ANY_SHARD, contact)
 
     def mark_recorded(self, now: float, names: set[str]) -> None:
-        """The inventory has stored that these machines have been up."""
+        """Update routes: the inventory has stored that these machines have been up."""
         for name in names:
             machine = self.state.machines.get(name)
             if machine is not None:
                 self.set_route(machine, replace(machine.route, recorded=True))
 
     def record_contact(self, machine: ManagedMachine, address: str, agent_epoch: int) -> None:
-        """Record where a machine answers, for its next owner."""
+        """Record the address and agent epoch of a machine for its next owner."""
         known = machine.route.contact
         if known is None or (known.address, known.agent_epoch) != (address, agent_epoch):
             contact = MachineContact(address, agent_epoch, 0)
@@ -111,7 +111,10 @@
         occupancy: int,
         status: MachineStatus | None = None,
     ) -> None:
-        """Change a machine's owner, under a higher token; `status`: its last one, if released."""
+        """Assign a machine to a shard under a higher token.
+
+        `status` is the last status of an owner that has released the machine empty, otherwise None.
+        """
         token = self.next_base_token()
         machine.reclaim_for_shard, machine.reclaim_deadline = None, 0.0
         proven_empty = (
@@ -139,9 +142,10 @@
     def request_reclaim(
         self, now: float, machine: ManagedMachine, shard: int | None, drain: bool = False
     ) -> None:
-        """Ask a machine's owner to release it: for another shard, or to be deleted.
+        """Ask the owner to release a machine for another shard, or for deletion if `shard` is None.
 
-        With `drain` the owner evicts what runs there; otherwise it releases the machine if idle.
+        With `drain`, the owner evicts the machine's tasks. Without it, the owner releases the
+        machine only if it is idle.
         """
         if machine.route.shard == NO_SHARD:
             return
@@ -150,7 +154,7 @@
         self.set_route(machine, replace(machine.route, reclaim_requested=True, drain=drain))
 
     def mark_deleted(self, now: float, machine: ManagedMachine) -> None:
-        """The cloud has confirmed that a machine is deleted, with all that ran on it."""
+        """Remove a machine: the cloud has confirmed its deletion, which ends all its tasks."""
         name = machine.route.name
         if self.state.machines.get(name) is not machine:
             return
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -1,4 +1,4 @@
-"""The lifecycle of machines: statuses from their owners, unassigned machines, timeouts."""
+"""Tracks the lifecycle of machines: statuses from owners, unassigned machines, timeouts."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from copperpass.protocol.frames.messages import NO_SHARD, MachineStatus, Occupancy
 from copperpass.protocol.workers import WorkerHeartbeat
 
-# A machine that hasn't come up after so many boot times is released to the cloud.
-MAX_BOOTS = 5
+# A machine that has not registered after this many boot times of its type is released.
+MAX_BOOT_TIMES = 5
 
 
 class MachineTracker:
     """Follows each machine from its first heartbeat until it is reassigned or deleted.
 
-    Owns no state of its own: it writes the statuses in `ClusterState`, and changes what the members
-    know of a machine through `MachineRecords` alone.
+    It has no state of its own. It updates the machine statuses in `ClusterState`, and changes the
+    routes, which are replicated to the members, only through `MachineRecords`.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
         self.jobs: JobTable = context.jobs
-        # Seconds for which a deleted machine is remembered: no message about it comes later.
+        # How long a deleted machine is remembered. No message about it arrives later than this.
         self.deleted_retention_s = 20 * context.cluster.cloud.list_lag_s + 4 * state.lease_s
 
     # -- statuses from owners ---------------------------------------------------------------
@@ -41,7 +41,7 @@
     def on_machine_statuses(
         self, now: float, sender: str, statuses: Iterable[MachineStatus]
     ) -> None:
-        """An owner's machines have new statuses; those of earlier assignments are ignored."""
+        """Apply statuses from an owner; ignore those of earlier assignments or of other owners."""
         for status in statuses:
             machine = self.state.machines.get(status.name)
             if machine is None or status.base_token != machine.route.base_token:
@@ -51,7 +51,7 @@
             self._on_status(now, machine, status)
 
     def _on_status(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
-        """Apply a machine's new status."""
+        """Store a machine's new status and act on its changes."""
         records = self.records
         status = self._apply_transitions(now, machine, status)
         previous, machine.status = machine.status, status
@@ -61,7 +61,7 @@
             and not previous.reconciled
             and machine.route.occupancy != Occupancy.EMPTY
         ):
-            records.set_empty(machine)
+            records.mark_empty(machine)
         if status.contact is not None and not status.released:
             records.record_contact(machine, status.contact.address, status.contact.agent_epoch)
         if status.released:
@@ -77,10 +77,10 @@
     def _apply_transitions(
         self, now: float, machine: ManagedMachine, status: MachineStatus
     ) -> MachineStatus:
-        """Record since when a machine is up and idle; returns the status to keep."""
+        """Record when a machine came up and became idle; returns the status to store."""
         if machine.status.registered and not status.registered:
-            # A new owner has had no heartbeat from it yet. It must not count as one that never came
-            # up, which would be deleted with all that runs there.
+            # A new owner has had no heartbeat from the machine yet. If the machine counted as never
+            # registered, it would be deleted with all tasks that run on it.
             status = replace(status, registered=True)
         if status.registered and not machine.status.registered:
             machine.registered_at = machine.idle_since = now
@@ -90,9 +90,9 @@
         return status
 
     def _on_released(self, now: float, machine: ManagedMachine, status: MachineStatus) -> None:
-        """An owner has released a machine: no member commands it now."""
+        """Reassign or delete a machine that its owner has released: no member commands it now."""
         if status.shard != NO_SHARD:
-            # It holds tasks of another shard.
+            # The machine has tasks of another shard, so it is assigned to that shard.
             self.records.reassign(
                 machine, status.shard, machine.route.occupancy or Occupancy.OWN_SHARD
             )
@@ -105,14 +105,15 @@
     # -- unassigned machines ------------------------------------------------------------------
 
     def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
-        """A machine that is assigned to no shard has sent a heartbeat: assign it to one."""
+        """Assign a machine that has no shard to one, on its heartbeat."""
         state = self.state
         machine = state.machines.get(heartbeat.machine)
         if machine is None:
             if heartbeat.machine in state.deleted_at or heartbeat.type not in state.types:
                 return
-            # Unexpected: of a request that was carried out late, or a late copy of a heartbeat of a
-            # machine that is deleted. Its owner will find out whether answers reach it.
+            # The machine is not recorded. Either the cloud has carried out a request late, or this
+            # is a delayed heartbeat of a deleted machine. Its owner will find out whether responses
+            # reach it.
             machine_group = MachineGroup(heartbeat.type, heartbeat.zone, heartbeat.spot)
             machine = self.records.add(
                 now, heartbeat.machine, machine_group, NO_SHARD, Occupancy.EMPTY
@@ -122,7 +123,7 @@
         self.records.reassign(machine, self._shard_of(heartbeat), machine.route.occupancy)
 
     def _shard_of(self, heartbeat: WorkerHeartbeat) -> int:
-        """The shard with the most tasks on a machine; the neediest if there are none."""
+        """Return the shard with the most tasks on a machine, or else with the highest demand."""
         counts: dict[int, int] = {}
         for task in heartbeat.tasks:
             job = self.jobs.jobs.get(task.task.rpartition("/")[0])
@@ -131,17 +132,17 @@
                 counts[number] = counts.get(number, 0) + 1
         if counts:
             return max(counts, key=lambda number: counts[number])
-        return self.state.neediest_shard()
+        return self.state.shard_with_highest_demand()
 
     # -- time -------------------------------------------------------------------------------
 
     def sweep(self, now: float) -> None:
-        """Release machines that never came up or that nobody has contact with."""
+        """Release machines that never registered or are unclaimed; repeat unconfirmed releases."""
         state = self.state
         for machine in list(state.machines.values()):
             booting_too_long = (
                 not machine.status.registered
-                and now - machine.created_at > MAX_BOOTS * machine.type.boot_s
+                and now - machine.created_at > MAX_BOOT_TIMES * machine.type.boot_s
             )
             if machine.deleting:
                 if now - machine.deletion_sent_at > RELEASE_RETRY_S:
@@ -152,9 +153,10 @@
                 machine.route.occupancy != Occupancy.EMPTY and machine.route.shard == NO_SHARD
             )
             if unclaimed and now - state.elected_at > state.lease_s + state.grant_s:
-                # No member has answered it in this term, nor under a grant of the term before, so
-                # the lease of its agent epoch has expired and nothing runs there any more.
-                self.records.set_empty(machine)
+                # No member has answered the machine's heartbeats in this term, and the grants of
+                # the previous term have expired. So the lease of the machine's agent epoch has
+                # expired too, and no tasks run on it.
+                self.records.mark_empty(machine)
                 self.instance_requests.release(now, [machine])
         self._forget_deleted(now)
 
--- a/src/copperpass/core/autoscaling/machine_types.py
+++ b/src/copperpass/core/autoscaling/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers: fetched by every member, stored once by a leader."""
+"""The cloud's machine types, fetched by every member and stored once by a leader."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from copperpass.protocol.json_codec import decode, encode
 from copperpass.protocol.kvstore import PutKey
 
-# Only a leader needs prices that follow the market.
+# Only a leader needs prices that follow the market, so only a leader refreshes them often.
 LEADER_REFRESH_S, REFRESH_S = 30.0, 300.0
 FETCH_TIMEOUT_S = 3.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CatalogContext:
-    """What a catalog works with; `on_change` is called after the types have changed."""
+    """Dependencies of a `MachineTypeCatalog`; `on_change` is called after each update."""
 
     election: LeaderElection
     transactions: TransactionQueue
@@ -35,7 +35,10 @@
 
 
 class MachineTypeCatalog:
-    """Types by name; what the cloud no longer offers stays, for machines of it may still run."""
+    """Machine types by name.
+
+    Types that the cloud no longer offers are kept: machines of these types may still run.
+    """
 
     def __init__(self, context: CatalogContext) -> None:
         self.context = context
@@ -43,22 +46,22 @@
         self._next_fetch_at = 0.0
         self._fetching = False
         self._stored = False
-        # No value can hold the offer: members that start take theirs from the cloud alone.
+        # The types exceed the store's value limit: starting members get them from the cloud only.
         self._too_large = False
 
     def on_watch_event(self, raw: bytes) -> None:
-        """The stored offer: a member that has just started need not wait for the cloud's answer."""
-        offer = decode(raw, MachineTypes)
+        """Use the stored types if none are known, so that a starting member need not wait."""
+        offered_types = decode(raw, MachineTypes)
         self._stored = bool(raw)
-        if offer is not None and not self.types:
-            self._use(offer)
+        if offered_types is not None and not self.types:
+            self._update_types(offered_types)
 
     def tick(self, now: float) -> None:
-        """Fetch the offer when it is due."""
+        """Fetch the types when they are due."""
         context = self.context
         storable = not self._stored and not self._too_large
         if context.election.is_leader and storable and self.types:
-            # Fetch again soon, so that the first leader stores the offer.
+            # Fetch again soon: the first leader stores the types when a fetch completes.
             self._next_fetch_at = min(self._next_fetch_at, now + context.election.leader_ttl_s)
         if not self._fetching and now >= self._next_fetch_at:
             self._fetching = True
@@ -75,33 +78,34 @@
 
     def _on_fetched(self, now: float, outcome: CallOutcome) -> None:
         self._fetching = False
-        offer = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
-        if offer is None:
+        offered_types = decode(outcome.body, MachineTypes) if outcome.status == 200 else None
+        if offered_types is None:
             self._next_fetch_at = now + 1.0 + self.context.rng.random()
             return
-        self._use(offer)
-        self._store(now, offer)
+        self._update_types(offered_types)
+        self._store(now, offered_types)
         refresh_s = LEADER_REFRESH_S if self.context.election.is_leader else REFRESH_S
         self._next_fetch_at = now + refresh_s
 
-    def _use(self, offer: MachineTypes) -> None:
-        self.types.update({machine_type.name: machine_type for machine_type in offer.types})
+    def _update_types(self, offered_types: MachineTypes) -> None:
+        self.types.update({machine_type.name: machine_type for machine_type in offered_types.types})
         self.context.on_change()
 
-    def _store(self, now: float, offer: MachineTypes) -> None:
+    def _store(self, now: float, offered_types: MachineTypes) -> None:
         context = self.context
         if not context.election.is_leader or self._stored:
             return
-        if len(encode(offer)) > context.max_value_bytes:
+        if len(encode(offered_types)) > context.max_value_bytes:
             self._too_large = True
             return
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             self._too_large = self._too_large or outcome is TransactionOutcome.INVALID
 
-        # Written once: a late copy must not bring an older offer back.
+        # The guard on version 0 lets the key be written only once: a delayed copy of the write must
+        # not restore older types.
         guards = {FENCING_TOKEN_KEY: context.election.election_revision, MACHINE_TYPES_KEY: 0}
-        write = PutKey(MACHINE_TYPES_KEY, msgspec.to_builtins(offer))
+        write = PutKey(MACHINE_TYPES_KEY, msgspec.to_builtins(offered_types))
         deadline = now + context.election.leader_ttl_s
         context.transactions.submit(
             now, Operation(guards, [write], on_done, deadline, Priority.BATCHED)
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -68,7 +68,7 @@
     # Tasks that no machine has been found for.
     unplaced: int
     # Seconds until the tasks should start.
-    horizon: float
+    horizon_s: float
     # The types that are reserved for other work.
     excluded_types: set[str]
     # The zone that all of a gang's tasks must be in.
@@ -81,7 +81,7 @@
     ) -> FreeCapacity | None:
         """Place tasks on an empty machine; returns what is left of it, None if no task fits."""
         capacity = unused_capacity(machine_type, machine_group)
-        placed = capacity.reserve(self.spec, self.unplaced, self.horizon)
+        placed = capacity.reserve(self.spec, self.unplaced, self.horizon_s)
         self.unplaced -= placed
         return capacity if placed > 0 else None
 
@@ -156,7 +156,7 @@
 
     def _begin(self, now: float, supply: ShardSupply, request: CapacityRequest) -> PlacementSearch:
         """Start a request's search by packing its tasks into the incoming capacity."""
-        job, count, horizon = request.job, request.tasks, request.horizon
+        job, count, horizon_s = request.job, request.tasks, request.horizon_s
         zone_affinity = supply.shard.zone_affinities.get(job.spec.id)
         spec = with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
         excluded_types = self.reserved_types.reserved_from(spec)
@@ -169,12 +169,12 @@
             capacities = capacities + supply.own()
             zone = spec.zone or self._gang_zone(now, spec, count, capacities, supply.reclaimable)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
-        unplaced = pack_tasks(capacities, spec, count, horizon, excluded_types)
+        unplaced = pack_tasks(capacities, spec, count, horizon_s, excluded_types)
         # Work that can wait for longer than a boot requests only spot capacity at first. Not the
         # rest of a gang, since other machines are kept idle for it meanwhile.
-        deferrable = horizon > self.tuning.patient_boots * self.state.boot_s
+        deferrable = horizon_s > self.tuning.patient_boots * self.state.boot_s
         prefers_spot = deferrable and spec.spot and zone is None
-        return PlacementSearch(job, spec, unplaced, horizon, excluded_types, zone, prefers_spot)
+        return PlacementSearch(job, spec, unplaced, horizon_s, excluded_types, zone, prefers_spot)
 
     def _gang_zone(
         self,
@@ -254,7 +254,7 @@
         self, now: float, supply: ShardSupply, search: PlacementSearch
     ) -> None:
         """Nothing can be provisioned: urgent work gets what others keep for their peaks."""
-        if search.unplaced <= 0 or search.horizon > self.state.boot_s:
+        if search.unplaced <= 0 or search.horizon_s > self.state.boot_s:
             return
         for machine in supply.reclaimable:
             if search.unplaced <= 0:
@@ -270,7 +270,7 @@
     def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
         """Give a shard its guaranteed quota out of what others use beyond their own."""
         spec, unplaced = search.job.spec, search.unplaced
-        if unplaced <= 0 or not search.job.guaranteed or search.horizon > self.state.boot_s:
+        if unplaced <= 0 or not search.job.guaranteed or search.horizon_s > self.state.boot_s:
             return
         excluded_types = self.reserved_types.reserved_from(spec)
         for other in self.state.shards.values():
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -77,8 +77,8 @@
             return
         jobs = self.jobs.jobs
         shard.capacity_requests = [
-            CapacityRequest(jobs[job_id], count, horizon)
-            for job_id, count, horizon in frame.requests
+            CapacityRequest(jobs[job_id], count, horizon_s)
+            for job_id, count, horizon_s in frame.requests
             if job_id in jobs
         ]
         shard.capacity_requests_at = now
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -73,7 +73,7 @@
     job: Job
     tasks: int
     # Seconds until the tasks should start.
-    horizon: float
+    horizon_s: float
 
 
 class InstanceRequest(NamedTuple):
@@ -235,7 +235,7 @@
         shard = self.shards.get(machine.route.shard)
         return shard.owner if shard is not None else ""
 
-    def neediest_shard(self) -> int:
+    def shard_with_highest_demand(self) -> int:
         """The shard that requests the most CPUs."""
 
         def pressure(shard: Shard) -> tuple[float, int]:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -141,9 +141,9 @@
     looks = []
 
     class Counted(FreeCapacity):
-        def reserve(self, spec, limit, horizon):
+        def reserve(self, spec, limit, horizon_s):
             looks.append(spec.id)
-            return super().reserve(spec, limit, horizon)
+            return super().reserve(spec, limit, horizon_s)
 
     capacities: list[FreeCapacity] = [
         Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)
