--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -1,4 +1,4 @@
-"""Placement of requested capacity: on reclaimable machines of other shards, then on new ones."""
+"""Serves capacity requests from other shards' reclaimable machines, then with new machines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.machine_records import MachineRecords
-from copperpass.core.autoscaling.rebalancing import CoverageRatio, Rebalancer
+from copperpass.core.autoscaling.rebalancing import Rebalancer, ShardCoverage
 from copperpass.core.autoscaling.scale_out_plan import ScaleOutPlan
 from copperpass.core.autoscaling.state import (
     CapacityRequest,
@@ -29,57 +29,58 @@
 from copperpass.protocol.frames.messages import NO_SHARD
 from copperpass.protocol.users import JobSpec
 
-# A shard's requests are out of date after so many heartbeat intervals.
-REQUEST_REPORTS = 2
+# A shard's capacity requests are ignored as stale after this many heartbeat intervals.
+REQUEST_TTL_HEARTBEATS = 2
 
 
 @dataclass(slots=True)
 class ShardSupply:
-    """The capacity that one shard can get; each of its requests in turn takes a part."""
+    """The capacity available to one shard; each of its requests in turn takes a part of it."""
 
     shard: Shard
-    serving: list[ManagedMachine]
-    # Machines that are requested for the shard or reclaimed for it.
+    active_machines: list[ManagedMachine]
+    # Free capacity of machines that are requested from the cloud or reclaimed for the shard.
     incoming: list[FreeCapacity]
     # Reclaimable machines of other shards, the cheapest CPUs first.
     reclaimable: list[ManagedMachine]
-    coverage: CoverageRatio
-    # Computed when a gang needs it.
-    _own: list[FreeCapacity] | None = None
+    coverage: ShardCoverage
+    # Cache of `own_capacities`; None until a gang needs them.
+    _own_capacities: list[FreeCapacity] | None = None
 
-    def own(self) -> list[FreeCapacity]:
-        """About what the shard's own machines have free."""
-        if self._own is None:
-            self._own = [
+    def own_capacities(self) -> list[FreeCapacity]:
+        """Return the estimated free capacity of the shard's own machines."""
+        if self._own_capacities is None:
+            self._own_capacities = [
                 unused_capacity(machine.type, machine.machine_group, machine.used_cpus)
-                for machine in self.serving
+                for machine in self.active_machines
                 if machine.route.shard == self.shard.number
             ]
-        return self._own
+        return self._own_capacities
 
 
 @dataclass(slots=True)
 class PlacementSearch:
-    """How far the search of capacity for one request has come."""
+    """The progress of the search for capacity for one request."""
 
     job: Job
-    # The job's shape, with its zone affinity.
+    # The job's spec, pinned to its zone affinity if it has one.
     spec: JobSpec
-    # Tasks that no machine has been found for.
+    # Tasks for which no machine has been found yet.
     unplaced: int
     # Seconds until the tasks should start.
     horizon_s: float
     # The types that are reserved for other work.
     excluded_types: set[str]
-    # The zone that all of a gang's tasks must be in.
+    # The zone that all tasks of a one-zone gang must be in; None until one is chosen, and for other
+    # jobs.
     zone: str | None
-    # Whether it waits for spot capacity.
+    # Whether to provision only spot machines at first.
     prefers_spot: bool
 
     def place_on_empty(
         self, machine_type: MachineType, machine_group: MachineGroup
     ) -> FreeCapacity | None:
-        """Place tasks on an empty machine; returns what is left of it, None if no task fits."""
+        """Place tasks on an empty machine; returns its remaining capacity, None if no task fits."""
         capacity = unused_capacity(machine_type, machine_group)
         placed = capacity.reserve(self.spec, self.unplaced, self.horizon_s)
         self.unplaced -= placed
@@ -93,7 +94,7 @@
 
 
 class PlacementPlanner:
-    """Serves the capacity requests of one shard after the other."""
+    """Serves the capacity requests of one shard at a time."""
 
     def __init__(
         self,
@@ -107,31 +108,38 @@
         self.cluster, self.tuning = context.cluster, context.tuning
         self.reserved_types, self.inventory = tracker.reserved_types, state.inventory
 
-    def serve(
-        self, now: float, shard: Shard, serving: list[ManagedMachine], plan: ScaleOutPlan | None
+    def serve_requests(
+        self,
+        now: float,
+        shard: Shard,
+        active_machines: list[ManagedMachine],
+        plan: ScaleOutPlan | None,
     ) -> None:
-        """Serve a shard's requests, each with what those before it have left.
+        """Serve a shard's requests in order, each from the capacity that earlier ones have left.
 
-        Without a plan nothing is provisioned, and nothing claimed that others keep for their
-        peaks: this only moves machines that are idle and not needed.
+        With `plan` None, no machines are provisioned and no capacity is taken that other shards
+        keep for their peaks: only idle machines that they do not need are moved.
         """
-        if now - shard.capacity_requests_at > REQUEST_REPORTS * self.state.heartbeat_interval_s:
+        if (
+            now - shard.capacity_requests_at
+            > REQUEST_TTL_HEARTBEATS * self.state.heartbeat_interval_s
+        ):
             return
-        supply = self._supply(shard, serving)
+        supply = self._supply(shard, active_machines)
         for request in shard.capacity_requests:
             exhausted = plan is not None and plan.full and not supply.reclaimable
             if exhausted and not request.job.guaranteed:
-                # This plan can neither provision nor move anything more: the next one goes on.
+                # This plan can neither provision nor move more machines; the next plan continues.
                 continue
-            search = self._begin(now, supply, request)
+            search = self._start_search(now, supply, request)
             self._move_reclaimable(now, supply, search)
             if plan is not None:
                 self._provision(now, supply, search, plan)
                 self._claim_warm_capacity(now, supply, search)
-                self._reclaim_guarantee(now, supply, search)
+                self._reclaim_guaranteed_quota(now, supply, search)
 
-    def _supply(self, shard: Shard, serving: list[ManagedMachine]) -> ShardSupply:
-        """What is incoming for a shard and what can be reclaimed from others."""
+    def _supply(self, shard: Shard, active_machines: list[ManagedMachine]) -> ShardSupply:
+        """Collect the incoming capacity of a shard and the reclaimable machines of other shards."""
         incoming = [
             unused_capacity(self.state.types[request.machine_group.type], request.machine_group)
             for request in self.state.pending_requests.values()
@@ -140,22 +148,28 @@
         ]
         incoming += [
             unused_capacity(machine.type, machine.machine_group)
-            for machine in serving
+            for machine in active_machines
             if machine.reclaim_for_shard == shard.number and machine.route.reclaim_requested
         ]
         reclaimable = [
             machine
-            for machine in serving
+            for machine in active_machines
             if machine.reclaimable
             and machine.route.shard != shard.number
             and not machine.route.reclaim_requested
             and machine.route.shard != NO_SHARD
         ]
-        reclaimable.sort(key=lambda m: hourly_price(m.type, m.route.spot) / m.type.cpus)
-        return ShardSupply(shard, serving, incoming, reclaimable, self.rebalancer.coverage(serving))
+        reclaimable.sort(
+            key=lambda machine: hourly_price(machine.type, machine.route.spot) / machine.type.cpus
+        )
+        return ShardSupply(
+            shard, active_machines, incoming, reclaimable, self.rebalancer.coverage(active_machines)
+        )
 
-    def _begin(self, now: float, supply: ShardSupply, request: CapacityRequest) -> PlacementSearch:
-        """Start a request's search by packing its tasks into the incoming capacity."""
+    def _start_search(
+        self, now: float, supply: ShardSupply, request: CapacityRequest
+    ) -> PlacementSearch:
+        """Start the search for a request by packing its tasks into the incoming capacity."""
         job, count, horizon_s = request.job, request.tasks, request.horizon_s
         zone_affinity = supply.shard.zone_affinities.get(job.spec.id)
         spec = with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
@@ -163,20 +177,22 @@
         zone: str | None = None
         capacities = supply.incoming
         if spec.gang and spec.one_zone:
-            # All of it in one zone: on the shard's own machines there, then on those that are moved
-            # or provisioned. The owner requests capacity for the whole gang: only the leader can
-            # complete what one zone has.
-            capacities = capacities + supply.own()
-            zone = spec.zone or self._gang_zone(now, spec, count, capacities, supply.reclaimable)
+            # All tasks must be in one zone: on the shard's own machines there, then on machines
+            # that are moved or provisioned. The owner requests capacity for the whole gang, because
+            # only the leader can add the capacity that a zone lacks.
+            capacities = capacities + supply.own_capacities()
+            zone = spec.zone or self._choose_gang_zone(
+                now, spec, count, capacities, supply.reclaimable
+            )
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
         unplaced = pack_tasks(capacities, spec, count, horizon_s, excluded_types)
-        # Work that can wait for longer than a boot requests only spot capacity at first. Not the
-        # rest of a gang, since other machines are kept idle for it meanwhile.
+        # Work that can wait for longer than a boot requests only spot capacity at first. The rest
+        # of a one-zone gang does not, since other machines are kept idle for the gang meanwhile.
         deferrable = horizon_s > self.tuning.patient_boots * self.state.boot_s
         prefers_spot = deferrable and spec.spot and zone is None
         return PlacementSearch(job, spec, unplaced, horizon_s, excluded_types, zone, prefers_spot)
 
-    def _gang_zone(
+    def _choose_gang_zone(
         self,
         now: float,
         spec: JobSpec,
@@ -184,13 +200,16 @@
         capacities: list[FreeCapacity],
         reclaimable: list[ManagedMachine],
     ) -> str | None:
-        """The zone where most of a gang's tasks fit already and the rest can be provisioned."""
+        """Choose the zone where most of a gang's tasks fit already and the rest can be provisioned.
+
+        None if there is no such zone.
+        """
         state = self.state
-        offers = capacities + [
+        available = capacities + [
             unused_capacity(machine.type, machine.machine_group) for machine in reclaimable
         ]
         fitting: dict[str, int] = {}
-        for capacity in offers:
+        for capacity in available:
             tasks = capacity.feasible_tasks(spec, count, state.boot_s)
             fitting[capacity.zone] = fitting.get(capacity.zone, 0) + tasks
         for zone in sorted(fitting, key=lambda name: (-fitting[name], name)):
@@ -204,7 +223,7 @@
         return None
 
     def _move_reclaimable(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
-        """Reclaim idle machines whose shards stay covered as far as this one."""
+        """Reclaim idle machines of shards that stay at least as well covered as this one."""
         number = supply.shard.number
         spot_only = search.prefers_spot and self.state.on_demand_excess
         for machine in list(supply.reclaimable):
@@ -227,7 +246,7 @@
     def _provision(
         self, now: float, supply: ShardSupply, search: PlacementSearch, plan: ScaleOutPlan
     ) -> None:
-        """Plan new machines for the tasks that are still unplaced."""
+        """Add new machines to the plan for the tasks that are still unplaced."""
         state, spec = self.state, search.spec
         purchase_option = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
         while search.unplaced > 0 and not plan.full and not self.inventory.full():
@@ -253,7 +272,10 @@
     def _claim_warm_capacity(
         self, now: float, supply: ShardSupply, search: PlacementSearch
     ) -> None:
-        """Nothing can be provisioned: urgent work gets what others keep for their peaks."""
+        """Give urgent tasks the idle machines that other shards keep for their peaks.
+
+        Used for tasks that are still unplaced when nothing more can be provisioned.
+        """
         if search.unplaced <= 0 or search.horizon_s > self.state.boot_s:
             return
         for machine in supply.reclaimable:
@@ -267,8 +289,14 @@
             machine for machine in supply.reclaimable if not machine.route.reclaim_requested
         ]
 
-    def _reclaim_guarantee(self, now: float, supply: ShardSupply, search: PlacementSearch) -> None:
-        """Give a shard its guaranteed quota out of what others use beyond their own."""
+    def _reclaim_guaranteed_quota(
+        self, now: float, supply: ShardSupply, search: PlacementSearch
+    ) -> None:
+        """Drain machines of shards that use more than their quota, for urgent guaranteed tasks.
+
+        Used for tasks that are still unplaced. The CPUs in use by the other shard stay at or above
+        its quota.
+        """
         spec, unplaced = search.job.spec, search.unplaced
         if unplaced <= 0 or not search.job.guaranteed or search.horizon_s > self.state.boot_s:
             return
@@ -276,16 +304,18 @@
         for other in self.state.shards.values():
             if other is supply.shard or unplaced <= 0:
                 continue
-            machines = [m for m in supply.serving if m.route.shard == other.number]
-            quota = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
-            excess = sum(machine.used_cpus for machine in machines) - quota
-            for machine in sorted(machines, key=lambda m: m.used_cpus):
+            machines = [
+                machine for machine in supply.active_machines if machine.route.shard == other.number
+            ]
+            quota_cpus = sum(team.cpus for team in self.cluster.teams if team.name in other.teams)
+            excess_cpus = sum(machine.used_cpus for machine in machines) - quota_cpus
+            for machine in sorted(machines, key=lambda machine: machine.used_cpus):
                 used_cpus = machine.used_cpus
-                if unplaced <= 0 or excess < used_cpus or machine.route.reclaim_requested:
+                if unplaced <= 0 or excess_cpus < used_cpus or machine.route.reclaim_requested:
                     break
                 capacity = unused_capacity(machine.type, machine.machine_group)
                 placed = capacity.reserve(spec, unplaced, 0.0)
                 if placed > 0 and machine.type.name not in excluded_types:
                     unplaced -= placed
-                    excess -= used_cpus
+                    excess_cpus -= used_cpus
                     self.records.request_reclaim(now, machine, supply.shard.number, drain=True)
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -1,4 +1,4 @@
-"""The scaling plan, made four times per heartbeat interval: rebalancing, scale-out and scale-in."""
+"""Plans rebalancing, scale-out and scale-in, up to four times per heartbeat interval."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.frames.messages import CapacityRequests, Occupancy
 
-# The fleet is logged once in so many heartbeat intervals.
-SUMMARY_REPORTS = 5
+# The interval of the log event `cluster summary`, in heartbeat intervals.
+SUMMARY_HEARTBEATS = 5
 
 
 class Planner:
-    """Divides the fleet among the shards and changes its size.
+    """Distributes the fleet among the shards and scales it.
 
-    Owns the parts of the plan, and when the next one is due.
+    Creates the components that make up a plan and schedules the plans.
     """
 
     def __init__(
@@ -58,16 +58,19 @@
         self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_interval_s)
 
     def due(self, now: float) -> bool:
-        """Whether it is time for the next plan; needs the cloud's offer."""
+        """Whether the next plan is due; if so, schedules the one after it.
+
+        No plan is due before the cloud's machine types are known.
+        """
         if now < self.next_plan_at or not self.state.types:
             return False
         self.next_plan_at = now + self.plan_interval_s
         return True
 
     def on_capacity_requests(self, now: float, frame: CapacityRequests) -> None:
-        """An owner requests capacity for tasks that its machines can't start in time.
+        """Replace a shard's requests for capacity for tasks that its machines cannot start in time.
 
-        Ignored if it was sent before the owner knew of the machines that it was last assigned.
+        A frame is ignored if its owner sent it before it knew of the machines last assigned to it.
         """
         state = self.state
         shard = state.shards.get(frame.shard)
@@ -83,90 +86,95 @@
         ]
         shard.capacity_requests_at = now
         if shard.capacity_requests and len(state.shards) > 1 and state.ready:
-            # Idle machines of other shards can serve at once; scale-out waits for the next plan.
+            # Idle machines of other shards can be moved now; scale-out waits for the next plan.
             self.tracker.sample_shard(now, shard.number, self.tracker.measure(now))
-            self.placement.serve(now, shard, state.serving(), None)
+            self.placement.serve_requests(now, shard, state.active_machines(), None)
 
     def plan(self, now: float) -> None:
-        """Allocate the fleet, move idle machines, request what is missing, scale in the rest."""
+        """Allocate the fleet, move idle machines, request missing ones, scale in surplus ones."""
         state = self.state
         demand = self.tracker.measure(now)
         self.tracker.sample(now, demand)
         targets = self.tracker.warm_targets()
-        serving = state.serving()
-        self.rebalancer.recount(serving)
-        deferrable_cpus = self._deferrable_cpus_in_use(serving, demand)
-        total_cpus = sum(machine.type.cpus for machine in serving)
-        state.on_demand_excess = total_cpus - deferrable_cpus > targets.total_cpus
+        active_machines = state.active_machines()
+        self.rebalancer.update_on_demand_cpus(active_machines)
+        deferrable_cpus_in_use = self._deferrable_cpus_in_use(active_machines, demand)
+        total_cpus = sum(machine.type.cpus for machine in active_machines)
+        state.on_demand_excess = total_cpus - deferrable_cpus_in_use > targets.total_cpus
         remaining = remaining_by_team(self.cluster, self.jobs.jobs.values())
-        allocated = allocate(self.cluster, serving, remaining)
+        allocated = allocate(self.cluster, active_machines, remaining)
         shards = sorted(
             state.shards.values(),
-            key=lambda shard: allocation_ratio(shard, serving, remaining, allocated),
+            key=lambda shard: allocation_ratio(shard, active_machines, remaining, allocated),
         )
-        # Not while a machine may hold tasks of any shard, as after a failover.
-        if not any(machine.route.occupancy == Occupancy.ANY_SHARD for machine in serving):
-            self._scale_out(now, shards, serving, targets, deferrable_cpus)
+        # No scale-out while a machine may hold tasks of any shard, as after a failover.
+        if not any(machine.route.occupancy == Occupancy.ANY_SHARD for machine in active_machines):
+            self._scale_out(now, shards, active_machines, targets, deferrable_cpus_in_use)
         if now >= self.next_summary_at:
-            self.next_summary_at = now + SUMMARY_REPORTS * state.heartbeat_interval_s
-            self._log_fleet(targets, demand, allocated)
-        self.warm_capacity.scale_in(now, targets, deferrable_cpus)
+            self.next_summary_at = now + SUMMARY_HEARTBEATS * state.heartbeat_interval_s
+            self._log_summary(targets, demand, allocated)
+        self.warm_capacity.scale_in(now, targets, deferrable_cpus_in_use)
 
-    def _deferrable_cpus_in_use(self, serving: list[ManagedMachine], demand: Demand) -> float:
-        """The CPUs in use by deferrable work, which don't count as warm capacity.
+    def _deferrable_cpus_in_use(
+        self, active_machines: list[ManagedMachine], demand: Demand
+    ) -> float:
+        """Return the CPUs in use by deferrable work, which do not count as warm capacity.
 
-        None where every class can wait for a machine to boot: nothing is gained there by keeping
-        capacity beside deferrable work, and it costs a good deal.
+        0 if every job class can wait for a machine to boot: keeping capacity in addition to the
+        deferrable work would then gain nothing and cost much.
         """
         if not self.tracker.slos.has_start_target_below(self.state.boot_s):
             return 0.0
-        used_cpus = sum(machine.used_cpus for machine in serving)
+        used_cpus = sum(machine.used_cpus for machine in active_machines)
         return min(demand.deferrable, max(0.0, used_cpus - demand.total_urgent))
 
     def _scale_out(
         self,
         now: float,
         shards: list[Shard],
-        serving: list[ManagedMachine],
+        active_machines: list[ManagedMachine],
         targets: WarmTargets,
-        deferrable_cpus: float,
+        deferrable_cpus_in_use: float,
     ) -> None:
-        """Serve the shards in their order, keep warm capacity, request the planned machines."""
-        plan = ScaleOutPlan.for_fleet(serving, self.max_machines_per_plan)
+        """Serve the shards in order, provision warm capacity, request the planned machines."""
+        plan = ScaleOutPlan.for_fleet(active_machines, self.max_machines_per_plan)
         for shard in shards:
-            self.placement.serve(now, shard, serving, plan)
-        self.warm_capacity.provision(now, targets, serving, deferrable_cpus, plan)
-        self.warm_capacity.rebalance(now, serving)
+            self.placement.serve_requests(now, shard, active_machines, plan)
+        self.warm_capacity.provision(now, targets, active_machines, deferrable_cpus_in_use, plan)
+        self.warm_capacity.rebalance(now, active_machines)
         for destination, count in plan.counts.items():
             machine_group = destination.machine_group
             pending = self.state.pending_requests.values()
-            # At most one pending request per group.
+            # At most one pending request per machine group.
             if not any(request.machine_group == machine_group for request in pending):
                 self.instance_requests.provision(
                     now, machine_group, min(count, MAX_MACHINES_PER_CALL), destination.shard
                 )
 
-    def _log_fleet(
+    def _log_summary(
         self, targets: WarmTargets, demand: Demand, allocated: allocation.Allocation
     ) -> None:
-        """Log the machines by shard, type and state: their number, their CPUs, how many idle."""
-        kinds: dict[str, list[float]] = {}
+        """Log the fleet: machine count, CPUs and idle count by shard, type, spot and boot state."""
+        totals_by_category: dict[str, list[float]] = {}
         for machine in self.state.machines.values():
             route, status = machine.route, machine.status
-            kind = "spot" if route.spot else "on-demand"
+            purchase_option = "spot" if route.spot else "on-demand"
             state = "up" if status.registered else "booting"
-            sums = kinds.setdefault(
-                f"{route.shard} {machine.type.name} {kind} {state}", [0, 0.0, 0]
+            totals = totals_by_category.setdefault(
+                f"{route.shard} {machine.type.name} {purchase_option} {state}", [0, 0.0, 0]
             )
-            sums[0] += 1
-            sums[1] += machine.type.cpus
-            sums[2] += status.idle
+            totals[0] += 1
+            totals[1] += machine.type.cpus
+            totals[2] += status.idle
         self.out.log(
             LogLevel.INFO,
             LogEvent.CLUSTER_SUMMARY,
             warm_cpus=round(targets.total_cpus),
             urgent_cpus=round(demand.total_urgent),
-            machines={key: [round(x) for x in sums] for key, sums in sorted(kinds.items())},
+            machines={
+                category: [round(total) for total in totals]
+                for category, totals in sorted(totals_by_category.items())
+            },
             owners={shard.number: shard.owner for shard in self.state.shards.values()},
             allocation_factors=[round(factor, 3) for factor in allocated.factors],
         )
--- a/src/copperpass/core/autoscaling/scale_out_plan.py
+++ b/src/copperpass/core/autoscaling/scale_out_plan.py
@@ -1,4 +1,4 @@
-"""What one plan requests of the cloud."""
+"""The machines that one plan requests from the cloud."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.core.autoscaling.state import ManagedMachine
 
-# The most machines that one call to the cloud may request, by the protocol.
+# The cloud protocol's limit of machines that one call may request.
 MAX_MACHINES_PER_CALL = 50
-# The part of the calls that the cloud allows until the next plan which one plan may use.
-CALLS_PART = 0.1
+# The share of the cloud's permitted calls within one plan interval that a plan may use.
+MAX_CALL_RATIO = 0.1
 
 
 def max_machines_per_plan(cloud_rps: float, plan_interval_s: float) -> int:
-    """How many machines one plan may request, given the cloud's rate in requests per second.
+    """Return how many machines one plan may request, given the cloud's rate in calls per second.
 
-    More than a call's worth where the cloud is fast: fifty in each plan took a minute for 4,000.
+    At least one call's worth, and more if the rate allows more calls: with 50 machines in each
+    plan, provisioning 4,000 machines took a minute.
     """
-    return MAX_MACHINES_PER_CALL * max(1, int(CALLS_PART * cloud_rps * plan_interval_s))
+    return MAX_MACHINES_PER_CALL * max(1, int(MAX_CALL_RATIO * cloud_rps * plan_interval_s))
 
 
 class Destination(NamedTuple):
-    """What to provision, and for which shard."""
+    """The machine group to provision from and the shard that gets the machines."""
 
     machine_group: MachineGroup
     shard: int
@@ -31,30 +32,30 @@
 
 @dataclass(slots=True)
 class ScaleOutPlan:
-    """Machines to provision, in the order in which they were added."""
+    """The number of machines to provision for each destination, in the order of first addition."""
 
     counts: dict[Destination, int] = field(default_factory=dict)
-    # The machines that serve and those of the plan, by zone: new ones are spread.
+    # The number of active and planned machines by zone, used to spread new machines over zones.
     machines_by_zone: dict[str, int] = field(default_factory=dict)
-    # A bound on the plan: the next one is made once it is known what became of these machines.
+    # Limits one plan: the next one is made once the outcome of these machines' requests is known.
     max_machines: int = MAX_MACHINES_PER_CALL
 
     @classmethod
-    def for_fleet(cls, serving: list[ManagedMachine], max_machines: int) -> ScaleOutPlan:
-        """An empty plan for a fleet of these machines."""
+    def for_fleet(cls, active_machines: list[ManagedMachine], max_machines: int) -> ScaleOutPlan:
+        """Return an empty plan that counts the active machines by zone."""
         plan = cls(max_machines=max_machines)
-        for machine in serving:
+        for machine in active_machines:
             zone = machine.route.zone
             plan.machines_by_zone[zone] = plan.machines_by_zone.get(zone, 0) + 1
         return plan
 
     @property
     def full(self) -> bool:
-        """Whether the plan takes no more machines."""
+        """Whether the plan has reached its limit of machines."""
         return sum(self.counts.values()) >= self.max_machines
 
     def add(self, machine_group: MachineGroup, shard: int) -> None:
-        """Add one machine."""
+        """Add one machine of a group for a shard."""
         destination, zone = Destination(machine_group, shard), machine_group.zone
         self.machines_by_zone[zone] = self.machines_by_zone.get(zone, 0) + 1
         self.counts[destination] = self.counts.get(destination, 0) + 1
--- a/src/copperpass/core/autoscaling/sliding_maximum.py
+++ b/src/copperpass/core/autoscaling/sliding_maximum.py
@@ -1,4 +1,4 @@
-"""The maximum over a sliding window."""
+"""The maximum of timed samples over a sliding window."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Sample(NamedTuple):
-    """A value and when it was taken."""
+    """A value and the time, in seconds, at which it was taken."""
 
     taken_at: float
     value: float
@@ -16,8 +16,8 @@
 class SlidingMaximum:
     """The highest value over the last `window_s` seconds, in amortized constant time.
 
-    The samples that are kept have decreasing values: one that is followed by a higher value can't
-    become the maximum any more.
+    Keeps only samples with strictly decreasing values: a sample that is followed by an equal or
+    higher value can no longer become the maximum.
     """
 
     def __init__(self, window_s: float) -> None:
@@ -25,7 +25,7 @@
         self.samples: deque[Sample] = deque()
 
     def add(self, now: float, value: float) -> None:
-        """Add a sample; times never decrease."""
+        """Add a sample; `now` must not decrease between calls."""
         while self.samples and self.samples[-1].value <= value:
             self.samples.pop()
         self.samples.append(Sample(now, value))
@@ -33,5 +33,5 @@
             self.samples.popleft()
 
     def value(self) -> float:
-        """The highest sample in the window; 0 without any."""
+        """Return the highest sample in the window, as of the last `add`; 0 without samples."""
         return self.samples[0].value if self.samples else 0.0
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the leader's control loop share during one term."""
+"""The state that the components of the leader's control loop share during one term."""
 
 from __future__ import annotations
 
@@ -27,15 +27,16 @@
 from copperpass.settings import Cluster
 from copperpass.tuning import Tuning
 
-# The inventory takes at most one write in so many that the key-value store allows.
-INVENTORY_WRITE_PERIODS = 4
-# Of a shard whose required revision has yet to be read: its new owner has to wait.
+# The minimum gap between inventory writes, in write periods (1 / write rate) of the key-value
+# store: the inventory takes at most one of this many permitted writes.
+INVENTORY_WRITE_GAP_PERIODS = 4
+# The required revision of a shard until it is read from the store; the new owner waits for that.
 UNKNOWN_REVISION = (1 << 62) - 1
 
 
 @dataclass(slots=True)
 class ManagedMachine:
-    """A provisioned machine, as the leader knows it; times are in seconds."""
+    """A provisioned machine, as known to the leader; times are in seconds."""
 
     route: MachineRoute
     type: MachineType
@@ -46,18 +47,18 @@
     used_cpus: float = 0.0
     deleting: bool = False
     deletion_sent_at: float = float("-inf")
-    # The shard that its owner is asked to release it for; None: to be deleted.
+    # The shard for which the owner is asked to release the machine; None: for deletion.
     reclaim_for_shard: int | None = None
     reclaim_deadline: float = 0.0
 
     @property
     def machine_group(self) -> MachineGroup:
-        """What it was provisioned as."""
+        """The group that the machine was provisioned from."""
         return MachineGroup(self.route.type, self.route.zone, self.route.spot)
 
     @property
     def reclaimable(self) -> bool:
-        """Whether it could be reassigned or deleted now."""
+        """Whether the machine is idle and could be reassigned or deleted now."""
         return (
             self.status.idle
             and self.status.reconciled
@@ -68,7 +69,7 @@
 
 
 class CapacityRequest(NamedTuple):
-    """Tasks of a job that the machines of their shard have no capacity for in time."""
+    """Tasks of a job that the machines of its shard cannot start in time."""
 
     job: Job
     tasks: int
@@ -77,7 +78,7 @@
 
 
 class InstanceRequest(NamedTuple):
-    """Machines requested from the cloud, without an answer so far."""
+    """A request for machines that the cloud has not answered yet."""
 
     machine_group: MachineGroup
     machines: int
@@ -88,9 +89,9 @@
 class Shard:
     """Teams that share an owner and its machines.
 
-    `generation` tells one assignment from the next. The owner starts nothing before its watch cache
-    has reached `required_revision` and its routes `required_sequence`. Without an owner the shard
-    is not assigned before `assignable_at`.
+    `generation` distinguishes successive assignments. The owner starts no tasks before its watch
+    cache has reached `required_revision` and its routes `required_sequence`. A shard without an
+    owner is not assigned before `assignable_at`.
     """
 
     number: int
@@ -103,12 +104,12 @@
     assignable_at: float = 0.0
     capacity_requests: list[CapacityRequest] = field(default_factory=list)
     capacity_requests_at: float = float("-inf")
-    # By job, where its other tasks allow one zone only; as the owner reports it.
+    # By job id, the only zone that the job's other tasks allow, as reported by the owner.
     zone_affinities: dict[str, str] = field(default_factory=dict)
 
     @property
     def assignment(self) -> ShardAssignment:
-        """The current assignment; only of meaning while there is an owner."""
+        """The current assignment; meaningful only while the shard has an owner."""
         return ShardAssignment(
             self.number,
             self.owner,
@@ -122,7 +123,7 @@
 class MemberState:
     """A member that may own shards: its grants, and the replication to and from it.
 
-    `grants_expire_at` is the leader's own reckoning, which never lies before the member's.
+    `grants_expire_at` is the expiry on the leader's side, never earlier than on the member's side.
     """
 
     incarnation: int = 0
@@ -136,10 +137,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClusterManagerContext:
-    """What a node gives to the manager of a term that it leads.
+    """What a node passes to the cluster manager of a term that it leads.
 
-    The job table, the types and the cached inventory are the node's own and change while the term
-    lasts; `previous_routes` and `previous_owners` are what the node knew of earlier terms.
+    The job table, the types and the cached inventory belong to the node and change during the term.
+    `previous_routes` and `previous_owners` are known to the node from earlier terms.
     """
 
     cluster: Cluster
@@ -155,7 +156,7 @@
     previous_routes: dict[str, MachineRoute]
     previous_owners: dict[int, str]
     incarnation: int
-    # Whether heartbeats of a member arrive at a moment.
+    # Whether heartbeats from a member are arriving, given the time in seconds and the member.
     heartbeats_arrive: Callable[[float, str], bool]
     # Whether all members are certainly of this version or a later one.
     all_upgraded: Callable[[], bool] = lambda: False
@@ -165,8 +166,8 @@
     """Machines, shards, members and pending instance requests of one term.
 
     Every machine is in `machines`, and its route in `replication_log`, which is replicated to the
-    members. One that the cloud has confirmed as deleted is in `deleted_at` until no delayed message
-    can name it.
+    members. A machine that the cloud has confirmed as deleted is in `deleted_at` until no delayed
+    message can name it.
     """
 
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
@@ -181,21 +182,21 @@
         self.boot_s = longest_boot(context.types)
         self.replication_log: ReplicationLog[MachineRoute] = ReplicationLog()
         self.machines: dict[str, ManagedMachine] = {}
-        # When the deletion of each machine was confirmed.
+        # The time at which the deletion of each machine was confirmed, in seconds.
         self.deleted_at: dict[str, float] = {}
-        # By shard, the sequence number of the log at which it last got a machine.
+        # By shard, the sequence number of the replication log at which it last got a machine.
         self.last_added_sequence: dict[int, int] = {}
         self.members: dict[str, MemberState] = {}
         self.members[self.member] = MemberState(context.incarnation, now, now, float("inf"))
-        # By team.
+        # The number of each team's shard.
         self.shard_by_team = context.shards
         self.shards: dict[int, Shard] = {}
         for team, number in context.shards.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
         self.pending_requests: dict[str, InstanceRequest] = {}
         self.backoff = CapacityBackoff()
-        # Whether there is more on-demand capacity than has to be kept: work that can wait gets spot
-        # capacity only.
+        # Whether there is more on-demand capacity than has to be kept. If so, work that can wait
+        # gets only spot capacity.
         self.on_demand_excess = True
         state = context.cluster.state
         self.inventory = MachineInventory(
@@ -205,7 +206,7 @@
                 record_bytes=state.value_kb * 1024,
                 least_value_bytes=state.least_value_bytes,
                 max_writes=state.least_txn_ops,
-                write_gap_s=INVENTORY_WRITE_PERIODS / state.least_write_rps,
+                write_gap_s=INVENTORY_WRITE_GAP_PERIODS / state.least_write_rps,
                 deadline_s=context.cluster.workers.lease_s,
                 all_upgraded=context.all_upgraded,
                 limits_announced=state.next is not None,
@@ -213,11 +214,11 @@
         )
 
     def token_version(self) -> int:
-        """The version of the fencing token that guards this term's writes."""
+        """Return the version of the fencing token key, which guards this term's writes."""
         return self.election.election_revision
 
-    def serving(self) -> list[ManagedMachine]:
-        """The machines that are neither being deleted nor failed."""
+    def active_machines(self) -> list[ManagedMachine]:
+        """Return the machines that are neither being deleted nor failed."""
         return [
             machine
             for machine in self.machines.values()
@@ -227,21 +228,21 @@
         ]
 
     def assignments(self) -> tuple[ShardAssignment, ...]:
-        """Which member owns which shard; shards without an owner are left out."""
+        """Return the current assignment of each shard that has an owner."""
         return tuple(shard.assignment for shard in self.shards.values() if shard.owner)
 
     def owner_of(self, machine: ManagedMachine) -> str:
-        """The member that owns a machine's shard; empty where nobody does."""
+        """Return the member that owns a machine's shard; an empty string if there is none."""
         shard = self.shards.get(machine.route.shard)
         return shard.owner if shard is not None else ""
 
     def shard_with_highest_demand(self) -> int:
-        """The shard that requests the most CPUs."""
+        """Return the shard that requests the most CPUs; on ties, the one with the lowest number."""
 
-        def pressure(shard: Shard) -> tuple[float, int]:
+        def sort_key(shard: Shard) -> tuple[float, int]:
             requested_cpus = sum(
                 request.tasks * request.job.spec.cpus for request in shard.capacity_requests
             )
             return (-requested_cpus, shard.number)
 
-        return min(self.shards.values(), key=pressure).number
+        return min(self.shards.values(), key=sort_key).number
--- a/src/copperpass/core/autoscaling/urgency.py
+++ b/src/copperpass/core/autoscaling/urgency.py
@@ -1,4 +1,4 @@
-"""Urgent jobs: those that must start before a machine could boot for them."""
+"""Decides which jobs are urgent: they must start before a machine could boot for them."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 
 def is_urgent(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
-    """Whether a job must start before a machine could boot for it.
+    """Whether a job must start before a machine could boot for it, which takes `boot_s` seconds.
 
-    By its class's objective, or as a guaranteed job by the objective for guarantees.
+    Decided by the start objective of the job's class or, for a guaranteed job, by the objective for
+    guarantees.
     """
-    wait = slos.tightest_start_target(job.spec.job_class)
-    if wait is not None and wait < boot_s:
+    start_target_s = slos.tightest_start_target(job.spec.job_class)
+    if start_target_s is not None and start_target_s < boot_s:
         return True
-    guarantee_wait = slos.guarantee_target_s
-    return guarantee_wait is not None and guarantee_wait < boot_s and job.guaranteed
+    guarantee_target_s = slos.guarantee_target_s
+    return guarantee_target_s is not None and guarantee_target_s < boot_s and job.guaranteed
 
 
 def needs_on_demand(job: Job, slos: ServiceLevelObjectives, boot_s: float) -> bool:
