--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -76,7 +76,7 @@
         if item.address and machine.route.contact is None:
             records.record_contact(machine, item.address, 0)
         if item.state == "failed" and not machine.route.failed:
-            # The machine has stopped without a request to delete it, so no task runs on it.
+            # The machine has stopped on its own, so no task runs on it any more.
             records.set_route(
                 machine, replace(machine.route, failed=True, occupancy=Occupancy.EMPTY)
             )
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -125,7 +125,7 @@
             > REQUEST_TTL_HEARTBEATS * self.state.heartbeat_interval_s
         ):
             return
-        supply = self._supply(shard, active_machines)
+        supply = self._collect_supply(shard, active_machines)
         for request in shard.capacity_requests:
             exhausted = plan is not None and plan.full and not supply.reclaimable
             if exhausted and not request.job.guaranteed:
@@ -138,7 +138,7 @@
                 self._claim_warm_capacity(now, supply, search)
                 self._reclaim_guaranteed_quota(now, supply, search)
 
-    def _supply(self, shard: Shard, active_machines: list[ManagedMachine]) -> ShardSupply:
+    def _collect_supply(self, shard: Shard, active_machines: list[ManagedMachine]) -> ShardSupply:
         """Collect the incoming capacity of a shard and the reclaimable machines of other shards."""
         incoming = [
             unused_capacity(self.state.types[request.machine_group.type], request.machine_group)
