--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -208,15 +208,15 @@
         available = capacities + [
             unused_capacity(machine.type, machine.machine_group) for machine in reclaimable
         ]
-        fitting: dict[str, int] = {}
+        feasible_by_zone: dict[str, int] = {}
         for capacity in available:
             tasks = capacity.feasible_tasks(spec, count, state.boot_s)
-            fitting[capacity.zone] = fitting.get(capacity.zone, 0) + tasks
-        for zone in sorted(fitting, key=lambda name: (-fitting[name], name)):
-            if fitting[zone] <= 0:
+            feasible_by_zone[capacity.zone] = feasible_by_zone.get(capacity.zone, 0) + tasks
+        for zone in sorted(feasible_by_zone, key=lambda name: (-feasible_by_zone[name], name)):
+            if feasible_by_zone[zone] <= 0:
                 continue
             query = GroupQuery(spec=spec, zone=zone)
-            if fitting[zone] >= count or choose_machine_group(
+            if feasible_by_zone[zone] >= count or choose_machine_group(
                 state.types, state.backoff, now, query
             ):
                 return zone
