--- a/src/copperpass/core/scheduling/__init__.py
+++ b/src/copperpass/core/scheduling/__init__.py
@@ -1,8 +1,10 @@
-"""An owner's scheduler of one shard: what runs on its machines, and what is asked of the leader.
+"""The scheduler of one shard, run by the shard's owner.
 
-`shard_scheduler` wires the parts, one job a module. A worker's heartbeat goes through `heartbeats`,
-`task_reconciliation` and `task_statuses`; a dispatch round through `dispatcher`, `dispatch_round`,
-`team_queues` and `bin_packing`, with `allocation` for the shares of the teams; what is sent to
-machines through `tasks` and `commands`. Invariant: a task is where it may be until a heartbeat, the
-end of its agent epoch or the cloud proves it gone.
+It places tasks on the shard's machines and reports to the leader which machines it needs.
+`shard_scheduler` connects the modules, each of which has one responsibility. `heartbeats`,
+`task_reconciliation` and `task_statuses` process a worker's heartbeat. `dispatcher`,
+`dispatch_round`, `team_queues` and `bin_packing` run a dispatch round, with `allocation` for the
+shares of the teams. `tasks` and `commands` send commands to machines. Invariant: a task counts as
+present on every machine where it may be, until a heartbeat, the end of its agent epoch or the
+cloud proves that it is gone.
 """
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -1,7 +1,7 @@
-"""One dispatch round: which waiting tasks start now, and where.
+"""One dispatch round: chooses the pending tasks that start now, and their machines.
 
-Teams take turns by what their allocation leaves them, a team's jobs by deadline, machines by the
-ranking of `bin_packing`.
+The next task comes from the team that has used the smallest part of its allocation. Within a team,
+jobs are ordered by start deadline. The machine is chosen by the ranking in `bin_packing`.
 """
 
 from __future__ import annotations
@@ -25,18 +25,19 @@
 from copperpass.core.scheduling.team_queues import TeamQueues
 from copperpass.tuning import Tuning
 
-# A task is large if it takes as many times the CPUs of the smallest task present.
-LARGE_FACTOR = 4
-# Stands for gangs among the teams that capacity is reserved for.
-GANGS = "gang"
+# A task is large if it takes at least this many times the CPUs of the smallest present task.
+LARGE_TASK_RATIO = 4
+# The entry for all gangs in `reservation_holders`, whose other entries are team names.
+GANG_HOLDER = "gang"
 
-# CPUs, GPUs, GB of memory, may use spot machines, may use only these, is starving, seconds.
+# CPUs, GPUs, GB of memory, may use spot machines, may use only spot machines, is starving,
+# estimated run time in seconds (0 where it doesn't matter).
 TaskShape = tuple[float, float, float, bool, bool, bool, float]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementParts:
-    """The parts of a scheduler that a round places tasks with."""
+    """The components of a scheduler that a dispatch round uses to place tasks."""
 
     state: ShardState
     tuning: Tuning
@@ -50,14 +51,14 @@
 
     # Seconds until its start deadline.
     slack_s: float
-    # It waits for cheap capacity; on-demand capacity is for work that can't.
+    # It can wait for spot capacity; on-demand capacity is left to jobs that can't wait.
     can_wait: bool
-    # It has been without any placement for so long that no reservation binds it.
+    # It has had no placement for so long that it may use capacity reserved for others.
     starving: bool
 
 
 class DispatchRound:
-    """The machines of one round, and what has been started and reserved on them so far.
+    """The state of one dispatch round: its machines, started tasks and reservations.
 
     Invariant: within a round free capacity only shrinks.
     """
@@ -75,30 +76,36 @@
         self.reservations, self.gangs = parts.reservations, parts.gangs
         self.slos, self.boot_s = parts.state.slos, parts.state.timing.boot_s
         self.smallest_cpus = min((job.spec.cpus for job in jobs if job.spec.cpus > 0), default=0.0)
-        # The machines with capacity for the smallest task.
+        # The machines with enough free CPUs for the smallest task.
         self.candidates = [
             machine
             for machine in usable
             if fits_within(self.smallest_cpus, machine.type.cpus - machine.used_cpus)
         ]
-        # By team.
+        # At most one for each team.
         self.quota_reservations: dict[str, QuotaReservation] = {}
-        # For whom capacity has been reserved in this round: teams, or `GANGS`.
-        self.reserving: set[str] = set()
-        # Jobs that machines are reserved for, by preemption or in want of a large gap.
+        # The teams for which capacity has been reserved in this round, and `GANG_HOLDER` if it has
+        # been for a gang.
+        self.reservation_holders: set[str] = set()
+        # Jobs with a machine reserved for them: by preemption, or because they need much capacity
+        # on one machine.
         self.jobs_with_reservation = {
             machine.reserved_for_job for machine in usable if now < machine.reserved_until
         }
-        # Jobs that no machine had capacity for.
+        # Jobs with a pending task that no machine could take in this round.
         self.unplaced: list[Job] = []
-        # Where tasks have been started, in order.
+        # The machines on which tasks have been started, in order of the starts.
         self.started_on: list[Machine] = []
         self.rankings: dict[str, Ranking] = {}
-        # Shapes that no machine had capacity for.
+        # Shapes for which a search found no machine. They stay infeasible for the rest of the
+        # round, since free capacity only shrinks.
         self.infeasible_shapes: set[TaskShape] = set()
 
     def place_all(self) -> None:
-        """Start tasks until no queue has one that finds capacity."""
+        """Start tasks until all queues are empty.
+
+        A job without a feasible machine leaves its queue for the rest of the round.
+        """
         while self.usable:
             job = self.queues.next_job()
             if job is None:
@@ -109,7 +116,7 @@
                 self._place_task(job)
 
     def _place_gang(self, job: Job) -> None:
-        """Start a gang as a whole, or see that it finds capacity later."""
+        """Start a gang as a whole; if it can't start, reserve quota or capacity for it."""
         now, team = self.now, job.spec.team
         self.queues.dequeue(job)
         used = self.queues.used[team]
@@ -121,15 +128,16 @@
             self.queues.on_started(job, len(placed))
         else:
             self.unplaced.append(job)
-            if GANGS not in self.reserving:
-                # As in the design: capacity is reserved for one gang at a time.
-                self.reserving.add(GANGS)
+            if GANG_HOLDER not in self.reservation_holders:
+                # By design, a round reserves capacity for one gang only.
+                self.reservation_holders.add(GANG_HOLDER)
                 self.jobs_with_reservation |= self.gangs.reserve_capacity(now, job, self.usable)
 
     def _reserve_quota_for_gang(self, job: Job) -> None:
         """Reserve quota for a gang that must start before a machine would boot.
 
-        Tasks of the team that come after it would take each gap under the limit.
+        Otherwise tasks of jobs that arrived later would take any quota that becomes free, and the
+        team would never have enough for the whole gang.
         """
         spec = job.spec
         if spec.team in self.quota_reservations:
@@ -159,7 +167,8 @@
             return
         self.tasks.start(self.now, job, index, machine)
         if urgency.starving:
-            # Its first task has a placement; the rest is bound by reservations again.
+            # The job is no longer starving once a task is placed. Its ranking ignored reservations;
+            # the next task needs a new one that respects them.
             del self.rankings[job.spec.id]
         self.queues.count_past_deadline(job)
         self.started_on.append(machine)
@@ -172,11 +181,12 @@
         return Urgency(slack_s, can_wait, starving)
 
     def _exceeds_quota(self, job: Job, urgency: Urgency) -> bool:
-        """Whether one more task would exceed the team's limit less what is reserved under it."""
+        """Whether one more task would exceed the team's limit less its quota reservation."""
         spec = job.spec
         used = self.queues.used[spec.team]
         reservation = self.quota_reservations.get(spec.team)
-        # Jobs that came earlier are not bound by the reservation: neither starves the other.
+        # A reservation binds only jobs that arrived after its holder. So later jobs can't starve
+        # the holder, and the holder can't starve earlier jobs.
         if (
             reservation is not None
             and job.arrived_at > reservation.arrived
@@ -188,7 +198,7 @@
     def _reserve_quota(self, job: Job, urgency: Urgency) -> None:
         """Reserve quota under its team's limit for a large task.
 
-        As with gangs: small tasks of its team would take each gap under the limit.
+        Otherwise, as with gangs, small tasks of the team would take any quota that becomes free.
         """
         spec = job.spec
         if spec.team in self.quota_reservations or urgency.can_wait or not self._is_large(job):
@@ -196,11 +206,11 @@
         self.quota_reservations[spec.team] = QuotaReservation(job.arrived_at, spec.cpus, spec.gpus)
 
     def _is_large(self, job: Job) -> bool:
-        """Whether a job's tasks are large beside the smallest that are present."""
-        return job.spec.cpus >= LARGE_FACTOR * self.smallest_cpus
+        """Whether a job's tasks are large compared with the smallest present task."""
+        return job.spec.cpus >= LARGE_TASK_RATIO * self.smallest_cpus
 
     def _choose_machine(self, job: Job, urgency: Urgency) -> Machine | None:
-        """The best machine for the job's next task."""
+        """Return the best machine for the job's next task; None if no machine can take it."""
         spec = job.spec
         spot_only = self.state.on_demand_excess and spec.spot and urgency.can_wait
         shape = self._shape(job, urgency, spot_only)
@@ -219,14 +229,18 @@
         return machine
 
     def _shape(self, job: Job, urgency: Urgency, spot_only: bool) -> TaskShape | None:
-        """What decides where a job's tasks are feasible; None if that is the job itself."""
+        """Return the properties that decide on which machines a job's tasks are feasible.
+
+        None if feasibility depends on the job itself: by its constraints, or by a machine that is
+        reserved for it.
+        """
         spec = job.spec
         if spec.types or spec.zone or spec.one_zone or spec.spread:
             return None
         if spec.id in self.jobs_with_reservation:
             return None
-        # What large tasks leave is open to short work only.
-        length_s = spec.estimate_s if self.reservations.reserved_types.smallest_tasks else 0.0
+        # On types reserved for large tasks, only tasks that are short enough may backfill.
+        estimate_s = spec.estimate_s if self.reservations.reserved_types.smallest_tasks else 0.0
         return (
             spec.cpus,
             spec.gpus,
@@ -234,18 +248,19 @@
             spec.spot,
             spot_only,
             urgency.starving,
-            length_s,
+            estimate_s,
         )
 
     def _reserve_capacity(self, job: Job, urgency: Urgency) -> None:
-        """Reserve a machine for a large task, for one of them a team at a time, as with gangs.
+        """Reserve a machine for a large task; at most one reservation for each team and round.
 
-        A large task never finds capacity among small ones that take each gap.
+        Otherwise small tasks would take any capacity that becomes free, and no machine would ever
+        have enough for the large task.
         """
         spec = job.spec
-        if spec.team in self.reserving or urgency.can_wait or not self._is_large(job):
+        if spec.team in self.reservation_holders or urgency.can_wait or not self._is_large(job):
             return
-        self.reserving.add(spec.team)
+        self.reservation_holders.add(spec.team)
         machine = machine_to_reserve(job, self.usable, self.state.machines, self.now)
         if machine is not None:
             reserve_machine(machine, spec.id, self.now + self.state.timing.heartbeat_interval_s)
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: runs dispatch rounds, and keeps what passes from one to the next."""
+"""The dispatcher: runs dispatch rounds, and keeps the state that one round passes to the next."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.team_queues import TeamQueues
 
-# The time to the next round: at least, and for each job that waits.
+# The pause before the next round: its minimum, and what each queued job adds.
 MIN_PAUSE_S, PAUSE_PER_JOB_S = 0.01, 0.002
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DispatchParts:
-    """The parts of a scheduler that dispatch rounds work with."""
+    """The components of a scheduler that the dispatcher uses."""
 
     placement: PlacementParts
     commands: Commands
@@ -29,18 +29,19 @@
 
 
 class Dispatcher:
-    """Runs dispatch rounds; `next_round_at` is the earliest moment for the next."""
+    """Runs dispatch rounds; `next_round_at` is the earliest time for the next one."""
 
     def __init__(self, parts: DispatchParts, now: float) -> None:
         self.state, self.reservations = parts.placement.state, parts.placement.reservations
         self.tuning, self.placement = parts.placement.tuning, parts.placement
         self.commands, self.demand, self.preemption = parts.commands, parts.demand, parts.preemption
-        # Jobs without a placement in the latest round that must start before a machine would boot.
-        self.urgent: set[str] = set()
+        # Ids of the jobs that the latest round could not place and that must start before a machine
+        # would boot.
+        self.urgent_jobs: set[str] = set()
         self.next_round_at = now
 
     def run_round(self, now: float) -> None:
-        """Start the tasks that can be started, and preempt others for those that can't wait."""
+        """Start pending tasks; preempt running ones for jobs that would miss their deadline."""
         state = self.state
         state.dirty = False
         jobs = state.own_jobs()
@@ -49,36 +50,43 @@
                 job.last_assigned_at = now
         self.reservations.reserved_types.observe(now, jobs)
         if all(job.pending_count() <= 0 for job in jobs):
-            # Most heartbeats of an idle hour change nothing that could be started.
-            state.needs_machines, self.urgent = False, set()
+            # While the shard is idle, most heartbeats don't make any task startable.
+            state.needs_machines, self.urgent_jobs = False, set()
             self.next_round_at = now + MIN_PAUSE_S
             return
-        silence_s = state.timing.heartbeat_timeout_s
-        usable = [machine for machine in state.machines.values() if machine.usable(now, silence_s)]
-        queues = self._queues(now, jobs, usable)
-        current = DispatchRound(now, self.placement, queues, jobs, usable)
+        heartbeat_timeout_s = state.timing.heartbeat_timeout_s
+        usable = [
+            machine
+            for machine in state.machines.values()
+            if machine.usable(now, heartbeat_timeout_s)
+        ]
+        queues = self._build_queues(now, jobs, usable)
+        dispatch_round = DispatchRound(now, self.placement, queues, jobs, usable)
         self.reservations.reserve_on_demand(now, jobs, usable)
-        current.place_all()
-        for machine in {machine.name: machine for machine in current.started_on}.values():
+        dispatch_round.place_all()
+        for machine in {machine.name: machine for machine in dispatch_round.started_on}.values():
             self.commands.send(now, machine)
-        self._flag_urgent(now, current.unplaced)
-        if current.unplaced and self.tuning.preemption:
-            self.preemption.preempt(now, current.unplaced, usable, queues.used)
-        # The next round comes sooner when idle and later under load: a batch widens with it.
+        self._flag_urgent(now, dispatch_round.unplaced)
+        if dispatch_round.unplaced and self.tuning.preemption:
+            self.preemption.preempt(now, dispatch_round.unplaced, usable, queues.used)
+        # The pause grows with the backlog, so that under load each round handles a larger batch.
         max_pause_s = state.timing.heartbeat_interval_s / 4
         pause_s = MIN_PAUSE_S + PAUSE_PER_JOB_S * queues.backlog
         self.next_round_at = now + min(max_pause_s, pause_s)
 
-    def _queues(self, now: float, jobs: list[Job], usable: list[Machine]) -> TeamQueues:
-        """The round's queues, with the teams' allocations of the usable machines."""
-        capacity = self._capacity(usable)
+    def _build_queues(self, now: float, jobs: list[Job], usable: list[Machine]) -> TeamQueues:
+        """Build the round's queues, with each team's allocation of the usable machines."""
+        capacity = self._total_capacity(usable)
         allocated = allocation.allocate(self.demand.claims(), capacity).tasks
         queues = TeamQueues(now, self.state, self.demand, allocated, capacity[0])
         queues.fill(jobs, self.demand)
         return queues
 
-    def _capacity(self, usable: list[Machine]) -> tuple[float, float]:
-        """CPUs, and the second resource that the allocation is about: GPUs or GB of memory."""
+    def _total_capacity(self, usable: list[Machine]) -> tuple[float, float]:
+        """Return the total capacity of the two resources that the allocation divides.
+
+        These are CPUs and, depending on whether teams have GPU quotas, GPUs or GB of memory.
+        """
         has_gpu_quotas = self.demand.has_gpu_quotas
         return (
             sum(machine.type.cpus for machine in usable),
@@ -89,8 +97,10 @@
         )
 
     def _flag_urgent(self, now: float, unplaced: Iterable[Job]) -> None:
-        """Have the leader notified at once of jobs that have become urgent."""
+        """Record the urgent jobs; have the leader notified at once if there is a new one."""
         slos, boot_s = self.state.slos, self.state.timing.boot_s
-        urgent = {job.spec.id for job in unplaced if slos.start_deadline(job, now) - now < boot_s}
-        self.state.needs_machines = bool(urgent - self.urgent)
-        self.urgent = urgent
+        urgent_jobs = {
+            job.spec.id for job in unplaced if slos.start_deadline(job, now) - now < boot_s
+        }
+        self.state.needs_machines = bool(urgent_jobs - self.urgent_jobs)
+        self.urgent_jobs = urgent_jobs
--- a/src/copperpass/core/scheduling/team_queues.py
+++ b/src/copperpass/core/scheduling/team_queues.py
@@ -1,4 +1,4 @@
-"""The queues of a dispatch round: jobs that may start, by team, and whose turn it is."""
+"""The queues of a dispatch round: startable jobs by team, and the choice of the next team."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 
-# A team without an allocation comes after all that have one.
-NO_ALLOCATION = 1e3
-# The share of a shard's CPUs that work past its deadline gets before work that can be in time.
+# Added for a team without an allocation to the part that it has used, so that it comes after all
+# teams with one.
+NO_ALLOCATION_PENALTY = 1e3
+# The share of a shard's CPUs that jobs past their deadline may use ahead of jobs that can still
+# meet theirs.
 PAST_DEADLINE_SHARE = 0.5
 
 
 class TeamQueues:
-    """Each team's startable jobs by deadline, with what its tasks use.
+    """Each team's startable jobs by deadline, and the resources that its tasks use.
 
-    Teams take turns: the next is the one that has used least of its allocation. `allocated` holds
-    tasks by team, `capacity_cpus` the CPUs of all usable machines.
+    The next job comes from the team that has used the smallest part of its allocation. `allocated`
+    is the number of tasks allocated to each team, `capacity_cpus` the CPUs of all usable machines.
     """
 
     def __init__(
@@ -34,30 +36,31 @@
     ) -> None:
         self.now, self.state, self.slos = now, state, state.slos
         self.allocated = allocated
-        # By team: CPUs and GPUs, and the number of placed tasks.
+        # By team: the CPUs and GPUs that its tasks use, and the number of its placed tasks.
         self.used: dict[str, ResourceUsage] = demand.usage()
-        self.assigned = {team.name: 0 for team in state.teams}
+        self.assigned_counts = {team.name: 0 for team in state.teams}
         self.queues: dict[str, list[Job]] = {team.name: [] for team in state.teams}
         # The number of queued jobs at the beginning of the round.
         self.backlog = 0
-        # CPUs of work past its deadline.
-        self.past_deadline_quota = PAST_DEADLINE_SHARE * capacity_cpus
+        # The CPUs that jobs past their deadline may use before they go last, and those they use.
+        self.past_deadline_quota_cpus = PAST_DEADLINE_SHARE * capacity_cpus
         self.past_deadline_cpus = 0.0
 
     def fill(self, jobs: list[Job], demand: Demand) -> None:
-        """Queue the jobs that may start, and count the placed tasks of all."""
+        """Queue the startable jobs, and count the placed tasks of all jobs."""
         now, slos, teams = self.now, self.slos, self.state.teams
         assess_guarantees(jobs, {team.name: team.cpus for team in teams})
         unreported_kinds = demand.unreported_kinds()
         for job in jobs:
             team = job.spec.team
-            self.assigned[team] = self.assigned.get(team, 0) + len(job.assigned)
+            self.assigned_counts[team] = self.assigned_counts.get(team, 0) + len(job.assigned)
             if job.pending_count() > 0 and demand.is_startable(job, now, unreported_kinds):
                 self.queues.setdefault(team, []).append(job)
         self.backlog = sum(len(queue) for queue in self.queues.values())
-        bonus_s = self.state.timing.boot_s / 2
+        priority_bonus_s = self.state.timing.boot_s / 2
         self.queues = {
-            team: task_order(queue, slos, now, bonus_s) for team, queue in self.queues.items()
+            team: task_order(queue, slos, now, priority_bonus_s)
+            for team, queue in self.queues.items()
         }
         self.past_deadline_cpus = sum(
             len(job.assigned) * job.spec.cpus for job in jobs if slos.is_past_deadline(job, now)
@@ -66,31 +69,34 @@
             self._limit_past_deadline(queue)
 
     def next_job(self) -> Job | None:
-        """The first job of the team whose turn it is; None when all queues are empty."""
+        """Return the first job of the team that has used the smallest part of its allocation.
+
+        None if all queues are empty.
+        """
         teams = [team for team, queue in self.queues.items() if queue]
         if not teams:
             return None
         return self.queues[min(teams, key=lambda team: (self._allocation_used(team), team))][0]
 
     def _allocation_used(self, team: str) -> float:
-        """How much of its allocation a team's tasks take."""
+        """Return a team's placed tasks as a part of its allocated tasks."""
         allocated = self.allocated.get(team, 0.0)
-        placed = self.assigned[team]
-        return placed / allocated if allocated > 0 else float(placed) + NO_ALLOCATION
+        placed = self.assigned_counts[team]
+        return placed / allocated if allocated > 0 else float(placed) + NO_ALLOCATION_PENALTY
 
     def dequeue(self, job: Job) -> None:
-        """Remove a job that `next_job` has returned: no more of its tasks start in this round."""
+        """Remove the job that `next_job` returned: no more of its tasks start in this round."""
         self.queues[job.spec.team].pop(0)
 
     def on_started(self, job: Job, tasks: int) -> None:
-        """Count started tasks against their team."""
+        """Add started tasks to the usage of their team."""
         spec = job.spec
         self.used[spec.team] = self.used[spec.team].plus(tasks * spec.cpus, tasks * spec.gpus)
-        self.assigned[spec.team] += tasks
+        self.assigned_counts[spec.team] += tasks
 
     def count_past_deadline(self, job: Job) -> None:
-        """Count a task that was started if its job is past its deadline."""
-        if self.past_deadline_cpus < self.past_deadline_quota and self.slos.is_past_deadline(
+        """Add a started task to the CPUs used past deadlines if its job is past its deadline."""
+        if self.past_deadline_cpus < self.past_deadline_quota_cpus and self.slos.is_past_deadline(
             job, self.now
         ):
             self.past_deadline_cpus += job.spec.cpus
@@ -98,5 +104,5 @@
 
     def _limit_past_deadline(self, queue: list[Job]) -> None:
         limit_past_deadline_share(
-            queue, self.slos, self.now, self.past_deadline_cpus, self.past_deadline_quota
+            queue, self.slos, self.now, self.past_deadline_cpus, self.past_deadline_quota_cpus
         )
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -38,7 +38,7 @@
         for _ in range(5):
             number += 1
             waiting.append(made(number, float(second)))
-        first = task_order(waiting, slos, float(second), bonus_s=5.0)[0]
+        first = task_order(waiting, slos, float(second), priority_bonus_s=5.0)[0]
         waiting.remove(first)
         if first.spec.id == "req-000001":
             return second
@@ -85,12 +85,12 @@
     old, new = made(1, 0.0, slot="none"), made(2, 190.0, slot="slow")
     queue = task_order([new, old], slos, 200.0)
     assert queue == [old, new]
-    limit_past_deadline_share(queue, slos, 200.0, used=8.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used_cpus=8.0, quota_cpus=16.0)
     assert queue == [old, new]
-    limit_past_deadline_share(queue, slos, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used_cpus=16.0, quota_cpus=16.0)
     assert queue == [new, old]
     alone = [old]
-    limit_past_deadline_share(alone, slos, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(alone, slos, 200.0, used_cpus=16.0, quota_cpus=16.0)
     assert alone == [old]
 
 
