--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -11,20 +11,20 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-# Amounts up to this count as none.
-TINY = 1e-9
-# The tolerance for constraints, as a part of their bounds.
-SLACK = 1e-6
-# The least weight of a team.
+# Amounts up to this count as zero.
+EPSILON = 1e-9
+# The relative tolerance of constraints and caps.
+CONSTRAINT_TOLERANCE = 1e-6
+# The lowest weight of a team.
 MIN_WEIGHT = 1e-3
 
-# A constraint p * rho_1 + q * rho_2 = r, as (p, q, r).
+# The boundary p * rho_1 + q * rho_2 = r of a constraint, as (p, q, r).
 Line = tuple[float, float, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a team requests per task of each resource, its weight and its cap in tasks."""
+    """A team's request per task for each resource, its weight, and its cap in tasks."""
 
     team: str
     request: tuple[float, float]
@@ -34,7 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """Tasks for each team, with the paper's bottleneck sets and factors that led to them."""
+    """The tasks allocated to each team, with the paper's bottleneck sets and factors behind them.
+
+    `first_set` and `second_set` hold the teams whose bottleneck is the first or second resource.
+    `factors` are rho_1 and rho_2: each set's allocation as a multiple of its fair shares.
+    """
 
     tasks: dict[str, float]
     first_set: frozenset[str] = frozenset()
@@ -43,47 +47,53 @@
 
 
 def weight_of_quota(cpus: float, gpus: float, has_gpu_quotas: bool) -> float:
-    """A team's weight by its guaranteed quota: of GPUs where the deployment has them, else CPUs."""
+    """Return a team's weight: its guaranteed GPUs if teams have GPU quotas, otherwise its CPUs."""
     return max(gpus if has_gpu_quotas and gpus > 0 else cpus, MIN_WEIGHT)
 
 
 def load(claim: Claim, capacity: tuple[float, float], resource: int) -> float:
-    """The part of a resource's capacity that one task takes."""
-    if claim.request[resource] <= TINY:
+    """Return the part of a resource's capacity that one task takes.
+
+    It is infinite if the task needs a resource that has no capacity.
+    """
+    if claim.request[resource] <= EPSILON:
         return 0.0
-    if capacity[resource] <= TINY:
+    if capacity[resource] <= EPSILON:
         return float("inf")
     return claim.request[resource] / capacity[resource]
 
 
 def fair_share(claim: Claim, capacity: tuple[float, float], total_weight: float) -> float:
-    """Tasks that the team would run on its weighted part of each resource."""
+    """Return how many tasks a team could run on its weighted part of both resources."""
     part = claim.weight / total_weight
-    shares = [part * capacity[r] / claim.request[r] for r in (0, 1) if claim.request[r] > TINY]
+    shares = [part * capacity[r] / claim.request[r] for r in (0, 1) if claim.request[r] > EPSILON]
     return min(shares) if shares else 0.0
 
 
-def _uses(claims: Sequence[Claim], fair: dict[str, float], resource: int) -> float:
-    """What the claims take of a resource at their fair shares."""
+def _usage_at_fair_shares(claims: Sequence[Claim], fair: dict[str, float], resource: int) -> float:
+    """Return the amount of a resource that the claims use at their fair shares."""
     return sum(fair[claim.team] * claim.request[resource] for claim in claims)
 
 
 def ratio_bounds(
     first: Sequence[Claim], second: Sequence[Claim], fair: dict[str, float]
 ) -> tuple[float, float]:
-    """The bounds of rho_1 / rho_2 that keep teams of different sets free of envy.
+    """Return the bounds of rho_1 / rho_2 within which no team envies one of the other set.
 
-    Fair shares are taken per unit of weight: a team of twice the weight is
-    entitled to twice as much, and is envied only beyond that.
+    Fair shares are compared per unit of weight: a team of twice the weight is
+    entitled to twice as much, and is envied only for more than that.
     """
     low, high = 0.0, float("inf")
-    for i in first:
-        for j in second:
-            fi, fj = fair[i.team] / i.weight, fair[j.team] / j.weight
-            if i.request[0] * fi > TINY:
-                low = max(low, j.request[0] * fj / (i.request[0] * fi))
-            if i.request[1] * fi > TINY:
-                high = min(high, j.request[1] * fj / (i.request[1] * fi))
+    for claim_1 in first:
+        for claim_2 in second:
+            share_1, share_2 = (
+                fair[claim_1.team] / claim_1.weight,
+                fair[claim_2.team] / claim_2.weight,
+            )
+            if claim_1.request[0] * share_1 > EPSILON:
+                low = max(low, claim_2.request[0] * share_2 / (claim_1.request[0] * share_1))
+            if claim_1.request[1] * share_1 > EPSILON:
+                high = min(high, claim_2.request[1] * share_2 / (claim_1.request[1] * share_1))
     return low, high
 
 
@@ -93,19 +103,20 @@
     fair: dict[str, float],
     capacity: tuple[float, float],
 ) -> tuple[float, float]:
-    """The two factors, found at the corner points of the two-variable program."""
-    first_uses = [_uses(first, fair, resource) for resource in (0, 1)]
-    second_uses = [_uses(second, fair, resource) for resource in (0, 1)]
+    """Return the two factors: the best feasible corner point of a linear program."""
+    first_usage = [_usage_at_fair_shares(first, fair, resource) for resource in (0, 1)]
+    second_usage = [_usage_at_fair_shares(second, fair, resource) for resource in (0, 1)]
     if not second:
-        return (_factor_alone(first_uses, capacity) if first else 0.0), 0.0
+        return (_factor_alone(first_usage, capacity) if first else 0.0), 0.0
     if not first:
-        return 0.0, _factor_alone(second_uses, capacity)
+        return 0.0, _factor_alone(second_usage, capacity)
     low, high = ratio_bounds(first, second, fair)
-    # The last two hold the sharing incentive, which the paper can prove because its requests add
-    # up to one; ours don't, so it is asked for.
+    # The two lines rho_1 = 1 and rho_2 = 1 enforce the sharing incentive: no team gets less than
+    # its fair share. The paper can prove it because the parts of its requests add up to one. Ours
+    # don't, so it has to be a constraint.
     lines: list[Line] = [
-        (first_uses[0], second_uses[0], capacity[0]),
-        (first_uses[1], second_uses[1], capacity[1]),
+        (first_usage[0], second_usage[0], capacity[0]),
+        (first_usage[1], second_usage[1], capacity[1]),
         (1.0, -low, 0.0),
         (1.0, 0.0, 1.0),
         (0.0, 1.0, 1.0),
@@ -117,16 +128,18 @@
 
     def is_feasible(rho_1: float, rho_2: float) -> bool:
         return (
-            min(rho_1, rho_2) >= 1 - SLACK
+            min(rho_1, rho_2) >= 1 - CONSTRAINT_TOLERANCE
             and all(
-                rho_1 * first_uses[resource] + rho_2 * second_uses[resource]
-                <= capacity[resource] * (1 + SLACK)
+                rho_1 * first_usage[resource] + rho_2 * second_usage[resource]
+                <= capacity[resource] * (1 + CONSTRAINT_TOLERANCE)
                 for resource in (0, 1)
             )
-            and rho_2 * low * (1 - SLACK) <= rho_1 <= rho_2 * high * (1 + SLACK)
+            and rho_2 * low * (1 - CONSTRAINT_TOLERANCE)
+            <= rho_1
+            <= rho_2 * high * (1 + CONSTRAINT_TOLERANCE)
         )
 
-    # A hard partition is always feasible: every request fits into its equal part.
+    # A hard partition, where each team has exactly its fair share, is always feasible.
     best, best_total = (1.0, 1.0), total_first + total_second
     for rho_1, rho_2 in _corner_points(lines):
         total = rho_1 * total_first + rho_2 * total_second
@@ -135,30 +148,36 @@
     return best
 
 
-def _factor_alone(uses: Sequence[float], capacity: tuple[float, float]) -> float:
-    """The factor of a set whose teams have the resources for themselves."""
-    bounds = [capacity[r] / uses[r] for r in (0, 1) if uses[r] > TINY]
+def _factor_alone(usage: Sequence[float], capacity: tuple[float, float]) -> float:
+    """Return the factor of a set if the other set is empty, so that it shares with no one."""
+    bounds = [capacity[r] / usage[r] for r in (0, 1) if usage[r] > EPSILON]
     return min(bounds) if bounds else 0.0
 
 
 def _corner_points(lines: Sequence[Line]) -> Iterator[tuple[float, float]]:
-    """Where two of the lines meet, in the order of the lines."""
+    """Yield the intersection of each pair of lines, in the order of the lines."""
     for (p1, q1, r1), (p2, q2, r2) in combinations(lines, 2):
-        det = p1 * q2 - p2 * q1
-        if abs(det) <= TINY * max(1.0, abs(p1 * q2)):
+        determinant = p1 * q2 - p2 * q1
+        if abs(determinant) <= EPSILON * max(1.0, abs(p1 * q2)):
             continue
-        yield (r1 * q2 - r2 * q1) / det, (p1 * r2 - p2 * r1) / det
+        yield (r1 * q2 - r2 * q1) / determinant, (p1 * r2 - p2 * r1) / determinant
 
 
 def allocate_once(claims: Sequence[Claim], capacity: tuple[float, float]) -> Allocation:
-    """BAA as in the paper: no caps."""
-    asking = [claim for claim in claims if max(claim.request) > TINY and claim.weight > TINY]
-    if not asking:
+    """Allocate by BAA as in the paper, without caps."""
+    active_claims = [
+        claim for claim in claims if max(claim.request) > EPSILON and claim.weight > EPSILON
+    ]
+    if not active_claims:
         return Allocation({claim.team: 0.0 for claim in claims})
-    total_weight = sum(claim.weight for claim in asking)
-    fair = {claim.team: fair_share(claim, capacity, total_weight) for claim in asking}
-    first = [claim for claim in asking if load(claim, capacity, 0) >= load(claim, capacity, 1)]
-    second = [claim for claim in asking if load(claim, capacity, 0) < load(claim, capacity, 1)]
+    total_weight = sum(claim.weight for claim in active_claims)
+    fair = {claim.team: fair_share(claim, capacity, total_weight) for claim in active_claims}
+    first = [
+        claim for claim in active_claims if load(claim, capacity, 0) >= load(claim, capacity, 1)
+    ]
+    second = [
+        claim for claim in active_claims if load(claim, capacity, 0) < load(claim, capacity, 1)
+    ]
     factors = _solve(first, second, fair, capacity)
     tasks = {claim.team: 0.0 for claim in claims}
     tasks.update({claim.team: factors[0] * fair[claim.team] for claim in first})
@@ -172,32 +191,38 @@
 
 
 def allocate(claims: Sequence[Claim], capacity: tuple[float, float]) -> Allocation:
-    """BAA with caps (limit or demand); capacity that is left over is spread by the same rule."""
+    """Allocate by BAA with caps (limit or demand); unused capacity follows the same rule."""
     allocated = {claim.team: 0.0 for claim in claims}
-    left = capacity
-    asking = [claim for claim in claims if claim.cap > TINY]
+    remaining = capacity
+    active_claims = [claim for claim in claims if claim.cap > EPSILON]
     initial: Allocation | None = None
-    while asking:
-        step = allocate_once(asking, left)
+    while active_claims:
+        step = allocate_once(active_claims, remaining)
         if initial is None:
             initial = step
-        uncapped = {claim.team: claim.cap - allocated[claim.team] for claim in asking}
-        growing = [claim for claim in asking if step.tasks[claim.team] > TINY]
+        remaining_cap = {claim.team: claim.cap - allocated[claim.team] for claim in active_claims}
+        growing = [claim for claim in active_claims if step.tasks[claim.team] > EPSILON]
         if not growing:
             break
-        # Grow all teams together until the first one meets its cap, then go on without it.
-        scale = min(1.0, min(uncapped[claim.team] / step.tasks[claim.team] for claim in growing))
+        # Grow all teams in proportion until the first reaches its cap, then continue without it.
+        scale = min(
+            1.0, min(remaining_cap[claim.team] / step.tasks[claim.team] for claim in growing)
+        )
         for claim in growing:
             allocated[claim.team] += scale * step.tasks[claim.team]
         used = [
             sum(scale * step.tasks[claim.team] * claim.request[resource] for claim in growing)
             for resource in (0, 1)
         ]
-        left = (max(0.0, left[0] - used[0]), max(0.0, left[1] - used[1]))
-        below_cap = [claim for claim in asking if allocated[claim.team] < claim.cap * (1 - SLACK)]
-        if scale >= 1.0 and len(below_cap) == len(asking):
+        remaining = (max(0.0, remaining[0] - used[0]), max(0.0, remaining[1] - used[1]))
+        below_cap = [
+            claim
+            for claim in active_claims
+            if allocated[claim.team] < claim.cap * (1 - CONSTRAINT_TOLERANCE)
+        ]
+        if scale >= 1.0 and len(below_cap) == len(active_claims):
             break
-        asking = below_cap
+        active_claims = below_cap
     if initial is None:
         return Allocation(allocated)
     return Allocation(allocated, initial.first_set, initial.second_set, initial.factors)
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: tasks are stopped so that others, which would miss their start deadline, fit."""
+"""Preemption: stops tasks to free capacity for jobs that would miss their start deadline."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.scheduling.victims import Preemptor, choose_victims, cost_of_victim
 
-# Capacity is freed for at most so many tasks of a job at a time.
+# The number of a job's tasks for which capacity is freed at the same time, at most.
 MAX_TASKS_AT_ONCE = 8
-# A machine whose tasks are preempted is reserved for the job for so many heartbeats.
-RESERVED_HEARTBEATS = 2
+# A machine with preempted tasks is reserved for the preempting job for this many heartbeat
+# intervals.
+RESERVATION_HEARTBEATS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """The victims on one machine, and the CPU seconds of work that preempting them costs."""
+    """The victims on one machine, and the cost of preempting them in CPU seconds of work."""
 
     machine: Machine
     victims: list[Placement]
@@ -34,7 +35,7 @@
 
 
 class Preemption:
-    """Preempts work of lower priority, or work that uses more than its team's guarantee."""
+    """Preempts tasks of lower priority, and tasks of teams that use more than their guarantee."""
 
     def __init__(
         self,
@@ -54,31 +55,31 @@
     ) -> None:
         """Free capacity for jobs without a placement that would miss their start deadline.
 
-        `used` is what each team's tasks use. Tasks that are stopping already count
-        against each job's budget, whichever job they are preempted for.
+        `used` is the usage of each team's tasks. Preempted tasks that are still stopping count
+        against the budget of every job, whichever job they were preempted for.
         """
         over_guarantee = {
             team.name for team in self.state.teams if used[team.name].cpus > team.cpus + 1e-6
         }
         stopping: int | None = None
-        lowest = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
+        lowest_priority = min((machine.lowest_priority for machine in usable), default=NO_PRIORITY)
         for job in unplaced:
             preemptor = self._preemptor(now, job, used[job.spec.team].cpus, over_guarantee)
             if preemptor is None or (
-                lowest >= preemptor.priority and not preemptor.under_guarantee
+                lowest_priority >= preemptor.priority and not preemptor.under_guarantee
             ):
                 continue
             if stopping is None:
                 stopping = self._count_stopping()
-            wanted = 1 if job.spec.gang else min(job.pending_count(), MAX_TASKS_AT_ONCE)
-            budget = wanted - stopping
+            wanted_tasks = 1 if job.spec.gang else min(job.pending_count(), MAX_TASKS_AT_ONCE)
+            budget = wanted_tasks - stopping
             if budget > 0:
                 stopping += self._free_capacity(now, preemptor, usable, over_guarantee, budget)
 
     def _preemptor(
         self, now: float, job: Job, used_cpus: float, over_guarantee: set[str]
     ) -> Preemptor | None:
-        """A job as a preemptor; None while a machine could still boot for it in time."""
+        """Return a job as a preemptor; None while a machine could still boot for it in time."""
         state, spec = self.state, job.spec
         slack_s = state.slos.start_deadline(job, now) - now
         if slack_s > state.timing.boot_s:
@@ -91,7 +92,7 @@
         return Preemptor(job, slack_s, under_guarantee)
 
     def _count_stopping(self) -> int:
-        """How many preempted tasks have not ended yet."""
+        """Count the preempted tasks that have not ended yet."""
         return sum(
             1
             for machine in self.state.machines.values()
@@ -109,10 +110,10 @@
         over_guarantee: set[str],
         budget: int,
     ) -> int:
-        """Preempt tasks on up to `budget` machines, where it costs least; returns how many."""
+        """Preempt tasks on the up to `budget` cheapest machines; return how many were stopped."""
         stopped = 0
         plans = self._plans(now, preemptor, usable, over_guarantee)
-        reserved_until = now + RESERVED_HEARTBEATS * self.state.timing.heartbeat_interval_s
+        reserved_until = now + RESERVATION_HEARTBEATS * self.state.timing.heartbeat_interval_s
         for plan in heapq.nsmallest(budget, plans, key=lambda plan: (plan.cost, plan.machine.name)):
             for placement in plan.victims:
                 self._stop(now, preemptor, placement)
@@ -122,7 +123,7 @@
         return stopped
 
     def _stop(self, now: float, preemptor: Preemptor, placement: Placement) -> None:
-        """Stop one victim, after a checkpoint only where that is worth its time."""
+        """Stop one victim, with a checkpoint if it belongs to a gang or is worth its time."""
         victim = self.jobs.jobs.get(placement.job_id)
         if victim is None:
             self.tasks.stop(now, placement, StopReason.PREEMPTED)
@@ -136,7 +137,7 @@
     def _plans(
         self, now: float, preemptor: Preemptor, usable: list[Machine], over_guarantee: set[str]
     ) -> list[PreemptionPlan]:
-        """What could be preempted on each machine."""
+        """List a plan for each machine on which preemption would free enough capacity."""
         job, priority = preemptor.job, preemptor.priority
         machines, jobs = self.state.machines, self.jobs.jobs
         plans: list[PreemptionPlan] = []
@@ -148,7 +149,7 @@
             if not zone_feasible(job, machine.zone, machines):
                 continue
             if machine.fetch_s(job.spec) > preemptor.slack_s:
-                # Its image would come too late for the deadline that the capacity is freed for.
+                # The machine would fetch the job's image too late for the start deadline.
                 continue
             victims = choose_victims(preemptor, machine, jobs, over_guarantee, now)
             if victims:
--- a/src/copperpass/core/scheduling/task_estimates.py
+++ b/src/copperpass/core/scheduling/task_estimates.py
@@ -1,24 +1,27 @@
-"""Estimates for running tasks in seconds: the time that remains, and what preemption costs."""
+"""Estimates for running tasks, in seconds: the remaining run time and the cost of preemption."""
 
 from __future__ import annotations
 
 from copperpass.core.scheduling.placements import Placement
 from copperpass.protocol.users import JobSpec
 
-# A task beyond its estimate is taken to need this part of what it has run already.
+# A task that has exceeded its estimate is assumed to run on for this part of its elapsed time.
 OVERRUN_SHARE = 0.25
 
 
 def remaining_s(placement: Placement, now: float) -> float:
-    """How long a task will still run, by its owner's estimate; never zero while it runs."""
+    """Return how long a task will still run, by its owner's estimate; never zero while it runs."""
     if not placement.running_at:
         return placement.estimate_s
     elapsed_s = now - placement.running_at
     return max(placement.estimate_s - elapsed_s, OVERRUN_SHARE * elapsed_s)
 
 
-def work_since_checkpoint(placement: Placement, spec: JobSpec | None, now: float) -> float:
-    """The work since a task's last checkpoint, about: all of it where it takes none."""
+def work_since_checkpoint_s(placement: Placement, spec: JobSpec | None, now: float) -> float:
+    """Return the approximate work since a task's last checkpoint, in seconds.
+
+    That is all of its work if it takes no checkpoints, and 0 if it hasn't started running.
+    """
     if not placement.running_at:
         return 0.0
     elapsed_s = now - placement.running_at
@@ -28,8 +31,8 @@
 
 
 def preemption_cost(placement: Placement, spec: JobSpec | None, now: float) -> float:
-    """What stopping a task costs: work lost, or the time for a checkpoint if that is less."""
-    lost_s = work_since_checkpoint(placement, spec, now)
+    """Return the cost of stopping a task: the lost work, or the checkpoint time if less."""
+    lost_s = work_since_checkpoint_s(placement, spec, now)
     if spec is None or spec.checkpoint_s <= 0:
         return lost_s
     return min(lost_s, spec.save_s)
@@ -38,7 +41,7 @@
 def worth_checkpointing(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
     """Whether a task that is preempted should take a checkpoint first.
 
-    Not where the checkpoint takes longer than the work since the last one did, nor where the
-    capacity would come too late for the preempting task, which must start within `slack_s`.
+    A checkpoint isn't worth it if it takes longer than the work since the last one took, or if it
+    would free the capacity too late for the preempting task, which must start within `slack_s`.
     """
-    return spec.save_s < min(work_since_checkpoint(placement, spec, now), slack_s)
+    return spec.save_s < min(work_since_checkpoint_s(placement, spec, now), slack_s)
--- a/src/copperpass/core/scheduling/victims.py
+++ b/src/copperpass/core/scheduling/victims.py
@@ -1,4 +1,4 @@
-"""Which tasks to preempt on a machine so that a task of another job fits."""
+"""The choice of tasks to preempt on a machine so that a task of another job fits."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Preemptor:
-    """A job that may have tasks of others preempted."""
+    """A job for which tasks of other jobs may be preempted."""
 
     job: Job
     # Seconds until its start deadline.
     slack_s: float
-    # Its team is under its guarantee, so it may take back what others have borrowed.
+    # Its team would stay within its guarantee, so it may reclaim capacity from teams that use more
+    # than theirs.
     under_guarantee: bool
 
     @property
     def priority(self) -> int:
-        """The level of the job's priority."""
+        """The job's priority as a number; the higher preempts the lower."""
         return PRIORITY_LEVELS[self.job.spec.priority]
 
     @property
-    def spares_gangs(self) -> bool:
-        """Whether tasks of gangs, and tasks that were preempted before, are left alone.
+    def protects_gangs(self) -> bool:
+        """Whether tasks of gangs, and tasks that were preempted before, must not be preempted.
 
-        A gang is stopped as a whole and starts anew as a whole: only for a guarantee or production.
+        They are preempted only for a guarantee or for production, since a gang is stopped and
+        restarted as a whole.
         """
         return not self.under_guarantee and self.priority < PRIORITY_LEVELS["production"]
 
 
 def cost_of_victim(placement: Placement, jobs: dict[str, Job], now: float) -> tuple[bool, float]:
-    """What preempting a task costs: whether a whole gang stops with it, and seconds of work."""
+    """Return the cost of preempting a task: whether its whole gang stops, and seconds of work."""
     job = jobs.get(placement.job_id)
     if job is None:
         return False, preemption_cost(placement, None, now)
@@ -51,14 +53,14 @@
     over_guarantee: set[str],
     now: float,
 ) -> list[Placement] | None:
-    """The tasks to preempt on a machine so that one task of the job fits, or None.
+    """Return the tasks to preempt on a machine so that one task of the job fits.
 
-    Empty if it will fit once the tasks that are stopping already are gone. Capacity for a gang is
-    freed as a whole, where a single machine can take it. `over_guarantee` names the teams that use
-    more than their guarantee.
+    None if it can't fit; empty if it will fit once the tasks that are already stopping are gone.
+    For a gang, capacity for all its missing tasks is freed on one machine, if the machine can hold
+    them. `over_guarantee` names the teams that use more than their guarantee.
     """
-    needs = _needs(preemptor.job, machine)
-    if needs is None:
+    required = _required_capacity(preemptor.job, machine)
+    if required is None:
         return None
     candidates = _preemptible(preemptor, machine, jobs, over_guarantee)
     candidates.sort(
@@ -71,40 +73,44 @@
             memory += placement.memory_gb
     chosen: list[Placement] = []
     for placement in candidates:
-        if cpus >= needs[0] and gpus >= needs[1] and memory >= needs[2]:
+        if cpus >= required[0] and gpus >= required[1] and memory >= required[2]:
             break
         chosen.append(placement)
         cpus, gpus = cpus + placement.cpus, gpus + placement.gpus
         memory += placement.memory_gb
-    enough = cpus >= needs[0] and gpus >= needs[1] and memory >= needs[2]
+    enough = cpus >= required[0] and gpus >= required[1] and memory >= required[2]
     return chosen if enough else None
 
 
-def _needs(job: Job, machine: Machine) -> tuple[float, float, float] | None:
-    """CPUs, GPUs and GB of memory that must be free on a machine; None if they never can be."""
+def _required_capacity(job: Job, machine: Machine) -> tuple[float, float, float] | None:
+    """Return the CPUs, GPUs and GB of memory that must be free on a machine.
+
+    None if the machine can't take the job at all, even when empty.
+    """
     spec, machine_type = job.spec, machine.type
     count = len(job.pending_tasks()) if spec.gang else 1
-    needs = (spec.cpus * count, spec.gpus * count, spec.memory_gb * count)
+    required = (spec.cpus * count, spec.gpus * count, spec.memory_gb * count)
     totals = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-    if not all(fits_within(need, total) for need, total in zip(needs, totals, strict=True)):
+    if not all(fits_within(need, total) for need, total in zip(required, totals, strict=True)):
         return None
     if spec.gang and spec.spread and count > 1:
         return None
     if not satisfies_constraints(spec, machine_type, machine.zone, machine.spot):
         return None
-    return needs
+    return required
 
 
 def _preemptible(
     preemptor: Preemptor, machine: Machine, jobs: dict[str, Job], over_guarantee: set[str]
 ) -> list[Placement]:
-    """The tasks on a machine that may be preempted for a job."""
+    """List the tasks on a machine that may be preempted for a job."""
     team, priority = preemptor.job.spec.team, preemptor.priority
-    spares_gangs, under_guarantee = preemptor.spares_gangs, preemptor.under_guarantee
+    protects_gangs, under_guarantee = preemptor.protects_gangs, preemptor.under_guarantee
 
-    def is_spared(placement: Placement) -> bool:
+    def is_protected(placement: Placement) -> bool:
         job = jobs.get(placement.job_id)
-        # Guards long tasks without checkpoints: preempted by each burst, they would never end.
+        # Tasks that were preempted before are protected because a long task without checkpoints
+        # would never complete if each burst of demand preempted it again.
         return job is not None and (job.spec.gang or placement.index in job.preempted)
 
     return [
@@ -113,7 +119,7 @@
         if placement.active
         and placement.stop_grace_s is None
         and placement.reported
-        and not (spares_gangs and is_spared(placement))
+        and not (protects_gangs and is_protected(placement))
         and (
             placement.priority < priority
             or (under_guarantee and placement.team != team and placement.team in over_guarantee)
