--- a/src/copperpass/core/scheduling/bin_packing/feasibility.py
+++ b/src/copperpass/core/scheduling/bin_packing/feasibility.py
@@ -1,6 +1,6 @@
 """Whether tasks fit: resources, machine types, placement constraints and zones.
 
-Pure functions; amounts are CPUs, GPUs and GB of memory, in this order where they come together.
+Pure functions. A capacity is a tuple of CPUs, GPUs and GB of memory, in this order.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from copperpass.protocol.users import JobSpec
 
 if TYPE_CHECKING:
-    # Machines ask this module whether tasks fit.
+    # `machines` imports this module: importing it at run time would be circular.
     from copperpass.core.scheduling.machines import Machine
 
-# Sums of decimals may miss a whole number by this much.
+# The rounding error that sums of decimal fractions may have.
 CAPACITY_TOLERANCE = 1e-6
-# Stands for the zone of a machine that is not known.
+# The zone counted for a task whose machine is not known.
 UNKNOWN_ZONE = "?"
 
 
 def fits_within(amount: float, capacity: float) -> bool:
-    """Whether an amount fits into a capacity, with a tolerance for sums of decimals."""
+    """Whether an amount fits into a capacity, with a tolerance for rounding errors of sums."""
     return amount <= capacity + CAPACITY_TOLERANCE
 
 
 def satisfies_constraints(spec: JobSpec, machine_type: MachineType, zone: str, spot: bool) -> bool:
-    """Whether a job's placement constraints allow a machine type, a zone and spot machines."""
+    """Whether a job's placement constraints allow a machine of this type, zone and spot status."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone != zone:
@@ -45,14 +45,14 @@
 
 
 def feasible_when_empty(spec: JobSpec, machine: Machine) -> bool:
-    """Whether a machine may take a task once all that runs there has ended."""
+    """Whether a machine could take a task if no other task were running there."""
     return satisfies_constraints(
         spec, machine.type, machine.zone, machine.spot
     ) and feasible_on_type(spec, machine.type)
 
 
 def slots_in(spec: JobSpec, capacity: tuple[float, float, float], limit: int) -> int:
-    """How many tasks fit into a capacity, up to `limit`."""
+    """Return how many of a job's tasks fit into a capacity, up to `limit`."""
     count = limit
     for need, available in zip((spec.cpus, spec.gpus, spec.memory_gb), capacity, strict=True):
         if need > 0:
@@ -61,7 +61,7 @@
 
 
 def tasks_by_zone(job: Job, machines: dict[str, Machine]) -> dict[str, int]:
-    """How many of a job's placed tasks are in each zone."""
+    """Count a job's placed tasks by zone."""
     counts: dict[str, int] = {}
     for name in job.assigned.values():
         zone = machines[name].zone if name in machines else UNKNOWN_ZONE
@@ -70,12 +70,12 @@
 
 
 def zone_limit(spec: JobSpec) -> int:
-    """How many tasks of a job one zone may take: half of them if they are to be spread."""
+    """Return how many of a job's tasks one zone may hold; half, rounded up, for a spread job."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
 def zone_feasible(job: Job, zone: str, machines: dict[str, Machine]) -> bool:
-    """Whether one more task of the job may be in a zone, given where its others are."""
+    """Whether one more task of a job may go into a zone, given the zones of its other tasks."""
     spec = job.spec
     if not spec.one_zone and not spec.spread:
         return True
@@ -86,8 +86,8 @@
 
 
 def zone_choices(job: Job, zones: set[str], machines: dict[str, Machine]) -> list[set[str]]:
-    """The sets of zones one of which must take all that is missing of a gang."""
+    """List the alternative sets of zones, one of which must hold all missing tasks of a gang."""
     if not job.spec.one_zone:
         return [zones]
-    taken = tasks_by_zone(job, machines).keys()
-    return [{zone} for zone in sorted(zones) if taken <= {zone}]
+    used_zones = tasks_by_zone(job, machines).keys()
+    return [{zone} for zone in sorted(zones) if used_zones <= {zone}]
--- a/src/copperpass/core/scheduling/bin_packing/gang_placement.py
+++ b/src/copperpass/core/scheduling/bin_packing/gang_placement.py
@@ -1,4 +1,4 @@
-"""The placement of a gang as a whole, on machines that have capacity now."""
+"""Placement of a gang as a whole, on machines that have capacity now."""
 
 from __future__ import annotations
 
@@ -23,19 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class GangPlan:
-    """Where the missing tasks of a gang go, all at once; of two plans the lower cost is better."""
+    """The machines for all missing tasks of a gang; the plan with the lowest cost is the best."""
 
     # Task index and machine.
     placements: list[tuple[int, Machine]]
-    # Failed there, slowest fetch of the image, number of machines, mean price.
+    # In this order: 1 if the job has failed on one of the machines, the slowest image fetch in
+    # seconds, the number of machines, their mean hourly price per CPU.
     cost: tuple[float, ...]
 
 
 def plan_gang(ranking: Ranking, machines: dict[str, Machine]) -> GangPlan | None:
     """Place all missing tasks of a gang, or none of them.
 
-    Of the zones that have capacity for the whole, the one where it starts soonest: the gang starts
-    with its last image. On few machines rather than on many: it runs at the speed of the slowest.
+    Among zones with capacity for all of them, it prefers the one with the earliest start: a gang
+    starts only when its last machine has fetched the image. Then it prefers few machines, since a
+    gang runs at the speed of the slowest.
     """
     job = ranking.job
     missing = job.pending_tasks()
@@ -43,13 +45,13 @@
     best: GangPlan | None = None
     for zones in zone_choices(job, {machine.zone for _, machine in scored}, machines):
         in_zones = [(score, machine) for score, machine in scored if machine.zone in zones]
-        plan = _plan_on(job, missing, in_zones, machines)
+        plan = _plan_on_machines(job, missing, in_zones, machines)
         if plan is not None and (best is None or plan.cost < best.cost):
             best = plan
     return best
 
 
-def _plan_on(
+def _plan_on_machines(
     job: Job,
     missing: list[int],
     scored: list[tuple[PlacementScore, Machine]],
@@ -60,49 +62,50 @@
     counts = tasks_by_zone(job, machines)
     placements: list[tuple[int, Machine]] = []
     used: list[PlacementScore] = []
-    left = list(missing)
+    remaining = list(missing)
     for score, machine, slots in _by_preference(job, len(missing), scored):
-        if not left:
+        if not remaining:
             break
-        free = min(slots, limit - counts.get(machine.zone, 0)) if spec.spread else slots
-        # Ended tasks that aren't cleared yet are still there: the machine would ignore a start
-        # under the same attempt, and refuse one under another.
+        free_slots = min(slots, limit - counts.get(machine.zone, 0)) if spec.spread else slots
+        # Exited tasks that haven't been cleared are still listed on the machine. It would ignore a
+        # start of such a task under the same attempt, and refuse one under another attempt.
         present = {index for job_id, index, _ in machine.tasks if job_id == spec.id}
-        chosen = [index for index in left if index not in present][:free]
+        chosen = [index for index in remaining if index not in present][:free_slots]
         if not chosen:
             continue
         counts[machine.zone] = counts.get(machine.zone, 0) + len(chosen)
         placements += [(index, machine) for index in chosen]
-        left = [index for index in left if index not in chosen]
+        remaining = [index for index in remaining if index not in chosen]
         used.append(score)
-    return None if left else GangPlan(placements, _cost(used))
+    return None if remaining else GangPlan(placements, _cost(used))
 
 
 def _by_preference(
     job: Job, count: int, scored: list[tuple[PlacementScore, Machine]]
 ) -> list[tuple[PlacementScore, Machine, int]]:
-    """The machines with their slots: where the gang has failed last, without a fetch first.
+    """Sort the machines by preference, each with its number of slots for the gang's tasks.
 
-    Then whole before in parts, cheap before expensive.
+    Machines where the job has failed come last, and machines with a shorter image fetch first.
+    Then come those with more slots, so that the gang is on few machines, and then the cheaper ones.
     """
-    offers = [
+    ranked = [
         (score, machine, slots_in(job.spec, machine.free_capacity(), count))
         for score, machine in scored
     ]
-    offers.sort(
-        key=lambda offer: (
-            offer[0][FAILED_HERE],
-            offer[0][FETCH_S],
-            -offer[2],
-            *offer[0][FAILED_HERE + 1 :],
-            offer[1].name,
+    ranked.sort(
+        key=lambda entry: (
+            entry[0][FAILED_HERE],
+            entry[0][FETCH_S],
+            -entry[2],
+            *entry[0][FAILED_HERE + 1 :],
+            entry[1].name,
         )
     )
-    return offers
+    return ranked
 
 
 def _cost(scores: list[PlacementScore]) -> tuple[float, ...]:
-    """The cost of a plan that uses machines with these scores, see `GangPlan`."""
+    """Return the cost of a plan that uses machines with these scores, see `GangPlan`."""
     return (
         max(score[FAILED_HERE] for score in scores),
         max(score[FETCH_S] for score in scores),
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -1,4 +1,4 @@
-"""Which machine a job's next task goes to: a ranking that stays up to date within a round."""
+"""Ranking of the machines for a job's tasks, kept up to date within a dispatch round."""
 
 from __future__ import annotations
 
@@ -13,44 +13,48 @@
 from copperpass.core.scheduling.task_estimates import remaining_s
 from copperpass.protocol.users import JobSpec
 
-# Backfilling tasks are taken to run for so many times their estimate.
+# A backfilling task is assumed to run for this many times its estimate.
 BACKFILL_MARGIN = 1.0
 
-# The lower the better. A plain tuple, since one is made for each machine a job and round.
+# A lower score is better. A plain tuple, since each round makes one for each job and machine.
 PlacementScore = tuple[float, ...]
-# What its first items are; the rest is about the capacity that is left over.
+# The indexes of its first items; the other items describe the capacity that would be left free.
 FAILED_HERE, URGENT_FETCH_S, PRICE_PER_CPU, FETCH_S = 0, 1, 2, 3
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPolicy:
-    """Which of the machines with free capacity a job's tasks may use, and which come first."""
+    """Which machines with free capacity a job's tasks may use, and which they prefer."""
 
     # Types that are reserved for larger tasks.
     reserved_types: Set[str] = frozenset()
-    # The smallest of the tasks that each of these types is reserved for.
+    # By reserved type: the spec of the smallest task that it is reserved for.
     smallest_large_tasks: Mapping[str, JobSpec] = field(default_factory=dict)
-    # Only spot machines: the job can wait for one.
+    # Only spot machines may be used, since the job can wait for one.
     spot_only: bool = False
-    # Time is short: an image that is there already counts for more than a low price.
+    # The start deadline is near: a short image fetch counts for more than a low price.
     urgent: bool = False
-    # On-demand machines that are reserved for jobs that may use no other.
+    # On-demand machines that are reserved for jobs that may not use spot machines.
     reserved_machines: frozenset[str] = frozenset()
-    # Neither reserved machines nor reservations for another job are closed to the job.
+    # The job may use reserved on-demand machines and machines that are reserved for another job.
     ignore_reservations: bool = False
 
 
 class Ranking:
-    """The machines for one job's tasks in a round: image there, cheap, the least capacity left.
+    """The ranking of machines for one job's tasks in a dispatch round.
 
-    All machines are scored once; after that only those where something has been started since, so
-    a round's cost grows with what it starts, not with that times the fleet. Cheap machines come
-    first: then the expensive ones are idle in a lull and can be returned. Machines where the job
-    has failed come last. `log_position` is the present length of the round's list of machines
-    that tasks were started on.
+    Machines where the job has failed come last. Otherwise it prefers cheap machines, then those
+    that have the image, then those with the least capacity left; for an urgent job, a short image
+    fetch comes before the price. Cheap machines are preferred so that, when demand is low, the
+    expensive ones are idle and can be returned.
 
-    Invariant: a machine's score changes only when a task starts on it, and then it is pushed again;
-    entries with an earlier score are corrected or dropped when they come up.
+    All machines are scored once, and again only after tasks have started on them. So a round's cost
+    grows with the number of started tasks, and not with that number times the fleet size.
+    `started_on_position` is the current length of the round's list of machines on which tasks have
+    started.
+
+    Invariant: a machine's score changes only when a task starts on it, and then it is pushed again.
+    Entries with an outdated score are updated or dropped when they reach the top of the heap.
     """
 
     def __init__(
@@ -60,25 +64,25 @@
         machines: dict[str, Machine],
         now: float,
         policy: PlacementPolicy,
-        log_position: int = 0,
+        started_on_position: int = 0,
     ) -> None:
         self.job, self.machines, self.now = job, machines, now
         self.policy = policy
-        self.log_position = log_position
-        # Score, order of insertion, machine.
+        self.started_on_position = started_on_position
+        # Score, insertion insertion_number, machine.
         self.heap: list[tuple[PlacementScore, int, Machine]] = []
-        self.pushed = 0
+        self.push_count = 0
         for machine in candidates:
             self._push(machine)
 
     def _push(self, machine: Machine) -> None:
         score = self._score(machine)
         if score is not None:
-            self.pushed += 1
-            heapq.heappush(self.heap, (score, self.pushed, machine))
+            self.push_count += 1
+            heapq.heappush(self.heap, (score, self.push_count, machine))
 
     def _score(self, machine: Machine) -> PlacementScore | None:
-        """A machine's score; None if no task of the job may start there."""
+        """Return a machine's score; None if no task of the job may start there."""
         spec, machine_type, policy = self.job.spec, machine.type, self.policy
         if not machine.has_capacity(spec) or not satisfies_constraints(
             spec, machine_type, machine.zone, machine.spot
@@ -103,11 +107,11 @@
         )
 
     def _is_reserved(self, machine: Machine) -> bool:
-        """Whether a machine is reserved for others than the job.
+        """Whether a machine is reserved for other jobs.
 
-        Capacity that was freed by preemption is for the job it was freed for; capacity that is
-        reserved for a gang serves short work until the gang's other capacity is free. On-demand
-        machines are reserved for work that may not use any other.
+        Capacity that was freed by preemption is reserved for the preempting job. Capacity that is
+        reserved for a gang may be used by short tasks until the gang's other capacity is free.
+        Reserved on-demand machines may be used only by jobs that may not use spot machines.
         """
         spec = self.job.spec
         if (
@@ -118,35 +122,40 @@
         return spec.spot and machine.name in self.policy.reserved_machines
 
     def _can_backfill(self, machine: Machine) -> bool:
-        """Whether a task may use what the large tasks on a machine of a reserved type leave.
+        """Whether a task may backfill a machine of a reserved type on which large tasks run.
 
-        Only capacity in which none of them fits, and for no longer than they themselves run.
+        It may only use capacity in which no large task fits, and only if it ends before the first
+        of the running large tasks does.
         """
-        large = self.policy.smallest_large_tasks.get(machine.type.name)
-        if large is None or machine.has_capacity(large):
+        large_spec = self.policy.smallest_large_tasks.get(machine.type.name)
+        if large_spec is None or machine.has_capacity(large_spec):
             return False
         remaining = [
             remaining_s(placement, self.now)
             for placement in machine.tasks.values()
-            if placement.active and placement.cpus >= large.cpus
+            if placement.active and placement.cpus >= large_spec.cpus
         ]
         spec = self.job.spec
         needed_s = BACKFILL_MARGIN * spec.estimate_s + machine.fetch_s(spec)
         return bool(remaining) and needed_s <= min(remaining)
 
     def best(self, started_on: list[Machine]) -> Machine | None:
-        """The best machine now; `started_on` names where the round has started tasks, in order."""
-        for machine in started_on[self.log_position :]:
+        """Return the best machine now; None if no machine can take a task of the job.
+
+        `started_on` lists the machines on which the round has started tasks, in order.
+        """
+        for machine in started_on[self.started_on_position :]:
             self._push(machine)
-        self.log_position = len(started_on)
+        self.started_on_position = len(started_on)
         while self.heap:
-            score, number, machine = self.heap[0]
+            score, insertion_number, machine = self.heap[0]
             current_score = self._score(machine)
             if current_score is None or not zone_feasible(self.job, machine.zone, self.machines):
-                # Within a round free capacity only shrinks and zones only close.
+                # Within a round, free capacity only shrinks, and a zone that is infeasible for the
+                # job stays so. The machine can be dropped for good.
                 heapq.heappop(self.heap)
             elif current_score != score:
-                heapq.heapreplace(self.heap, (current_score, number, machine))
+                heapq.heapreplace(self.heap, (current_score, insertion_number, machine))
             else:
                 return machine
         return None
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -189,7 +189,7 @@
         # the holder, and the holder can't starve earlier jobs.
         if (
             reservation is not None
-            and job.arrived_at > reservation.arrived
+            and job.arrived_at > reservation.job_arrived_at
             and not urgency.starving
         ):
             used = used.plus(reservation.cpus, reservation.gpus)
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -1,4 +1,4 @@
-"""Gangs: placed as a whole, or with capacity reserved for them."""
+"""Placement of gangs as a whole, and reservation of capacity for gangs that can't start yet."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
         used: ResourceUsage,
         started_on: list[Machine],
     ) -> list[Machine] | None:
-        """Start all missing tasks of a gang or none; returns the machines they start on.
+        """Start all missing tasks of a gang or none; return the machines they start on.
 
-        None: the team's limit doesn't allow the whole gang now, or tasks of an earlier attempt
-        are not proven gone. `started_on` lists the machines that the round has started tasks on.
+        Returns an empty list if there isn't enough capacity, and None if the team's limit doesn't
+        allow the whole gang now or tasks of an earlier attempt are not proven gone. `started_on`
+        lists the machines on which this round has started tasks.
         """
         spec, count = job.spec, len(job.pending_tasks())
         team = self.state.by_team[spec.team]
@@ -67,9 +68,10 @@
         )
 
     def _end_incomplete_attempt(self, now: float, job: Job) -> None:
-        """End an attempt whose placed tasks wait for the rest, which has no capacity in their zone.
+        """End an attempt whose placed tasks have waited too long for capacity for the others.
 
-        Starting anew as a whole is better than occupying machines until the tasks time out.
+        The others may be bound to a zone without capacity. Restarting the gang as a whole is better
+        than occupying machines until the placed tasks time out.
         """
         if not job.assigned:
             return
@@ -78,7 +80,10 @@
             self.tasks.end_gang(now, job, StopReason.NO_CAPACITY, 0.0)
 
     def reserve_capacity(self, now: float, job: Job, usable: list[Machine]) -> set[str]:
-        """Reserve the capacity where a gang can start soonest; returns the jobs it is for."""
+        """Reserve the capacity where a gang can start soonest.
+
+        Returns the gang's job id in a set; an empty set if nothing was reserved.
+        """
         state, heartbeat_interval_s = self.state, self.state.timing.heartbeat_interval_s
         reservation = plan_gang_reservation(
             job, usable, self.machines, now, self.reservations.reserved_machines
@@ -86,16 +91,17 @@
         if reservation is None:
             return set()
         for machine in reservation.machines:
-            # Not to be returned while a gang waits for the rest of its capacity, however long:
-            # machines that come one by one and go back as idle never add up to its zone's part.
+            # The machines are not returned to the cloud while the gang waits for the rest of its
+            # capacity, however long that takes. If machines that arrive one by one were returned as
+            # idle, the zone would never have enough of them for the gang.
             machine.retain_until = now + heartbeat_interval_s
         tuning = self.reservations.tuning
-        past_wait = now - job.arrived_at > tuning.patience_s
+        waited_too_long = now - job.arrived_at > tuning.patience_s
         slack_s = state.slos.start_deadline(job, now) - now
         can_wait = slack_s > tuning.patient_boots * state.timing.boot_s
-        if can_wait or (past_wait and not reservation.whole):
-            # What comes last delays nothing else; and a part of a gang's capacity is no use to
-            # anybody for as long as it is reserved, so that has a bound.
+        if can_wait or (waited_too_long and not reservation.complete):
+            # A gang that can wait comes last and must not delay other jobs. A reservation of only a
+            # part of a gang's capacity is of no use to any job, so its duration is bounded.
             return set()
         for machine in reservation.machines:
             reserve_machine(machine, job.spec.id, now + heartbeat_interval_s, reservation.ready_at)
--- a/src/copperpass/core/scheduling/guarantees.py
+++ b/src/copperpass/core/scheduling/guarantees.py
@@ -1,4 +1,4 @@
-"""Which jobs are covered by their team's guarantee."""
+"""Decides which jobs are covered by their team's guaranteed CPUs."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 def assess_guarantees(jobs: Iterable[Job], guarantees: dict[str, float]) -> None:
-    """Mark each new job whose CPUs fit its team's guarantee together with the earlier jobs'.
+    """Mark each new job as guaranteed if it fits its team's guarantee along with earlier jobs.
 
-    `guarantees` holds CPUs by team. A job is assessed once: later arrivals and completions don't
-    change whether it is guaranteed.
+    `guarantees` holds CPUs by team. A job is assessed only once: later arrivals and completions
+    don't change whether it is guaranteed.
     """
     jobs = list(jobs)
     if all(job.guarantee_assessed for job in jobs):
         return
-    requested: dict[str, float] = {}
+    requested_cpus: dict[str, float] = {}
     for job in sorted(jobs, key=lambda job: (job.arrived_at, job.created_revision)):
         spec = job.spec
-        total = requested.get(spec.team, 0.0) + spec.cpus * spec.tasks
+        total_cpus = requested_cpus.get(spec.team, 0.0) + spec.cpus * spec.tasks
         if not job.guarantee_assessed:
             job.guarantee_assessed = True
-            job.guaranteed = fits_within(total, guarantees.get(spec.team, 0.0))
-        requested[spec.team] = total
+            job.guaranteed = fits_within(total_cpus, guarantees.get(spec.team, 0.0))
+        requested_cpus[spec.team] = total_cpus
--- a/src/copperpass/core/scheduling/prices.py
+++ b/src/copperpass/core/scheduling/prices.py
@@ -6,7 +6,7 @@
 
 
 def hourly_price(machine_type: MachineType, spot: bool) -> float:
-    """The price of a machine for an hour, spot where that is asked for and offered."""
+    """Return the price of a machine per hour; the spot price if `spot` and the type has one."""
     if spot and machine_type.spot_price is not None:
         return machine_type.spot_price
     return machine_type.price
--- a/src/copperpass/core/scheduling/quota.py
+++ b/src/copperpass/core/scheduling/quota.py
@@ -1,4 +1,4 @@
-"""Quota: what teams use of their limits, and what is reserved under a limit."""
+"""Quota: the teams' resource usage, their limits, and quota reserved under a limit."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class ResourceUsage(NamedTuple):
-    """CPUs and GPUs that a team's tasks take or may take."""
+    """CPUs and GPUs that a team's tasks use or may be using."""
 
     cpus: float
     gpus: float
 
     def plus(self, cpus: float, gpus: float) -> ResourceUsage:
-        """The usage with some more of both."""
+        """Return the usage with `cpus` and `gpus` added."""
         return ResourceUsage(self.cpus + cpus, self.gpus + gpus)
 
 
@@ -24,14 +24,14 @@
 class QuotaReservation:
     """Quota under a team's limit that is reserved for one gang or large task."""
 
-    # When its job came: jobs that came earlier are not bound by it.
-    arrived: float
+    # When the job that holds it arrived: jobs that arrived earlier are not bound by it.
+    job_arrived_at: float
     cpus: float
     gpus: float
 
 
 def exceeds_limit(team: Team, used: ResourceUsage, cpus: float, gpus: float) -> bool:
-    """Whether tasks that take so much more would exceed the team's limit."""
+    """Whether using `cpus` and `gpus` in addition to `used` would exceed the team's limit."""
     return not (
         fits_within(used.cpus + cpus, team.cpus_limit)
         and fits_within(used.gpus + gpus, team.gpus_limit)
--- a/src/copperpass/core/scheduling/quota_usage.py
+++ b/src/copperpass/core/scheduling/quota_usage.py
@@ -1,4 +1,4 @@
-"""What each team's tasks use on the machines of one shard, against the team's quota."""
+"""The resources that each team's tasks use on the machines of one shard."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class QuotaUsage:
-    """CPUs and GPUs that each team's tasks use: sums that are updated machine by machine.
+    """Sums of the CPUs and GPUs that each team's tasks use, updated one machine at a time.
 
-    `unidentified`: the machines with tasks of jobs that are not in the watch cache.
+    `unidentified` holds the names of machines with tasks of jobs that are not in the watch cache.
     """
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self.unidentified: set[str] = set()
 
     def recount(self, machine: Machine) -> None:
-        """Update the sums after a change of a machine's tasks."""
+        """Update the sums after the tasks on a machine have changed."""
         self._add(machine, -1.0)
         machine.recount()
         self._add(machine, 1.0)
@@ -26,7 +26,7 @@
             self.unidentified.discard(machine.name)
 
     def drop(self, machine: Machine) -> None:
-        """Subtract a machine that the shard doesn't own any more."""
+        """Subtract the usage of a machine that the shard no longer owns."""
         self._add(machine, -1.0)
         machine.by_team = {}
         self.unidentified.discard(machine.name)
@@ -38,6 +38,6 @@
             sums[1] += sign * gpus
 
     def of(self, team: str) -> tuple[float, float]:
-        """CPUs and GPUs that a team's tasks use or may use."""
+        """Return the CPUs and GPUs that a team's tasks use or may be using."""
         cpus, gpus = self.teams.get(team, (0.0, 0.0))
         return cpus, gpus
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -1,4 +1,4 @@
-"""Where capacity for a large task or for a gang is free soonest."""
+"""Finds the machines where capacity for a large task or a gang will be free soonest."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 @dataclass(frozen=True, slots=True)
 class GangReservation:
-    """The machines where a gang finds capacity soonest."""
+    """The machines where a gang will have capacity soonest."""
 
     machines: list[Machine]
-    # The moment when all of it is free.
+    # When all of that capacity will be free.
     ready_at: float
-    # Whether it is enough for all missing tasks.
-    whole: bool
+    # Whether the capacity is enough for all missing tasks of the gang.
+    complete: bool
 
 
 class FutureSlot(NamedTuple):
-    """Capacity for one task on a machine; those that are free sooner sort first."""
+    """Capacity for one task on a machine; slots that are free sooner sort first."""
 
     free_in_s: float
-    # The machine isn't reserved for work that may use on-demand machines only.
+    # The machine isn't reserved for jobs that may not use spot machines.
     unreserved: bool
     machine_name: str
     machine: Machine
@@ -44,7 +44,10 @@
 def _capacity_over_time(
     machine: Machine, now: float
 ) -> Iterator[tuple[float, tuple[float, float, float]]]:
-    """In how many seconds a machine has which free capacity, if nothing else starts there."""
+    """Yield a machine's free capacity now and after each task ends, if no other task starts.
+
+    Each item is the number of seconds from now, and the CPUs, GPUs and GB of memory free then.
+    """
     cpus, gpus, memory = machine.free_capacity()
     yield 0.0, (cpus, gpus, memory)
     by_end = sorted(
@@ -64,7 +67,10 @@
 def machine_to_reserve(
     job: Job, usable: list[Machine], machines: dict[str, Machine], now: float
 ) -> Machine | None:
-    """The machine that has capacity for the job's next task soonest, if nothing else starts."""
+    """Return the machine that has capacity for the job's next task soonest; None if none can.
+
+    It assumes that no other task starts.
+    """
     best: tuple[float, str, Machine] | None = None
     spec = job.spec
     for machine in usable:
@@ -81,7 +87,7 @@
 
 
 def _free_in_s(spec: JobSpec, machine: Machine, now: float) -> float:
-    """In how many seconds a machine has capacity for one task that is feasible there."""
+    """Return in how many seconds a machine has capacity for a task that fits it when empty."""
     last_s = 0.0
     for free_in_s, (cpus, gpus, memory) in _capacity_over_time(machine, now):
         if (
@@ -91,7 +97,8 @@
         ):
             return free_in_s
         last_s = free_in_s
-    # Sums of decimals fall short of the machine's capacity: it is as free as it will ever be.
+    # Rounding errors can leave the sum below the machine's capacity. All tasks have ended by now,
+    # so no more capacity will become free.
     return last_s
 
 
@@ -102,10 +109,11 @@
     now: float,
     reserved_machines: frozenset[str],
 ) -> GangReservation | None:
-    """Where a gang will find capacity soonest.
+    """Return the machines where a gang will have capacity soonest; None if there are none.
 
-    If nowhere for all, then where there is capacity for most: machines for the rest are to be
-    rented there. `reserved_machines` are those that spot work may not use.
+    If there isn't capacity for all missing tasks, it returns the machines with capacity for most of
+    them: machines for the rest are to be rented in the same zones. `reserved_machines` are the
+    machines that jobs which may use spot machines must not use.
     """
     spec, count = job.spec, len(job.pending_tasks())
     feasible = [
@@ -136,7 +144,7 @@
 def _future_slots(
     spec: JobSpec, machine: Machine, limit: int, now: float, unreserved: bool
 ) -> list[FutureSlot]:
-    """A machine's slots for a task, up to `limit`, by when they are free."""
+    """List a machine's slots for a job's tasks, up to `limit`, in the order they become free."""
     future: list[FutureSlot] = []
     for free_in_s, capacity in _capacity_over_time(machine, now):
         added = slots_in(spec, capacity, limit) - len(future)
@@ -145,7 +153,7 @@
 
 
 def _first_slots(spec: JobSpec, slots: list[FutureSlot], count: int) -> list[FutureSlot]:
-    """The first slots, up to `count`, that don't put too many tasks into one zone."""
+    """Return the first slots, up to `count`, without exceeding a spread job's zone limit."""
     limit = zone_limit(spec)
     by_zone: dict[str, int] = {}
     chosen: list[FutureSlot] = []
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Reserved capacity: types for large tasks, on-demand machines for those who can't use spot."""
+"""Reserved capacity: machine types for large tasks, on-demand machines for non-spot jobs."""
 
 from __future__ import annotations
 
@@ -11,45 +11,51 @@
 from copperpass.core.scheduling.reserved_types import ReservedTypes
 from copperpass.core.scheduling.state import ShardState
 
-# The part of the longest wait after which a job without any placement ignores reservations.
+# A job ignores reservations once it has had no placement for this part of `patience_s`, the bound
+# on the wait of jobs without a target that can still be met.
 STARVATION_SHARE = 0.6
 
 
 def reserve_machine(machine: Machine, job_id: str, until: float, ready_at: float = 0.0) -> None:
     """Reserve a machine's free capacity for a job, in place of an earlier reservation.
 
-    `ready_at`: when all capacity that a gang waits for will be free; short work may run before.
+    For a gang, `ready_at` is when all of its reserved capacity will be free. Tasks that end well
+    before then may still use the machine.
     """
     machine.reserved_for_job, machine.reserved_until = job_id, until
     machine.reservation_ready_at = ready_at
 
 
 class Reservations:
-    """What is reserved from whom, and the placement policy of a job that follows from it.
+    """Reserved machine types and on-demand machines, and each job's resulting placement policy.
 
-    Reservations of single machines are kept on the machines, see `reserve_machine`.
+    Reservations of a machine for one job are stored on the machine, see `reserve_machine`.
     """
 
     def __init__(self, context: SchedulerContext, state: ShardState) -> None:
         self.state, self.tuning = state, context.tuning
         self.reserved_types = ReservedTypes(context.types, self.tuning.keep_scarce_s)
-        # On-demand machines that are reserved for work that may use no other.
+        # Names of the on-demand machines reserved for jobs that may not use spot machines.
         self.reserved_machines: frozenset[str] = frozenset()
-        # The CPUs of jobs that can't wait for an on-demand machine to boot.
+        # The CPUs of jobs that need on-demand machines and can't wait for one to boot.
         self.on_demand_peak = SlidingMaximum(self.tuning.warm_window_boots * state.timing.boot_s)
 
     def is_starving(self, job: Job, now: float) -> bool:
-        """Whether a job has been without any placement for so long that no reservation binds it.
+        """Whether a job has had no placement for so long that it may ignore reservations.
 
-        Capacity that is reserved for others must not let a job wait beside it without a bound,
-        also when some of its tasks have completed before.
+        This bounds how long a job can wait while capacity is reserved for others. It also applies
+        to a job that has completed some of its tasks.
         """
         without_placement = not job.assigned and not job.unstored
-        since = max(job.arrived_at, job.last_assigned_at) if job.completed_count else job.arrived_at
-        return without_placement and now - since > STARVATION_SHARE * self.tuning.patience_s
+        unplaced_since = (
+            max(job.arrived_at, job.last_assigned_at) if job.completed_count else job.arrived_at
+        )
+        return (
+            without_placement and now - unplaced_since > STARVATION_SHARE * self.tuning.patience_s
+        )
 
     def policy(self, job: Job, starving: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
-        """Where the job's tasks may be started in this round, whether a gang's or single ones."""
+        """Return the policy for placing a job's tasks in this round, as a gang or one by one."""
         return PlacementPolicy(
             reserved_types=frozenset() if starving else self.reserved_types.reserved_from(job.spec),
             smallest_large_tasks=self.reserved_types.smallest_tasks,
@@ -60,10 +66,10 @@
         )
 
     def reserve_on_demand(self, now: float, jobs: list[Job], usable: list[Machine]) -> None:
-        """Choose the on-demand machines that are reserved from work that may use spot machines.
+        """Choose the on-demand machines that jobs which may use spot machines must not use.
 
-        Work that needs on-demand capacity and can't wait for a boot would otherwise find it taken
-        by work that could have gone elsewhere; gangs need it in one zone at that, and whole.
+        Otherwise those jobs would take on-demand capacity from jobs that need it and can't wait
+        for a machine to boot. Gangs moreover need all of their capacity at once and in one zone.
         """
         slos, boot_s = self.state.slos, self.state.timing.boot_s
         self.on_demand_peak.add(
@@ -74,18 +80,22 @@
                 if needs_on_demand(job, slos, boot_s)
             ),
         )
-        missing_cpus = self.on_demand_peak.value()
+        cpus_to_reserve = self.on_demand_peak.value()
         reserved: set[str] = set()
-        if missing_cpus > 0:
+        if cpus_to_reserve > 0:
             for machine in self._on_demand_by_preference(usable):
-                if missing_cpus <= 0:
+                if cpus_to_reserve <= 0:
                     break
-                missing_cpus -= machine.type.cpus
+                cpus_to_reserve -= machine.type.cpus
                 reserved.add(machine.name)
         self.reserved_machines = frozenset(reserved)
 
     def _on_demand_by_preference(self, usable: list[Machine]) -> list[Machine]:
-        """Machines that are reserved stay so, and whole zones come before parts of many."""
+        """Sort the on-demand machines by preference for a reservation.
+
+        Machines that are already reserved come first. Then come the zones with the most on-demand
+        CPUs, so that whole zones are reserved rather than parts of many.
+        """
         zone_cpus: dict[str, float] = {}
         on_demand = [machine for machine in usable if not machine.spot]
         for machine in on_demand:
--- a/src/copperpass/core/scheduling/reserved_types.py
+++ b/src/copperpass/core/scheduling/reserved_types.py
@@ -1,4 +1,4 @@
-"""Machine types that are reserved for the large tasks that fit no other."""
+"""Machine types that are reserved for large tasks which are feasible on no other type."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 
 
 class ReservedTypes:
-    """The types that large tasks depend on, because they are feasible on no other.
+    """The machine types that large tasks depend on, because they are feasible on no other type.
 
-    Small tasks that are feasible elsewhere would take each gap on them, and a large task then
-    waits for all of them at once. So such a type is reserved from small tasks until `keep_s`
-    seconds after the last large task was there.
+    Small tasks that are feasible elsewhere would take any capacity that becomes free on these
+    types. A large task would then have to wait until all small tasks on a machine have ended. So
+    such a type is closed to small tasks until `retention_s` seconds after a large task that depends
+    on it was last present.
     """
 
-    def __init__(self, types: dict[str, MachineType], keep_s: float) -> None:
-        self.types, self.keep_s = types, keep_s
-        # By set of feasible types: when a task that fits only these was there last, and its spec.
+    def __init__(self, types: dict[str, MachineType], retention_s: float) -> None:
+        self.types, self.retention_s = types, retention_s
+        # By set of feasible types: when a task that fits only these was last present, and its spec.
         self.last_demand: dict[frozenset[str], tuple[float, JobSpec]] = {}
-        # Answers of `reserved_from` by shape; emptied when the sets above change.
-        self.cache: dict[tuple[float, float, float], set[str]] = {}
-        # The smallest of the present tasks that each type is reserved for.
+        # Results of `reserved_from` by shape; cleared when the keys of `last_demand` change.
+        self.reserved_by_shape: dict[tuple[float, float, float], set[str]] = {}
+        # By type: the spec of the smallest present task that the type is reserved for.
         self.smallest_tasks: dict[str, JobSpec] = {}
 
     def observe(self, now: float, jobs: Iterable[Job]) -> None:
-        """Update the reservations to the jobs that are present."""
-        before = set(self.last_demand)
+        """Update the reserved types for the jobs that are present."""
+        previous_sets = set(self.last_demand)
         shapes: dict[tuple[float, float, float], JobSpec] = {}
         for job in jobs:
             spec = job.spec
@@ -43,10 +44,10 @@
         self.last_demand = {
             types: (demanded_at, spec)
             for types, (demanded_at, spec) in self.last_demand.items()
-            if now - demanded_at <= self.keep_s
+            if now - demanded_at <= self.retention_s
         }
-        if set(self.last_demand) != before:
-            self.cache.clear()
+        if set(self.last_demand) != previous_sets:
+            self.reserved_by_shape.clear()
 
     def _update_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
         for name in types:
@@ -55,7 +56,7 @@
                 self.smallest_tasks[name] = spec
 
     def feasible_types(self, spec: JobSpec) -> frozenset[str]:
-        """The types on which one task is feasible."""
+        """Return the types on which one task fits an empty machine."""
         return frozenset(
             machine_type.name
             for machine_type in self.types.values()
@@ -63,9 +64,9 @@
         )
 
     def reserved_from(self, spec: JobSpec) -> set[str]:
-        """The types that a job's tasks may not use, since larger tasks depend on them."""
+        """Return the types that a job's tasks may not use, since larger tasks depend on them."""
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
-        reserved = self.cache.get(shape)
+        reserved = self.reserved_by_shape.get(shape)
         if reserved is None:
             usable = self.feasible_types(spec) if spec.types is None else frozenset(spec.types)
             reserved = set()
@@ -73,5 +74,5 @@
                 if needed_by_larger < usable:
                     reserved |= needed_by_larger
             if spec.types is None:
-                self.cache[shape] = reserved
+                self.reserved_by_shape[shape] = reserved
         return reserved
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -58,7 +58,7 @@
 
 
 def test_types_that_large_tasks_need_are_kept_from_small_ones_while_large_ones_are_about():
-    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     small, large = made(1, 0.0, cpus=4.0), made(2, 0.0, cpus=32.0)
     reserved_types.observe(0.0, [small])
     assert reserved_types.reserved_from(small.spec) == set()
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("allowed", [["large"], ["small", "large"]])
 def test_a_job_that_names_its_types_is_not_shut_out_of_all(allowed):
-    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     reserved_types.observe(0.0, [made(2, 0.0, cpus=32.0)])
     named = made(3, 0.0, cpus=4.0, racks=allowed)
     assert set(allowed) - reserved_types.reserved_from(named.spec)
