--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -103,7 +103,7 @@
     fair: dict[str, float],
     capacity: tuple[float, float],
 ) -> tuple[float, float]:
-    """Return the two factors: the best feasible corner point of a linear program."""
+    """Return the two factors: the best feasible corner point of a two-variable linear program."""
     first_usage = [_usage_at_fair_shares(first, fair, resource) for resource in (0, 1)]
     second_usage = [_usage_at_fair_shares(second, fair, resource) for resource in (0, 1)]
     if not second:
@@ -139,7 +139,8 @@
             <= rho_2 * high * (1 + CONSTRAINT_TOLERANCE)
         )
 
-    # A hard partition, where each team has exactly its fair share, is always feasible.
+    # A hard partition, where each team has exactly its fair share, is always feasible, since every
+    # fair share fits into its team's part of the capacity.
     best, best_total = (1.0, 1.0), total_first + total_second
     for rho_1, rho_2 in _corner_points(lines):
         total = rho_1 * total_first + rho_2 * total_second
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -69,7 +69,7 @@
         self.job, self.machines, self.now = job, machines, now
         self.policy = policy
         self.started_on_position = started_on_position
-        # Score, insertion insertion_number, machine.
+        # Score, insertion number, machine.
         self.heap: list[tuple[PlacementScore, int, Machine]] = []
         self.push_count = 0
         for machine in candidates:
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -31,7 +31,7 @@
 GANG_HOLDER = "gang"
 
 # CPUs, GPUs, GB of memory, may use spot machines, may use only spot machines, is starving,
-# estimated run time in seconds (0 where it doesn't matter).
+# estimated run time in seconds (0 while no type is reserved for a present large task).
 TaskShape = tuple[float, float, float, bool, bool, bool, float]
 
 
@@ -97,8 +97,7 @@
         # The machines on which tasks have been started, in order of the starts.
         self.started_on: list[Machine] = []
         self.rankings: dict[str, Ranking] = {}
-        # Shapes for which a search found no machine. They stay infeasible for the rest of the
-        # round, since free capacity only shrinks.
+        # Shapes for which a search found no machine; the round does not search for them again.
         self.infeasible_shapes: set[TaskShape] = set()
 
     def place_all(self) -> None:
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -110,7 +110,7 @@
         over_guarantee: set[str],
         budget: int,
     ) -> int:
-        """Preempt tasks on the up to `budget` cheapest machines; return how many were stopped."""
+        """Preempt tasks on the cheapest machines, at most `budget`; return how many tasks stop."""
         stopped = 0
         plans = self._plans(now, preemptor, usable, over_guarantee)
         reserved_until = now + RESERVATION_HEARTBEATS * self.state.timing.heartbeat_interval_s
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -66,10 +66,11 @@
         )
 
     def reserve_on_demand(self, now: float, jobs: list[Job], usable: list[Machine]) -> None:
-        """Choose the on-demand machines that jobs which may use spot machines must not use.
+        """Choose the on-demand machines to reserve for jobs that may not use spot machines.
 
-        Otherwise those jobs would take on-demand capacity from jobs that need it and can't wait
-        for a machine to boot. Gangs moreover need all of their capacity at once and in one zone.
+        Otherwise jobs that could run elsewhere would take on-demand capacity from jobs that need it
+        and can't wait for a machine to boot. Gangs also need all of their capacity at once and in
+        one zone.
         """
         slos, boot_s = self.state.slos, self.state.timing.boot_s
         self.on_demand_peak.add(
--- a/src/copperpass/core/scheduling/task_order.py
+++ b/src/copperpass/core/scheduling/task_order.py
@@ -16,7 +16,7 @@
 def task_order(
     jobs: Iterable[Job], slos: ServiceLevelObjectives, now: float, priority_bonus_s: float = 0.0
 ) -> list[Job]:
-    """Sort jobs by start deadline; each priority level moves it `priority_bonus_s` seconds forward.
+    """Sort jobs by start deadline; each priority level makes it `priority_bonus_s` seconds earlier.
 
     Production jobs always come first. A job whose targets have all passed has a bounded wait. Once
     that is over, it is past its deadline and goes before jobs that can still meet theirs, so that
