--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -38,7 +38,7 @@
         for _ in range(5):
             number += 1
             waiting.append(made(number, float(second)))
-        first = task_order(waiting, slos, float(second), bonus_s=5.0)[0]
+        first = task_order(waiting, slos, float(second), priority_bonus_s=5.0)[0]
         waiting.remove(first)
         if first.spec.id == "req-000001":
             return second
@@ -58,7 +58,7 @@
 
 
 def test_types_that_large_tasks_need_are_kept_from_small_ones_while_large_ones_are_about():
-    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     small, large = made(1, 0.0, cpus=4.0), made(2, 0.0, cpus=32.0)
     reserved_types.observe(0.0, [small])
     assert reserved_types.reserved_from(small.spec) == set()
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("allowed", [["large"], ["small", "large"]])
 def test_a_job_that_names_its_types_is_not_shut_out_of_all(allowed):
-    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), keep_s=300.0)
+    reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     reserved_types.observe(0.0, [made(2, 0.0, cpus=32.0)])
     named = made(3, 0.0, cpus=4.0, racks=allowed)
     assert set(allowed) - reserved_types.reserved_from(named.spec)
@@ -85,12 +85,12 @@
     old, new = made(1, 0.0, slot="none"), made(2, 190.0, slot="slow")
     queue = task_order([new, old], slos, 200.0)
     assert queue == [old, new]
-    limit_past_deadline_share(queue, slos, 200.0, used=8.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used_cpus=8.0, quota_cpus=16.0)
     assert queue == [old, new]
-    limit_past_deadline_share(queue, slos, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(queue, slos, 200.0, used_cpus=16.0, quota_cpus=16.0)
     assert queue == [new, old]
     alone = [old]
-    limit_past_deadline_share(alone, slos, 200.0, used=16.0, quota=16.0)
+    limit_past_deadline_share(alone, slos, 200.0, used_cpus=16.0, quota_cpus=16.0)
     assert alone == [old]
 
 
