--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -202,10 +202,10 @@
             InventoryContext(
                 transactions=context.transactions,
                 token_version=self.token_version,
-                record_bytes=state.value_kb * 1024,
+                max_value_bytes=state.value_kb * 1024,
                 least_value_bytes=state.least_value_bytes,
                 max_writes=state.least_txn_ops,
-                write_gap_s=INVENTORY_WRITE_PERIODS / state.least_write_rps,
+                write_interval_s=INVENTORY_WRITE_PERIODS / state.least_write_rps,
                 deadline_s=context.cluster.workers.lease_s,
                 all_upgraded=context.all_upgraded,
                 limits_announced=state.next is not None,
--- a/src/copperpass/core/storage/__init__.py
+++ b/src/copperpass/core/storage/__init__.py
@@ -1,5 +1,6 @@
 """Records of bounded size in the key-value store: the machine inventory and completed tasks.
 
-Both are kept in pages that one writer owns and a successor can read at any step: what moves to
-another page stays on the first until it is stored on the other.
+Both are stored in pages with a single writer. A new writer can take over after any write of the
+previous one: an entry that migrates to another page stays on its old page until the new page is
+stored.
 """
--- a/src/copperpass/core/storage/cached_inventory.py
+++ b/src/copperpass/core/storage/cached_inventory.py
@@ -1,4 +1,4 @@
-"""The records of the machine inventory as the watch cache last brought them."""
+"""The stored records of the machine inventory, as last delivered by the watch."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def page_key(number: int) -> str:
-    """Where a page of the inventory is stored."""
+    """Return the key under which the inventory page `number` is stored."""
     return f"{INVENTORY_PAGES_PREFIX}{number}"
 
 
 def page_number(key: str) -> int | None:
-    """The number of a page of the inventory, or None for any other key."""
+    """Return the page number in the key of an inventory page; None for any other key."""
     number = key[len(INVENTORY_PAGES_PREFIX) :]
     is_page = key.startswith(INVENTORY_PAGES_PREFIX) and number.isdecimal()
     return int(number) if is_page else None
 
 
 class CachedPage(NamedTuple):
-    """A stored page; its record is None if it can't be read."""
+    """A stored page and the version of its key; `record` is None if it can't be decoded."""
 
     record: InventoryRecord | None
     version: int
@@ -31,9 +31,10 @@
 
 @dataclass(slots=True)
 class CachedInventory:
-    """Both forms of the inventory, as they are stored; either or both may exist.
+    """The stored inventory in both of its forms: the single record and the pages, by number.
 
-    `record` and `version` are those of the single record; version 0: it does not exist.
+    Either or both may exist. `record` and `version` belong to the single record: the version is 0
+    if its key does not exist, and `record` is None then or if the value can't be decoded.
     """
 
     record: InventoryRecord | None = None
@@ -41,7 +42,10 @@
     pages: dict[int, CachedPage] = field(default_factory=dict)
 
     def on_watch_event(self, key: str, raw: bytes | None, version: int) -> bool:
-        """Apply a change of a key; returns whether the key is one of the inventory."""
+        """Apply a change of a key, or its deletion if `raw` is None.
+
+        Returns whether the key is one of the inventory.
+        """
         number = page_number(key)
         if key != INVENTORY_KEY and number is None:
             return False
--- a/src/copperpass/core/storage/inventory_contents.py
+++ b/src/copperpass/core/storage/inventory_contents.py
@@ -1,4 +1,4 @@
-"""What the machine inventory says: machines, pending instance requests, marks; and its records."""
+"""The contents of the machine inventory: machines, those that were up, and instance requests."""
 
 from __future__ import annotations
 
@@ -7,41 +7,42 @@
 from copperpass.core.autoscaling.machine_groups import MachineGroup
 from copperpass.protocol.records import InventoryRecord, MachineGroupRecord
 
-# Bytes that a page holds of a machine or request besides its name, and of a request's count.
-ITEM_BYTES, COUNT_BYTES = 4, 4
-# The shortest name that is expected of a machine that a request may bring.
-NAME_BYTES = 8
+# Bytes of an item on a page besides its name, and bytes of a request's machine count.
+ITEM_OVERHEAD_BYTES, REQUEST_COUNT_BYTES = 4, 4
+# The minimum length of a machine's name, assumed for machines that a pending request may bring.
+MIN_NAME_BYTES = 8
 
 
 class PendingRequest(NamedTuple):
-    """An instance request that was stored, and whose answer may not be."""
+    """A stored instance request; the machines of its answer may not be stored yet."""
 
     machine_group: MachineGroup
     machine_count: int
 
 
 class InventoryContents:
-    """The inventory as this leader knows it; an item is a machine or a pending request, by name.
+    """The inventory as this leader knows it.
 
-    Invariant: `stored_up` <= `up` <= the names of `machines`.
+    An item is a machine or a pending request, identified by its name. Invariant: `stored_up` is a
+    subset of `up`, and `up` a subset of the names in `machines`.
     """
 
     def __init__(self) -> None:
         self.machines: dict[str, MachineGroup] = {}
         self.pending_requests: dict[str, PendingRequest] = {}
-        # Machines that have been up, and those of them whose mark is in the key-value store.
+        # Machines that have been up, and those of them that the key-value store has marked as up.
         self.up: set[str] = set()
         self.stored_up: set[str] = set()
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all machines, requests and marks."""
         self.machines.clear()
         self.pending_requests.clear()
         self.up.clear()
         self.stored_up.clear()
 
     def add_record(self, record: InventoryRecord) -> dict[str, MachineGroup]:
-        """Add what a stored record says; returns the group of each of its items."""
+        """Add the items of a stored record; returns the group of each item."""
         items: dict[str, MachineGroup] = {}
         for group_record in record.groups:
             group = MachineGroup(group_record.type, group_record.zone, group_record.spot)
@@ -58,7 +59,7 @@
         return items
 
     def items(self) -> dict[str, MachineGroup]:
-        """The group of each machine and pending request."""
+        """Return the group of each machine and pending request."""
         requests = self.pending_requests
         return {
             **self.machines,
@@ -66,7 +67,7 @@
         }
 
     def record_of(self, items: dict[str, MachineGroup]) -> InventoryRecord:
-        """The record of some items; the same items always make the same bytes."""
+        """Build the record of some items; the same items always have the same encoding."""
         records = {group: MachineGroupRecord(*group) for group in set(items.values())}
         for name in sorted(items):
             record = records[items[name]]
@@ -77,15 +78,18 @@
         return InventoryRecord([records[group] for group in sorted(records)])
 
     def item_bytes(self, name: str) -> int:
-        """How many bytes of a page an item may take; a request reserves those of its machines."""
-        own_bytes = len(name.encode()) + ITEM_BYTES
+        """Return the bytes to reserve for an item; a request reserves space for its machines."""
+        own_bytes = len(name.encode()) + ITEM_OVERHEAD_BYTES
         request = self.pending_requests.get(name)
         if request is None:
             return own_bytes
-        return max(own_bytes + COUNT_BYTES, request.machine_count * (NAME_BYTES + ITEM_BYTES))
-
-    def mark_stored(self, marked: set[str]) -> set[str]:
-        """Marks as up that are certainly stored; returns those that were not known to be."""
-        new = (marked & self.up) - self.stored_up
-        self.stored_up |= new
-        return new
+        return max(
+            own_bytes + REQUEST_COUNT_BYTES,
+            request.machine_count * (MIN_NAME_BYTES + ITEM_OVERHEAD_BYTES),
+        )
+
+    def mark_stored(self, up_marks: set[str]) -> set[str]:
+        """Record that marks as up are stored; returns those that were not known to be stored."""
+        new_marks = (up_marks & self.up) - self.stored_up
+        self.stored_up |= new_marks
+        return new_marks
--- a/src/copperpass/core/storage/inventory_migration.py
+++ b/src/copperpass/core/storage/inventory_migration.py
@@ -1,11 +1,11 @@
-"""The inventory as one record, the form of versions up to 0.2.0, and its migration to pages.
-
-The single record (`c/fleet`) can't grow with the cluster where values are small. Pages
-(`c/fleet/{n}`) can, but older versions ignore them. The single record counts as long as it exists;
-pages count only when it doesn't. A leader migrates once every member is certain to read pages: it
-writes all pages, and then one transaction deletes the single record, which is the moment in which
-the pages begin to count. Every write is guarded by the fencing token, so neither form takes a late
-write of an earlier leader.
+"""The inventory as a single record, the form of versions up to 0.2.0, and its migration to pages.
+
+The single record (`c/fleet`) can't grow with the cluster if the store limits values to a small
+size. Pages (`c/fleet/{n}`) can, but older versions ignore them. The single record is authoritative
+as long as it exists, and the pages only when it doesn't. A leader migrates once every member is
+known to read pages: it writes all pages, and then deletes the single record in one transaction,
+which makes the pages authoritative. Every write is guarded by the fencing token, so late writes of
+an earlier leader fail in both forms.
 """
 
 from __future__ import annotations
@@ -24,30 +24,31 @@
 from copperpass.core.storage.inventory_writer import InventoryWriter
 from copperpass.protocol.kvstore import DeleteKey, PutKey
 
-# The part of the largest value beyond which the single record takes no more machines.
-FULL_PART = 0.85
-# No version of the fencing token.
-NO_TOKEN = -1
+# The single record is full, and no more machines are requested, above this fraction of the largest
+# allowed value.
+FULL_FRACTION = 0.85
+# Differs from every version of the fencing token.
+NO_TOKEN_VERSION = -1
 
 
 class InventoryForm(Enum):
-    """In which form the inventory counts."""
+    """The form in which the inventory is stored."""
 
     SINGLE_RECORD = "single record"
-    # The single record still counts, while the pages are written.
+    # The pages are being written, and the single record is still authoritative.
     MIGRATING = "migrating"
     PAGED = "paged"
 
 
 class OnMarksStored(Protocol):
-    """Called with machines whose marks as up are certainly stored."""
+    """A callback for machines whose marks as up are known to be stored."""
 
-    def __call__(self, now: float, marked: set[str], /) -> None:
-        """Act on the marks."""
+    def __call__(self, now: float, up_marks: set[str], /) -> None:
+        """Handle the names of newly marked machines."""
 
 
 class SingleRecord:
-    """The single record, as long as there is one, and the steps of its migration."""
+    """The single record, while it exists, and the steps of its migration to pages."""
 
     def __init__(
         self,
@@ -60,109 +61,121 @@
         self.on_marks_stored = on_marks_stored
         context = writer.context
         self.token_version, self.all_upgraded = context.token_version, context.all_upgraded
-        self.record_bytes, self.limits_announced = context.record_bytes, context.limits_announced
+        self.max_value_bytes, self.limits_announced = (
+            context.max_value_bytes,
+            context.limits_announced,
+        )
         self.form = InventoryForm.SINGLE_RECORD
-        # Whether this leader writes yet.
-        self.begun = False
-        # The version of the record; 0: there is none.
+        # Whether the watch cache has caught up with the election, so that this leader may write.
+        self.writes_enabled = False
+        # The version of the record; 0 if it does not exist.
         self.version = 0
-        # The bytes of its last write.
-        self.size = 0
-        # Whether it must be written.
+        # The size of the last transaction that wrote the record, in bytes.
+        self.size_bytes = 0
+        # Whether there are changes to be written.
         self.changed = False
-        self.waiting: list[OnStored] = []
-        # Whether its deletion, the last step of the migration, was submitted.
-        self.deleting = False
-        # Marks on pages that were written by the migration: they count once that has ended.
+        # Called when the outcome of the next write, or of the migration, is known.
+        self.callbacks: list[OnStored] = []
+        # Whether the deletion of the record, the last step of the migration, was submitted.
+        self.deletion_submitted = False
+        # Machines marked as up on pages that the migration has written. The marks count as stored
+        # only once the pages are authoritative.
         self.migrated_marks: set[str] = set()
-        # Under this version of the token a creation of the record has an unknown outcome.
-        self.unknown_creation = NO_TOKEN
+        # The version of the fencing token under which a creation of the record had an unknown
+        # outcome.
+        self.unknown_creation_token = NO_TOKEN_VERSION
 
     # -- state -----------------------------------------------------------------------
 
     @property
-    def counts_alone(self) -> bool:
-        """Whether the inventory is the single record, and no migration has begun."""
+    def before_migration(self) -> bool:
+        """Whether the single record is the only form: its migration has not begun."""
         return self.form is InventoryForm.SINGLE_RECORD
 
     @property
     def migrating(self) -> bool:
-        """Whether pages are written that don't count yet."""
+        """Whether pages are being written that are not authoritative yet."""
         return self.form is InventoryForm.MIGRATING
 
     def blocked(self) -> bool:
-        """Whether only a new term can migrate the record.
+        """Return whether the record can be migrated only in a new term.
 
-        A creation with an unknown outcome may be applied once the record is deleted, and would
-        bring back a former state. A new version of the fencing token makes it fail.
+        A creation with an unknown outcome may still be applied after the record is deleted, and
+        would restore an outdated inventory. A new version of the fencing token makes it fail.
         """
-        due = self.begun and self.counts_alone and self.all_upgraded()
-        return due and not self.writer.in_flight and self.unknown_creation == self.token_version()
+        migration_due = self.writes_enabled and self.before_migration and self.all_upgraded()
+        return (
+            migration_due
+            and not self.writer.in_flight
+            and self.unknown_creation_token == self.token_version()
+        )
 
     def full(self) -> bool:
-        """Whether the record has no space for more machines; there are always more pages."""
-        return self.counts_alone and self.size > FULL_PART * self.record_bytes
+        """Return whether the record has no space for more machines; pages are never full."""
+        return self.before_migration and self.size_bytes > FULL_FRACTION * self.max_value_bytes
 
     def on_event(self, version: int) -> None:
-        """The watch brings the record at a version; 0: it does not exist."""
+        """Handle a watch event: the record has this version; 0 if it does not exist."""
         if version:
             self.version = max(self.version, version)
-        elif self.migrating and self.deleting:
-            # Only this leader's own deletion can be it: any other writer's token is refused.
+        elif self.migrating and self.deletion_submitted:
+            # Only this leader can have deleted it: the token of any other writer is refused.
             self.version = 0
 
     # -- writing ---------------------------------------------------------------------
 
     def write(self, now: float) -> None:
-        """Write the whole inventory."""
+        """Write the whole inventory as the single record."""
         self.changed = False
-        waiting, self.waiting = self.waiting, []
-        marked = set(self.contents.up)
+        callbacks, self.callbacks = self.callbacks, []
+        up_marks = set(self.contents.up)
         value = msgspec.to_builtins(self.contents.record_of(self.contents.items()))
-        token, version = self.token_version(), self.version
+        token_version, version = self.token_version(), self.version
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.UNKNOWN and version == 0:
-                self.unknown_creation = token
+                self.unknown_creation_token = token_version
             if outcome is TransactionOutcome.APPLIED:
                 self.version = max(self.version, revision)
-                self.on_marks_stored(done_at, marked)
-                _notify(done_at, waiting, stored=True)
+                self.on_marks_stored(done_at, up_marks)
+                _notify(done_at, callbacks, stored=True)
             else:
-                self._on_write_failed(done_at, outcome, waiting)
+                self._on_write_failed(done_at, outcome, callbacks)
 
         guards = {INVENTORY_KEY: version}
-        self.size = self.writer.submit(now, guards, [PutKey(INVENTORY_KEY, value)], on_done)
+        self.size_bytes = self.writer.submit(now, guards, [PutKey(INVENTORY_KEY, value)], on_done)
 
     def _on_write_failed(
-        self, now: float, outcome: TransactionOutcome, waiting: list[OnStored]
+        self, now: float, outcome: TransactionOutcome, callbacks: list[OnStored]
     ) -> None:
-        # Not stored, or not known to be: write again at the version that the watch brings.
+        # The write failed or its outcome is unknown: write again at the version that the watch
+        # delivers.
         self.changed = True
         self.writer.back_off(now)
         if outcome is TransactionOutcome.INVALID:
-            self.waiting = [*waiting, *self.waiting]
+            self.callbacks = [*callbacks, *self.callbacks]
             self.migrate_if_safe(now, refused=True)
-            if not self.counts_alone:
-                # Those who wait are notified once the pages count.
+            if not self.before_migration:
+                # The callbacks are called once the pages are authoritative.
                 self.writer.next_write_at = now
                 return
-            self.waiting = self.waiting[len(waiting) :]
-        _notify(now, waiting, stored=False)
+            self.callbacks = self.callbacks[len(callbacks) :]
+        _notify(now, callbacks, stored=False)
 
     # -- migration -------------------------------------------------------------------
 
     def migrate_if_safe(self, now: float, refused: bool = False) -> None:
         """Begin the migration if every member reads pages.
 
-        A refusal of the record for its size is proof as well: the limits of `state.next` come only
-        after the upgrade, so no process of an older version runs any more.
+        If lower limits were announced, a refusal of the record for its size proves this as well:
+        the limits of `state.next` take effect only after the upgrade, so no process of an older
+        version is running any more.
         """
-        if not self.counts_alone or self.writer.in_flight or not self.begun:
+        if not self.before_migration or self.writer.in_flight or not self.writes_enabled:
             return
         if not self.all_upgraded() and not (refused and self.limits_announced):
             return
-        if self.unknown_creation == self.token_version():
+        if self.unknown_creation_token == self.token_version():
             return
         self.form = InventoryForm.PAGED if self.version == 0 else InventoryForm.MIGRATING
         contents, layout = self.contents, self.layout
@@ -171,65 +184,65 @@
             layout.place(name, group)
         for name, request in contents.pending_requests.items():
             layout.place(name, request.machine_group)
-        # At least one page stands for the new form, even of an inventory without machines.
-        first = next(iter(layout.pages.values()), None)
-        if first is None:
-            first = layout.choose(MachineGroup("", "", False), 0)
-        first.waiting, self.waiting = [*first.waiting, *self.waiting], []
+        # Even an empty inventory needs a page, by which readers see that it is stored in pages.
+        first_page = next(iter(layout.pages.values()), None)
+        if first_page is None:
+            first_page = layout.choose_page(MachineGroup("", "", False), 0)
+        first_page.callbacks, self.callbacks = [*first_page.callbacks, *self.callbacks], []
         self.changed = False
         for page in layout.pages.values():
-            page.touch(now)
+            page.schedule_write(now)
 
     def advance(self, now: float) -> None:
-        """The next step of a migration whose pages are all stored."""
-        if self.layout.leftover:
+        """Take the next step of a migration whose pages are all stored."""
+        if self.layout.leftover_versions:
             self._delete_leftover_pages(now)
         else:
             self._delete_record(now)
 
     def finish_if_deleted(self, now: float) -> None:
-        """The watch may be the first to show that the record was deleted."""
-        if self.migrating and self.deleting and self.version == 0:
+        """End the migration if the watch has shown the deletion, even if its answer was lost."""
+        if self.migrating and self.deletion_submitted and self.version == 0:
             self._finish(now)
 
     def _finish(self, now: float) -> None:
-        """The record is deleted: the pages count, and those who waited for them go on."""
+        """End the migration: the record is deleted, so the pages are authoritative."""
         self.form, self.version = InventoryForm.PAGED, 0
-        waiting, self.waiting = self.waiting, []
-        marked, self.migrated_marks = self.migrated_marks, set()
-        self.on_marks_stored(now, marked)
-        _notify(now, waiting, stored=True)
+        callbacks, self.callbacks = self.callbacks, []
+        up_marks, self.migrated_marks = self.migrated_marks, set()
+        self.on_marks_stored(now, up_marks)
+        _notify(now, callbacks, stored=True)
 
     def _delete_record(self, now: float) -> None:
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.APPLIED:
                 self._finish(done_at)
             else:
-                # If it was applied after all, the watch will say so.
+                # If the deletion was applied nevertheless, the watch will show it.
                 self.writer.back_off(done_at)
 
-        self.deleting = True
+        self.deletion_submitted = True
         guards = {INVENTORY_KEY: self.version}
         self.writer.submit(now, guards, [DeleteKey(INVENTORY_KEY)], on_done)
 
     def _delete_leftover_pages(self, now: float) -> None:
-        """Pages of an interrupted migration that are not in use would stay for ever."""
-        leftover = self.layout.leftover
-        numbers = sorted(leftover)[: self.writer.max_writes]
+        """Delete unused pages of an interrupted migration, which would otherwise stay for ever."""
+        leftover_versions = self.layout.leftover_versions
+        numbers = sorted(leftover_versions)[: self.writer.max_writes]
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.APPLIED:
                 for number in numbers:
-                    leftover.pop(number, None)
+                    leftover_versions.pop(number, None)
             else:
                 self.writer.back_off(done_at)
 
-        guards = {page_key(number): leftover[number] for number in numbers}
+        guards = {page_key(number): leftover_versions[number] for number in numbers}
         writes = [DeleteKey(page_key(number)) for number in numbers]
         self.writer.submit(now, guards, writes, on_done)
-        self.writer.next_write_at = now + len(numbers) * self.writer.gap_s
+        self.writer.next_write_at = now + len(numbers) * self.writer.write_interval_s
 
 
-def _notify(now: float, waiting: list[OnStored], *, stored: bool) -> None:
-    for on_stored in waiting:
+def _notify(now: float, callbacks: list[OnStored], *, stored: bool) -> None:
+    for on_stored in callbacks:
         on_stored(now, stored)
--- a/src/copperpass/core/storage/inventory_pages.py
+++ b/src/copperpass/core/storage/inventory_pages.py
@@ -1,7 +1,8 @@
-"""Pages of the machine inventory: their sizes, and which item belongs to which page.
+"""Pages of the machine inventory: their sizes, and the assignment of items to pages.
 
-Items that change together share a page: machines that are requested together boot together. So a
-new item goes to a page that is to be written anyway, then to one that has its group already.
+Items that change together should share a page, to save writes: machines that are requested together
+boot together. So a new item goes preferably to a page that is due to be written anyway, then to one
+that already has items of its group.
 """
 
 from __future__ import annotations
@@ -12,116 +13,119 @@
 from copperpass.core.storage.cached_inventory import CachedPage, page_key
 from copperpass.core.storage.inventory_contents import InventoryContents
 
-# Bytes that a page holds of a group besides its names.
-GROUP_BYTES = 72
+# Bytes of a group on a page besides its machine type, its zone and its items.
+GROUP_OVERHEAD_BYTES = 72
 EMPTY_PAGE_BYTES = len('{"places":[]}')
-# Called with the time and whether what was waited for has been stored.
+# Called with the current time, and with whether the awaited write has been stored.
 OnStored = Callable[[float, bool], None]
 
 
 def _group_bytes(group: MachineGroup) -> int:
-    return GROUP_BYTES + len(group.type.encode()) + len(group.zone.encode())
+    return GROUP_OVERHEAD_BYTES + len(group.type.encode()) + len(group.zone.encode())
 
 
 class InventoryPage:
-    """One page: items by name, each with its group.
+    """A page: items by name, each with its group.
 
-    Invariant: `size` is an upper bound, by our notation, of the bytes of its record.
+    Invariant: `size_bytes` is an upper bound for the size of the page's record in our encoding.
     """
 
     def __init__(self, number: int, version: int) -> None:
         self.number, self.version = number, version
         self.items: dict[str, MachineGroup] = {}
-        # Items that belong to other pages by now: stored here until they are stored there.
+        # Items that are stored here but were assigned to other pages. They stay stored here until
+        # they are stored there.
         self.migrating: dict[str, MachineGroup] = {}
         self.group_counts: dict[MachineGroup, int] = {}
-        self.size = EMPTY_PAGE_BYTES
-        # When it must be written at the latest; None: nothing has changed.
-        self.due: float | None = None
-        # Called once the next write of the page has an outcome.
-        self.waiting: list[OnStored] = []
+        self.size_bytes = EMPTY_PAGE_BYTES
+        # The time at which the page is due to be written; None if nothing has changed.
+        self.due_at: float | None = None
+        # Called when the outcome of the next write of the page is known.
+        self.callbacks: list[OnStored] = []
 
     @property
     def key(self) -> str:
-        """Where it is stored."""
+        """The key of the stored page."""
         return page_key(self.number)
 
-    def cost(self, group: MachineGroup, item_bytes: int) -> int:
-        """How much larger an item of that many bytes makes the page."""
+    def added_bytes(self, group: MachineGroup, item_bytes: int) -> int:
+        """Return by how many bytes an item of `item_bytes` would enlarge the page."""
         return item_bytes + (0 if group in self.group_counts else _group_bytes(group))
 
     def add(self, name: str, group: MachineGroup, item_bytes: int) -> None:
-        """Add an item."""
-        self.size += self.cost(group, item_bytes)
+        """Add an item that takes `item_bytes` of the page."""
+        self.size_bytes += self.added_bytes(group, item_bytes)
         self.items[name] = group
         self.group_counts[group] = self.group_counts.get(group, 0) + 1
 
     def remove(self, name: str, item_bytes: int) -> None:
-        """Remove an item that was added with that many bytes."""
+        """Remove an item that was added with `item_bytes`."""
         group = self.items.pop(name)
-        self.size -= item_bytes
+        self.size_bytes -= item_bytes
         self.group_counts[group] -= 1
         if not self.group_counts[group]:
             del self.group_counts[group]
-            self.size -= _group_bytes(group)
+            self.size_bytes -= _group_bytes(group)
 
-    def touch(self, due: float) -> None:
-        """It has changed and must be written by then."""
-        self.due = due if self.due is None else min(self.due, due)
+    def schedule_write(self, due_at: float) -> None:
+        """Mark the page as changed and due at `due_at`, unless it is due earlier already."""
+        self.due_at = due_at if self.due_at is None else min(self.due_at, due_at)
 
 
 class PageLayout:
     """All pages, and the page of each item.
 
-    Invariants: an item belongs to one page; a page that has migrating items is not written, and
-    takes no new ones, until those are stored on their own pages.
+    Invariants: an item is assigned to one page; a page that items are migrating from is not written
+    and gets no new items until the migrating ones are stored on their new pages.
     """
 
     def __init__(self, contents: InventoryContents, page_bytes: float) -> None:
         self.contents = contents
-        # The size to which pages are filled; reduced when the store refuses smaller values.
+        # The size to which pages are filled; reduced when the store refuses a page for its size.
         self.page_bytes = page_bytes
         self.pages: dict[int, InventoryPage] = {}
         self.page_of: dict[str, InventoryPage] = {}
-        # Pages of an interrupted migration, which don't count, with their versions.
-        self.leftover: dict[int, int] = {}
+        # Versions, by page number, of stored pages that an interrupted migration from the single
+        # record left behind; they are not authoritative.
+        self.leftover_versions: dict[int, int] = {}
 
     def clear(self) -> None:
-        """Forget all pages."""
+        """Remove all pages."""
         self.pages.clear()
         self.page_of.clear()
-        self.leftover.clear()
+        self.leftover_versions.clear()
 
     def load(self, cached: Mapping[int, CachedPage]) -> None:
-        """Take over the pages that are stored, and split those that are too large."""
+        """Load the stored pages, and split those that are too large."""
         for number, (record, version) in sorted(cached.items()):
             page = self.pages[number] = InventoryPage(number, version)
             items = self.contents.add_record(record) if record is not None else {}
             for name, group in items.items():
                 if name in self.page_of:
-                    # It was migrating between pages: either may be the newer, so the copy here
-                    # is removed only once the other page is written with what both say.
+                    # The item was migrating between two pages, and either may be the newer. The
+                    # copy here is removed only after the other page is written with the contents
+                    # of both.
                     page.migrating[name] = group
-                    self.page_of[name].touch(0.0)
+                    self.page_of[name].schedule_write(0.0)
                 else:
                     self.put(page, name, group)
         for page in list(self.pages.values()):
             self.split(page)
 
     def on_event(self, number: int, version: int, exists: bool) -> None:
-        """The watch brings a change of a page at a version, or its deletion."""
+        """Handle a watch event: a page was written, or deleted if not `exists`."""
         page = self.pages.get(number)
         if page is not None:
             if version > page.version:
                 page.version = version if exists else 0
         elif not exists:
-            self.leftover.pop(number, None)
-        elif number in self.leftover:
-            self.leftover[number] = max(self.leftover[number], version)
+            self.leftover_versions.pop(number, None)
+        elif number in self.leftover_versions:
+            self.leftover_versions[number] = max(self.leftover_versions[number], version)
 
     def place(self, name: str, group: MachineGroup) -> InventoryPage:
-        """Choose the page of a new item, and add it."""
-        page = self.choose(group, self.contents.item_bytes(name))
+        """Choose a page for a new item, and add the item to it."""
+        page = self.choose_page(group, self.contents.item_bytes(name))
         self.put(page, name, group)
         return page
 
@@ -131,47 +135,51 @@
         self.page_of[name] = page
 
     def has_space(self, page: InventoryPage, group: MachineGroup, item_bytes: int) -> bool:
-        """Whether an item of that many bytes fits into a page."""
-        return page.size + page.cost(group, item_bytes) <= self.page_bytes
+        """Return whether an item of `item_bytes` fits on a page."""
+        return page.size_bytes + page.added_bytes(group, item_bytes) <= self.page_bytes
 
-    def choose(
+    def choose_page(
         self, group: MachineGroup, item_bytes: int, exclude: InventoryPage | None = None
     ) -> InventoryPage:
-        """The page for a new item: preferably one that will be written anyway; or a new one."""
-        feasible = [
+        """Return a page with space for an item, preferably one that is due, or a new page."""
+        candidates = [
             page
             for page in self.pages.values()
             if page is not exclude
             and not page.migrating
-            and page.size + page.cost(group, item_bytes) <= self.page_bytes
+            and page.size_bytes + page.added_bytes(group, item_bytes) <= self.page_bytes
         ]
-        if feasible:
+        if candidates:
             return max(
-                feasible,
-                key=lambda page: (page.due is not None, group in page.group_counts, page.size),
+                candidates,
+                key=lambda page: (
+                    page.due_at is not None,
+                    group in page.group_counts,
+                    page.size_bytes,
+                ),
             )
         number = next(n for n in range(len(self.pages) + 1) if n not in self.pages)
-        page = self.pages[number] = InventoryPage(number, self.leftover.pop(number, 0))
+        page = self.pages[number] = InventoryPage(number, self.leftover_versions.pop(number, 0))
         return page
 
     def split(self, page: InventoryPage) -> None:
-        """Split a page that was stored when values could be larger.
+        """Migrate items from a page until it is within `page_bytes` or holds a single item.
 
-        What migrates stays stored there until it is stored elsewhere; only then is the page
-        written smaller.
+        The page was filled under a higher limit of the value size. It keeps the migrating items
+        until they are stored on other pages, and is written without them only afterwards.
         """
         for name, group in list(page.items.items()):
-            if page.size <= self.page_bytes or len(page.items) == 1:
+            if page.size_bytes <= self.page_bytes or len(page.items) == 1:
                 return
             item_bytes = self.contents.item_bytes(name)
             page.remove(name, item_bytes)
             page.migrating[name] = group
-            target = self.choose(group, item_bytes, page)
+            target = self.choose_page(group, item_bytes, page)
             self.put(target, name, group)
-            target.touch(0.0)
+            target.schedule_write(0.0)
 
     def remove(self, now: float, name: str) -> InventoryPage | None:
-        """Remove an item from its page, which is returned, and wherever it migrates from."""
+        """Remove an item from its page and from pages that it migrates from; returns its page."""
         page = self.page_of.pop(name, None)
         if page is not None:
             page.remove(name, self.contents.item_bytes(name))
@@ -179,19 +187,19 @@
         return page
 
     def end_migration(self, now: float, name: str) -> None:
-        """An item need no longer be stored on pages that it migrates from."""
+        """Remove an item from pages that it migrates from."""
         for page in self.pages.values():
             if page.migrating.pop(name, None) is not None:
-                page.touch(now)
+                page.schedule_write(now)
 
     def on_items_stored(self, now: float, names: set[str]) -> None:
-        """Items are stored on their own pages: their former ones may be written without them."""
+        """Remove items from pages that they migrate from, after their new pages were stored."""
         for page in self.pages.values():
             stored = [name for name in page.migrating if name in names]
             for name in stored:
                 del page.migrating[name]
-                page.touch(now)
+                page.schedule_write(now)
 
-    def settled(self) -> bool:
-        """Whether all pages are stored as they are, with no item migrating."""
-        return all(page.due is None and not page.migrating for page in self.pages.values())
+    def all_stored(self) -> bool:
+        """Return whether every change of a page has been written and no item is migrating."""
+        return all(page.due_at is None and not page.migrating for page in self.pages.values())
--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -60,10 +60,10 @@
         context = InventoryContext(
             transactions=TransactionQueue(self.out, rate, 5, 1.0),
             token_version=lambda: token,
-            record_bytes=32768.0,
+            max_value_bytes=32768.0,
             least_value_bytes=least,
             max_writes=5,
-            write_gap_s=4 / rate,
+            write_interval_s=4 / rate,
             deadline_s=12.0,
             all_upgraded=lambda: all_upgraded,
             limits_announced=limits_announced,
@@ -104,10 +104,10 @@
         context = InventoryContext(
             transactions=TransactionQueue(Outbox(), 15.0, 5, 1.0),
             token_version=lambda: 0,
-            record_bytes=32768.0,
+            max_value_bytes=32768.0,
             least_value_bytes=2048.0,
             max_writes=5,
-            write_gap_s=1.0,
+            write_interval_s=1.0,
             deadline_s=1.0,
         )
         reader = MachineInventory(context)
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -121,7 +121,10 @@
         assert "c/fleet" not in harness.state.data and successor.paged
         assert harness.truth() == truth
         # Nothing is left of what the dead one has written.
-        assert set(harness.stored().pages) == set(successor.pages) and not successor.layout.leftover
+        assert (
+            set(harness.stored().pages) == set(successor.pages)
+            and not successor.layout.leftover_versions
+        )
 
 
 def test_pages_of_an_interrupted_migration_do_not_count_and_are_deleted():
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -48,10 +48,10 @@
     context = InventoryContext(
         transactions=transactions,
         token_version=lambda: 7,
-        record_bytes=32768.0,
+        max_value_bytes=32768.0,
         least_value_bytes=32768.0,
         max_writes=4,
-        write_gap_s=0.1,
+        write_interval_s=0.1,
         deadline_s=10.0,
     )
     made = MachineInventory(context)
