--- a/src/copperpass/core/storage/completion_pages.py
+++ b/src/copperpass/core/storage/completion_pages.py
@@ -106,7 +106,10 @@
             target.changed_at = 0.0
 
     def split(self, page: CompletionPage) -> None:
-        """Migrate jobs from the page until it is within `page_bytes` or holds a single job."""
+        """Migrate jobs from the page until it is within `page_bytes` or holds a single job.
+
+        Values of `page_bytes` are always allowed, by the current and by the announced limits.
+        """
         for job_id, job in list(page.jobs.items()):
             if page.size_bytes <= self.page_bytes or len(page.jobs) == 1:
                 return
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -14,7 +14,7 @@
 from copperpass.protocol.users import JobSpec
 from tests import earlier_versions
 from tests.request_bodies import job
-from tests.storage_harness import COMING, StorageHarness
+from tests.storage_harness import ANNOUNCED_LIMITS, StorageHarness
 
 
 def live_jobs(harness, sizes):
@@ -75,9 +75,9 @@
     return {i: {n for n in range(j.spec.tasks) if j.is_completed(n)} for i, j in table.jobs.items()}
 
 
-def test_pages_that_are_too_large_are_split_and_no_completion_is_lost():
+def test_oversized_pages_are_split_without_losing_completions():
     harness = StorageHarness()
-    harness.win()
+    harness.start_term()
     table = live_jobs(harness, [900] * 30)
     harness.put("c/ends/0.0", {i: pack_mask(bytearray(b"\xff" * 112)) for i in table.jobs})
     store = make_store(harness, table)
@@ -94,9 +94,9 @@
     assert sorted(i for v in pages.values() for i in v) == sorted(table.jobs)
 
 
-def test_a_mask_that_fits_no_page_is_cut_once_the_limits_have_dropped():
+def test_mask_that_fits_no_page_is_split_after_limits_are_lowered():
     harness = StorageHarness()
-    harness.win()
+    harness.start_term()
     table = live_jobs(harness, [100_000, 40])
     big, small = table.jobs.values()
     big.unstored.update(range(0, 100_000, 7))
@@ -107,7 +107,7 @@
     run_store(harness, store)
     # Until then it is stored as older versions do, which read it so.
     assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.unstored
-    harness.state.drop(**COMING)
+    harness.state.drop(**ANNOUNCED_LIMITS)
     store = make_store(harness, table)
     big.unstored.add(99_999)
     store.record(harness.now, big)
@@ -139,7 +139,7 @@
 
     Returns the new owner's jobs once it has written all it knows.
     """
-    harness.state.drop(**COMING)
+    harness.state.drop(**ANNOUNCED_LIMITS)
     tasks = [40_000, 40_000]
     before = live_jobs(harness, tasks)
     earlier = make_store(harness, before)
@@ -151,7 +151,7 @@
     late, harness.out.calls = harness.out.calls, []
     assert late
     if not same_term:
-        harness.win()
+        harness.start_term()
     table = live_jobs(harness, tasks)
     owner = make_store(harness, table)
     owner.max_page_bytes = owner.context.page_bytes
@@ -164,11 +164,11 @@
     return table, refused
 
 
-def test_segments_that_an_earlier_owner_writes_late_are_not_overwritten():
+def test_late_segments_of_earlier_owner_are_not_overwritten():
     # An owner may follow another under the same token, which then refuses nothing: the completions
     # that the watch shows as stored must not be lost, or a later owner would run those tasks again.
     harness = StorageHarness()
-    harness.win()
+    harness.start_term()
     table, refused = late_segments(harness, same_term=True)
     assert 200 in refused
     seen = {i: {n for n in range(40_000) if j.is_completed(n)} for i, j in table.jobs.items()}
@@ -176,20 +176,20 @@
     assert stored_completions(harness, table.jobs) == seen
 
 
-def test_completions_of_an_earlier_term_are_refused_when_they_come_late():
+def test_late_completions_of_earlier_term_are_refused():
     # Guards the token in pages of completions. The versions of their keys alone would let such a
     # write in wherever the new owner has not written yet.
     harness = StorageHarness()
-    harness.win()
+    harness.start_term()
     table, refused = late_segments(harness, same_term=False)
     assert set(refused) == {409}
     assert not stored_completions(harness, table.jobs)["req-000001"]
 
 
-def test_a_page_that_an_earlier_owner_writes_late_goes_only_when_it_is_stored_elsewhere():
+def test_late_entry_of_earlier_owner_is_removed_only_after_it_is_stored_elsewhere():
     # As above, with whole masks: the late page says more of a job than the page it has by now.
     harness = StorageHarness()
-    harness.win()
+    harness.start_term()
     table = live_jobs(harness, [40, 40])
     owner = make_store(harness, table)
     first, second = table.jobs.values()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -59,7 +59,7 @@
     return made, out
 
 
-def test_a_request_is_stored_before_it_is_sent_and_its_machines_after():
+def test_request_is_stored_before_it_is_sent_and_its_machines_after_the_answer():
     made, out = make_inventory()
     sent, group = [], MachineGroup("box", "a", True)
     made.record_request(0.0, "b-1-1", group, 2, lambda now, ok: sent.append(ok))
@@ -77,7 +77,7 @@
     assert not successor.pending_requests and set(successor.machines) == {"m-1", "m-2"}
 
 
-def test_a_machine_counts_as_stored_only_when_the_write_that_marks_it_has_been_applied():
+def test_machine_mark_is_stored_only_after_its_write_is_applied():
     made, out = make_inventory()
     marked = []
     made.on_marks_stored = lambda now, names: marked.extend(names)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -11,13 +11,13 @@
 from tests import earlier_versions
 from tests.request_bodies import gang, job
 from tests.simulation import Simulation
-from tests.storage_harness import COMING
+from tests.storage_harness import ANNOUNCED_LIMITS
 
 OLD = {"0.2.0": earlier_versions.VERSION_0_2_0, "0.3.0": None}
 both = pytest.mark.parametrize("old", sorted(OLD))
 
 
-def rolled(order, seed, old, coming=COMING, partitioned=False):
+def rolled(order, seed, old, coming=ANNOUNCED_LIMITS, partitioned=False):
     """A simulation in which every member runs an earlier version, and jobs run."""
     old = earlier_versions.load(OLD[old])
     simulation = Simulation(
@@ -66,7 +66,7 @@
         elif len(simulation.versions):
             # Not proven by all: the one record counts, as the older version wrote it.
             assert not paged and "c/fleet" in simulation.state.data
-    simulation.state.drop(**COMING)
+    simulation.state.drop(**ANNOUNCED_LIMITS)
     settle(simulation, range(1, 8))
     assert simulation.state.too_large <= 3
 
@@ -104,7 +104,7 @@
         simulation.cut("n0", "n1")
         simulation.run(2.0)
         simulation.heal()
-    simulation.state.drop(**COMING)
+    simulation.state.drop(**ANNOUNCED_LIMITS)
     assert {former for _, former in led} == {True, False}
     for shard in (0, 1):
         assert {former for p, former in owned if p == shard} == {True, False}
@@ -148,7 +148,7 @@
         if pages and "c/fleet" in simulation.state.data:
             seen.append(pages)
             if len(seen) == 1:
-                simulation.state.drop(**COMING)
+                simulation.state.drop(**ANNOUNCED_LIMITS)
             if len(seen) == step + 1:
                 leader = simulation.leader()
                 if applied:
@@ -166,7 +166,7 @@
 
 
 @both
-@pytest.mark.parametrize("coming", [COMING, None], ids=["announced", "unannounced"])
+@pytest.mark.parametrize("coming", [ANNOUNCED_LIMITS, None], ids=["announced", "unannounced"])
 def test_limits_drop_in_mid_roll(coming, old):
     # Guards both versions' writers: what one learns of the limits, the other must learn by itself.
     simulation = rolled(["n0", "n1", "n2"], seed=31, old=old, coming=coming)
@@ -175,7 +175,7 @@
         simulation.submit(job(number, team="blue", tasks=3, run_s=15.0))
         simulation.run(4.0)
         if number == 5:
-            simulation.state.drop(**COMING)
+            simulation.state.drop(**ANNOUNCED_LIMITS)
         leader = simulation.leader()
         if leader:
             # Whoever leads next meets the limits afresh.
--- a/tests/test_shard_completions.py
+++ b/tests/test_shard_completions.py
@@ -8,7 +8,7 @@
 from tests.scheduler_bench import SchedulerBench
 
 
-def test_done_is_cleared_only_when_stored_and_past_repeats_of_its_start():
+def test_completed_task_is_cleared_only_once_stored_and_under_a_newer_token():
     bench = SchedulerBench()
     call, attempt = bench.start()
     ended = [("req-000001/0", attempt, "exited", "done")]
@@ -36,7 +36,7 @@
     assert [c.kind for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
 
 
-def test_ends_of_many_jobs_are_stored_in_one_record_and_then_cleared():
+def test_completions_of_several_jobs_are_stored_in_one_record():
     bench = SchedulerBench()
     for number in (1, 2):
         bench.add(number, tasks=2)
@@ -60,7 +60,7 @@
     assert sum(p.stored for p in bench.scheduler.machines["m-1"].tasks.values()) == 2
 
 
-def test_an_applied_write_without_an_answer_is_learned_from_the_watch():
+def test_watch_confirms_applied_completions_whose_answer_was_lost():
     bench = SchedulerBench()
     call, attempt = bench.start(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
@@ -75,7 +75,7 @@
     assert bench.job.is_completed(0) and not bench.job.unstored and not bench.job.unstored_results
 
 
-def test_a_job_whose_ends_were_all_stored_by_an_earlier_authority_still_ends():
+def test_job_completes_when_earlier_owner_stored_all_its_completions():
     # The record of ends was written with the last end in it, and then that leader was gone.
     bench = SchedulerBench()
     bench.add(tasks=2)
@@ -86,7 +86,7 @@
     assert [w.get("put") for w in json.loads(write.body)["writes"]] == [None, "d/job/req-000001"]
 
 
-def test_a_task_that_is_done_while_another_attempt_of_it_is_placed_counts_once():
+def test_completed_task_with_another_placed_attempt_counts_once():
     # Guards the tasks beside it: counted twice, it hides one that waits, for as long as the other
     # attempt runs, although there is room.
     bench = SchedulerBench()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -33,7 +33,7 @@
 from tests.scheduler_bench import SchedulerBench
 from tests.simulation import Simulation
 from tests.storage_harness import StorageHarness
-from tests.test_machine_inventory import fill
+from tests.test_machine_inventory import provision_machines
 from tests.test_task_placement import made
 
 MACHINES = 4200
@@ -122,10 +122,10 @@
 @pytest.mark.parametrize("value_kb", [2.0, 4.0])
 def test_the_records_of_4000_machines_keep_to_the_smallest_limits(value_kb):
     service = StorageHarness(write_rps=60.0, value_kb=value_kb, txn_ops=12)
-    inventory = service.inventory()
-    fill(service, inventory, MACHINES)
+    inventory = service.start_inventory()
+    provision_machines(service, inventory, MACHINES)
     service.run(inventory, 60.0)
-    assert service.truth() == ({}, inventory.machines, inventory.up)
+    assert service.successor_view() == ({}, inventory.machines, inventory.up)
     assert len(inventory.up) == MACHINES and not inventory.full()
     state = service.state
     assert (state.too_large, state.too_fast) == (0, 0) and state.largest <= 1024 * value_kb
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -7,7 +7,7 @@
 from tests.storage_harness import StorageHarness
 
 
-def test_refused_batches_go_one_by_one_within_the_budgets_and_teach_the_limit():
+def test_refused_batches_are_resent_one_by_one_and_reduce_max_writes():
     harness = StorageHarness(txn_ops=5)
     transactions = TransactionQueue(harness.out, 60.0, 16, 1.0)
     outcomes = []
@@ -40,7 +40,7 @@
     )
 
 
-def test_refusals_for_the_rate_slow_the_queue_down_and_drop_nothing():
+def test_rate_refusals_slow_the_queue_without_losing_operations():
     harness = StorageHarness(write_rps=5.0)
     transactions = TransactionQueue(harness.out, 60.0, 16, 1.0)
     outcomes, sent = [], 0
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -7,25 +7,25 @@
 from copperpass.protocol.json_codec import encode
 from tests.request_bodies import job, raw_settings
 from tests.simulation import Simulation
-from tests.storage_harness import COMING
+from tests.storage_harness import ANNOUNCED_LIMITS
 
 
-def test_coming_limits_are_checked_and_the_lower_of_both_holds():
-    state = settings_module.parse(raw_settings(coming=COMING)).cluster.state
+def test_announced_limits_are_validated_and_the_lower_limit_applies():
+    state = settings_module.parse(raw_settings(coming=ANNOUNCED_LIMITS)).cluster.state
     assert (state.least_write_rps, state.least_value_bytes, state.least_txn_ops) == (15, 2048, 5)
     plain = settings_module.parse(raw_settings()).cluster.state
     assert (plain.least_write_rps, plain.least_value_bytes, plain.least_txn_ops) == (60, 32768, 16)
-    higher = settings_module.parse(raw_settings(coming={**COMING, "value_kb": 64.0}))
+    higher = settings_module.parse(raw_settings(coming={**ANNOUNCED_LIMITS, "value_kb": 64.0}))
     assert higher.cluster.state.least_value_bytes == 32768
     for field, value in (("write_rps", 0), ("value_kb", -1.0), ("txn_ops", 3), ("txn_ops", "x")):
         with pytest.raises(SettingsError, match=f"next.{field}"):
-            settings_module.parse(raw_settings(coming={**COMING, field: value}))
+            settings_module.parse(raw_settings(coming={**ANNOUNCED_LIMITS, field: value}))
 
 
-def test_a_submission_that_no_value_can_hold_is_refused_for_good_and_others_are_not():
-    simulation = Simulation(coming=COMING)
+def test_only_submissions_that_no_value_can_hold_are_refused_permanently():
+    simulation = Simulation(coming=ANNOUNCED_LIMITS)
     simulation.run_until(simulation.leader)
-    simulation.state.drop(**COMING)
+    simulation.state.drop(**ANNOUNCED_LIMITS)
     padded = simulation.submit(
         job(1, racks=["box"] * 500 + [f"no-such-type-{n}" for n in range(90)])
     )
@@ -45,8 +45,8 @@
     assert again.status == 200
 
 
-def test_an_offer_that_no_value_can_hold_is_not_stored():
-    simulation = Simulation(coming=COMING)
+def test_machine_types_that_no_value_can_hold_are_not_stored():
+    simulation = Simulation(coming=ANNOUNCED_LIMITS)
     one = dict(simulation.cloud.offer[0])
     simulation.cloud.offer = [{**one, "name": f"box-{n}"} for n in range(20)] + [one]
     simulation.run_until(simulation.leader)
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("gap", [0.3, 1.2, 2.5])
 @pytest.mark.parametrize("partitioned", [False, True])
-def test_cancelled_while_the_leader_is_refused_alone_and_then_everybody(partitioned, gap):
+def test_cancellation_stops_tasks_when_store_refuses_leader_and_then_all(partitioned, gap):
     simulation = started_simulation(partitioned)
     old = simulation.leader()
     simulation.refused.add(old)
@@ -50,7 +50,7 @@
     assert not simulation.violations
 
 
-def test_an_owner_that_the_store_refuses_alone_loses_its_shard():
+def test_owner_loses_its_shard_when_only_it_is_refused_by_store():
     simulation = started_simulation(partitioned=True)
     leader = simulation.leader()
     shares = simulation.nodes[leader].cluster_manager.shards.values()
@@ -85,12 +85,12 @@
     return simulation
 
 
-def test_a_leader_whose_watch_hangs_while_its_key_is_renewed_steps_down_in_time():
+def test_leader_steps_down_in_time_when_its_watch_hangs_while_its_key_is_renewed():
     simulation = leader_with_hung_watch()
     assert running(simulation) == 0 and not simulation.violations
 
 
-def test_without_the_bound_on_the_watch_cache_that_day_breaks_a_rule(monkeypatch):
+def test_hung_watch_breaks_a_rule_without_the_watch_cache_age_limit(monkeypatch):
     monkeypatch.setattr(LeaderElection, "watch_cache_valid_until", lambda self: float("inf"))
     monkeypatch.setattr(PeerHeartbeats, "is_behind", lambda self, consistent_at: False)
     # A check on the way may fail, or the violations at the end.
@@ -99,7 +99,7 @@
         assert not simulation.violations
 
 
-def test_a_leader_whose_watch_hangs_is_replaced_by_an_up_to_date_member():
+def test_leader_with_hung_watch_is_replaced_by_up_to_date_member():
     simulation = started_simulation()
     leader, starts = simulation.leader(), simulation.starts
     simulation.watches_blocked.add(leader)
