--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -1,4 +1,4 @@
-"""Pages of completed tasks: those that become too large, and masks that fit no page."""
+"""Pages of completed tasks: oversized pages, masks that fit no page, and late writes."""
 
 import json
 
@@ -18,13 +18,13 @@
 
 
 def live_jobs(harness, sizes):
-    """Live jobs, by their numbers of tasks."""
+    """Return a table of live jobs with these numbers of tasks."""
     table = JobTable()
     for n, tasks in enumerate(sizes, 1):
         record = JobRecord(spec=msgspec.convert(job(n, tasks=tasks), JobSpec))
-        made = make_job(record, 1, harness.now)
-        assert made is not None
-        table.jobs[made.spec.id] = made
+        live_job = make_job(record, 1, harness.now)
+        assert live_job is not None
+        table.jobs[live_job.spec.id] = live_job
     return table
 
 
@@ -39,11 +39,11 @@
     versions = {}
     watch_completions(harness, table, versions)
     harness.out.calls.clear()
-    token = harness.state.data["c/token"][1]
+    token_version = harness.state.data["c/token"][1]
     context = CompletionContext(
         job_table=table,
         transactions=TransactionQueue(harness.out, 60.0, 5, 1.0),
-        token_version=lambda: token,
+        token_version=lambda: token_version,
         versions=versions,
         shard=0,
         page_bytes=0.8 * 2048,
@@ -55,7 +55,7 @@
 
 
 def run_store(harness, store, seconds=3.0):
-    """Let the store write; no completion that is stored may be forgotten on the way."""
+    """Let the store write for some seconds, and check that no write loses stored completions."""
     for _ in range(int(seconds / 0.05)):
         calls, harness.out.calls = harness.out.calls, []
         for call in calls:
@@ -69,7 +69,7 @@
 
 
 def stored_completions(harness, jobs):
-    """What a successor would know of each job's completed tasks."""
+    """Return the completed tasks of each job that a successor loads, by job id."""
     table = live_jobs(harness, [j.spec.tasks for j in jobs.values()])
     watch_completions(harness, table, {})
     return {i: {n for n in range(j.spec.tasks) if j.is_completed(n)} for i, j in table.jobs.items()}
@@ -82,12 +82,12 @@
     harness.put("c/ends/0.0", {i: pack_mask(bytearray(b"\xff" * 112)) for i in table.jobs})
     store = make_store(harness, table)
     first = table.jobs["req-000001"]
-    for some in table.jobs.values():
-        some.unstored.add(899)
-        store.record(harness.now, some)
+    for live_job in table.jobs.values():
+        live_job.unstored.add(899)
+        store.record(harness.now, live_job)
     run_store(harness, store)
     stored = stored_completions(harness, table.jobs)
-    assert all(899 in ends and len(ends) == 897 for ends in stored.values())
+    assert all(899 in completed and len(completed) == 897 for completed in stored.values())
     assert not first.unstored
     pages = {k: v[0] for k, v in harness.state.data.items() if k.startswith("c/ends/")}
     assert max(len(json.dumps(v)) for v in pages.values()) <= 2048
@@ -102,10 +102,10 @@
     big.unstored.update(range(0, 100_000, 7))
     small.unstored.add(3)
     store = make_store(harness, table)
-    for some in table.jobs.values():
-        store.record(harness.now, some)
+    for live_job in table.jobs.values():
+        store.record(harness.now, live_job)
     run_store(harness, store)
-    # Until then it is stored as older versions do, which read it so.
+    # Until then the mask is stored on a page of its own, which older versions can read.
     assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.unstored
     harness.state.drop(**ANNOUNCED_LIMITS)
     store = make_store(harness, table)
@@ -116,7 +116,8 @@
     assert stored_completions(harness, table.jobs) == {big.spec.id: expected, small.spec.id: {3}}
     pages = {k: v[0] for k, v in harness.state.data.items() if k.startswith("c/ends/")}
     assert max(len(json.dumps(v)) for v in pages.values()) <= 2048
-    # A successor goes on with the parts as they are; one more completion is one more write.
+    # A successor keeps the segments as they are. One more completion costs at most one write per
+    # page.
     table = live_jobs(harness, [100_000, 40])
     store = make_store(harness, table)
     run_store(harness, store, 1.0)
@@ -126,18 +127,18 @@
     run_store(harness, store, 6.0)
     assert stored_completions(harness, table.jobs)[big.spec.id] == {*expected, 50_001}
     assert harness.state.writes - writes <= len(pages) and not big.unstored
-    # An older version takes no harm from the parts: it knows no such jobs, and keeps the pages.
+    # An older version ignores the segments: their entries are not ids of jobs that it knows.
     old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
-    theirs = old.core.JobTable()
+    old_table = old.core.JobTable()
     for key, value in pages.items():
-        theirs.saw_ends(key, json.dumps(value).encode())
-    assert not theirs.jobs
+        old_table.saw_ends(key, json.dumps(value).encode())
+    assert not old_table.jobs
 
 
 def late_segments(harness, same_term):
-    """An earlier owner's segments of job 1 arrive while a new owner cuts job 2 into segments.
+    """Apply an earlier owner's segments of job 1 after a new owner has split the mask of job 2.
 
-    Returns the new owner's jobs once it has written all it knows.
+    Returns the new owner's jobs after its writes, and the answers to the late writes.
     """
     harness.state.drop(**ANNOUNCED_LIMITS)
     tasks = [40_000, 40_000]
@@ -148,8 +149,8 @@
     first.unstored.update(range(0, 20_000, 3))
     earlier.record(harness.now, first)
     earlier.tick(harness.now + 1.0)
-    late, harness.out.calls = harness.out.calls, []
-    assert late
+    late_calls, harness.out.calls = harness.out.calls, []
+    assert late_calls
     if not same_term:
         harness.start_term()
     table = live_jobs(harness, tasks)
@@ -158,36 +159,39 @@
     second = table.jobs["req-000002"]
     second.unstored.update(range(0, 40_000, 5))
     owner.record(harness.now, second)
-    refused = [harness.serve(call)[0] for call in late]
+    late_statuses = [harness.serve(call)[0] for call in late_calls]
     watch_completions(harness, table, owner.context.versions)
     run_store(harness, owner, 6.0)
-    return table, refused
+    return table, late_statuses
 
 
 def test_late_segments_of_earlier_owner_are_not_overwritten():
-    # An owner may follow another under the same token, which then refuses nothing: the completions
-    # that the watch shows as stored must not be lost, or a later owner would run those tasks again.
+    # A shard can change owners under the same token, which then refuses no late write. Guards
+    # against losing completions that the watch has shown as stored: a later owner would run those
+    # tasks again.
     harness = StorageHarness()
     harness.start_term()
-    table, refused = late_segments(harness, same_term=True)
-    assert 200 in refused
-    seen = {i: {n for n in range(40_000) if j.is_completed(n)} for i, j in table.jobs.items()}
-    assert seen["req-000001"] and len(seen["req-000002"]) == 8000
-    assert stored_completions(harness, table.jobs) == seen
+    table, late_statuses = late_segments(harness, same_term=True)
+    assert 200 in late_statuses
+    watched = {i: {n for n in range(40_000) if j.is_completed(n)} for i, j in table.jobs.items()}
+    assert watched["req-000001"] and len(watched["req-000002"]) == 8000
+    assert stored_completions(harness, table.jobs) == watched
 
 
 def test_late_completions_of_earlier_term_are_refused():
-    # Guards the token in pages of completions. The versions of their keys alone would let such a
-    # write in wherever the new owner has not written yet.
+    # Guards against writes of completion pages without a guard on the token. With only the versions
+    # of the pages as guards, a late write would be applied to any page that the new owner has not
+    # written yet.
     harness = StorageHarness()
     harness.start_term()
-    table, refused = late_segments(harness, same_term=False)
-    assert set(refused) == {409}
+    table, late_statuses = late_segments(harness, same_term=False)
+    assert set(late_statuses) == {409}
     assert not stored_completions(harness, table.jobs)["req-000001"]
 
 
 def test_late_entry_of_earlier_owner_is_removed_only_after_it_is_stored_elsewhere():
-    # As above, with whole masks: the late page says more of a job than the page it has by now.
+    # As above, with whole masks: a late write stores completions of a job that the job's current
+    # page does not hold.
     harness = StorageHarness()
     harness.start_term()
     table = live_jobs(harness, [40, 40])
@@ -205,7 +209,7 @@
     owner.record(harness.now, second)
     run_store(harness, owner, 3.0)
     assert stored_completions(harness, table.jobs) == {first.spec.id: {1, 5}, second.spec.id: {2}}
-    # Nothing waits for anything any more: further completions are stored as ever.
+    # The migration has ended: further completions are stored.
     first.unstored.add(7)
     owner.record(harness.now, first)
     run_store(harness, owner, 2.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""The inventory's single record, the watch cache, and the priorities of writes."""
+"""Priorities of writes, the single record of the inventory, and replayed watch events."""
 
 import json
 
@@ -54,41 +54,41 @@
         write_interval_s=0.1,
         deadline_s=10.0,
     )
-    made = MachineInventory(context)
-    made.load(record, version)
-    return made, out
+    inventory = MachineInventory(context)
+    inventory.load(record, version)
+    return inventory, out
 
 
 def test_request_is_stored_before_it_is_sent_and_its_machines_after_the_answer():
-    made, out = make_inventory()
+    inventory, out = make_inventory()
     sent, group = [], MachineGroup("box", "a", True)
-    made.record_request(0.0, "b-1-1", group, 2, lambda now, ok: sent.append(ok))
+    inventory.record_request(0.0, "b-1-1", group, 2, lambda now, ok: sent.append(ok))
     (write,) = out.calls
     body = json.loads(write.body)
     assert not sent and body["writes"][0]["value"]["places"][0]["booked"] == {"b-1-1": 2}
     assert {g["path"] for g in body["guards"]} == {"c/token", "c/fleet"}
     write.on_done(0.1, CallOutcome(200, b'{"issue":5}'))
     assert sent == [True]
-    # A successor that finds the request repeats it; one that finds the machines need not.
-    value = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
-    successor, _ = make_inventory(5, value)
+    # A successor repeats a request that it finds stored, but not one whose machines are stored.
+    record = decode(json.dumps(body["writes"][0]["value"]).encode(), InventoryRecord)
+    successor, _ = make_inventory(5, record)
     assert successor.pending_requests == {"b-1-1": (group, 2)}
     successor.record_answer(0.2, "b-1-1", ["m-1", "m-2"])
     assert not successor.pending_requests and set(successor.machines) == {"m-1", "m-2"}
 
 
 def test_machine_mark_is_stored_only_after_its_write_is_applied():
-    made, out = make_inventory()
+    inventory, out = make_inventory()
     marked = []
-    made.on_marks_stored = lambda now, names: marked.extend(names)
-    made.mark_up(0.0, "m-1", MachineGroup("box", "a", True))
-    made.mark_up(0.0, "m-2", MachineGroup("box", "a", True))
+    inventory.on_marks_stored = lambda now, names: marked.extend(names)
+    inventory.mark_up(0.0, "m-1", MachineGroup("box", "a", True))
+    inventory.mark_up(0.0, "m-2", MachineGroup("box", "a", True))
     (first,) = out.calls
     out.calls.clear()
     first.on_done(0.1, CallOutcome(0))
     assert not marked
-    made.on_record_event(9)
-    made.tick(2.0)
+    inventory.on_record_event(9)
+    inventory.tick(2.0)
     (second,) = out.calls
     guards = json.loads(second.body)["guards"]
     assert {"path": "c/fleet", "stamp": 9} in guards
@@ -97,8 +97,8 @@
 
 
 def test_a_replayed_deletion_does_not_delete_a_newer_key():
-    # The listing read the key at 10; the watch then starts from an older revision and replays the
-    # removal of the key's earlier life.
+    # The list request read the key at version 10. The watch then starts from an older revision and
+    # replays the deletion of the key, which came before its latest creation.
     out, seen = Outbox(), {}
     watch_cache = WatchCache(out, lambda now, key, raw, version: seen.update({key: raw}), 1.0, 1.0)
     watch_cache.tick(0.0)
--- a/tests/test_shard_completions.py
+++ b/tests/test_shard_completions.py
@@ -1,4 +1,4 @@
-"""How a shard's scheduler stores completed tasks, and what it concludes from stored ones."""
+"""Completed tasks in a shard's scheduler: storing them, clearing them, and counting them once."""
 
 import json
 
@@ -11,7 +11,7 @@
 def test_completed_task_is_cleared_only_once_stored_and_under_a_newer_token():
     bench = SchedulerBench()
     call, attempt = bench.start()
-    ended = [("req-000001/0", attempt, "exited", "done")]
+    completed = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
         bench.now,
         CallOutcome(
@@ -24,16 +24,16 @@
         ),
     )
     bench.sequence += 1
-    answer = bench.worker_heartbeat(ended)
+    answer = bench.worker_heartbeat(completed)
     assert answer.commands == []
     bench.answer_state(0)
-    assert bench.worker_heartbeat(ended).commands == [], "no answer: it may not be stored"
+    assert bench.worker_heartbeat(completed).commands == [], "no answer: it may not be stored"
     bench.scheduler.results.store(bench.now, bench.job)
     bench.answer_state(200)
-    answer = bench.worker_heartbeat(ended)
+    answer = bench.worker_heartbeat(completed)
     assert answer.commands == [] and answer.token > bench.token
     bench.token = answer.token
-    assert [c.kind for c in bench.worker_heartbeat(ended).commands] == [CommandKind.FORGET]
+    assert [c.kind for c in bench.worker_heartbeat(completed).commands] == [CommandKind.FORGET]
 
 
 def test_completions_of_several_jobs_are_stored_in_one_record():
@@ -42,10 +42,10 @@
         bench.add(number, tasks=2)
     bench.scheduler.dispatch_round(bench.now)
     (call,) = bench.take("worker")
-    takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
-    ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
+    attempts = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
+    completed = [(t, attempts[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.message(completed, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
     bench.now += bench.scheduler.completions.context.interval_s
@@ -63,9 +63,9 @@
 def test_watch_confirms_applied_completions_whose_answer_was_lost():
     bench = SchedulerBench()
     call, attempt = bench.start(tasks=2)
-    ended = [("req-000001/0", attempt, "exited", "done")]
+    completed = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.message(completed, sequence=bench.sequence + 1)))
     )
     bench.scheduler.completions.tick(bench.now + 5)
     (write,) = bench.take("state")
@@ -76,7 +76,7 @@
 
 
 def test_job_completes_when_earlier_owner_stored_all_its_completions():
-    # The record of ends was written with the last end in it, and then that leader was gone.
+    # The earlier owner stored the last completion, and failed before it stored the completed job.
     bench = SchedulerBench()
     bench.add(tasks=2)
     bench.jobs.on_completions_event("c/ends/0", b'{"req-000001":"Aw=="}')
@@ -87,11 +87,12 @@
 
 
 def test_completed_task_with_another_placed_attempt_counts_once():
-    # Guards the tasks beside it: counted twice, it hides one that waits, for as long as the other
-    # attempt runs, although there is room.
+    # Guards against counting a completed task twice, once as completed and once as placed. That
+    # would hide a pending task of the job, which would not start while the other attempt runs,
+    # although there is capacity.
     bench = SchedulerBench()
     bench.add(tasks=2)
-    # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
+    # An attempt of task 0 is running, and a late write shows that another attempt has completed it.
     bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
     assert bench.job.assigned == {0: "m-1"}
     bench.jobs.on_completions_event("c/ends/0.0", json.dumps({"req-000001": "AQ=="}).encode())
@@ -102,7 +103,7 @@
     assert [(o["verb"], o["page"]) for o in json.loads(call.body)["orders"]] == [
         ("run", "req-000001/1")
     ]
-    # The same with an end that is reported and not stored, and with one that is stored by us.
+    # The same for a completion that is reported but not stored, and for one that this owner stored.
     bench.job.unstored.add(1)
     assert bench.job.pending_count() == 0 and bench.job.all_completed()
     bench.job.on_completions_stored([1])
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,4 +1,4 @@
-"""The transaction queue when the state harness's limits drop unannounced."""
+"""The transaction queue when the limits of the key-value store are lowered unannounced."""
 
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
@@ -65,9 +65,10 @@
         if len(outcomes) == 150:
             break
     assert outcomes == [TransactionOutcome.APPLIED] * 150
-    # Batches of up to 16 never fit into 5 a second: the pace finds what does, without a storm.
+    # Batches of up to 16 writes exceed a limit of 5 writes per second: the queue finds a rate that
+    # the store accepts without many refused requests.
     assert harness.state.too_fast < 0.2 * sent + 60
-    slow = transactions.budget.rate
+    reduced_rate = transactions.budget.rate
     harness.state.drop(write_rps=60.0)
     transactions.budget.take(harness.now + 120.0, 0.0)
-    assert slow < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
+    assert reduced_rate < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the state service that are announced, and what no value can hold."""
+"""Announced limits of the key-value store, and contents that exceed the limit of a value."""
 
 import pytest
 
@@ -13,8 +13,12 @@
 def test_announced_limits_are_validated_and_the_lower_limit_applies():
     state = settings_module.parse(raw_settings(coming=ANNOUNCED_LIMITS)).cluster.state
     assert (state.least_write_rps, state.least_value_bytes, state.least_txn_ops) == (15, 2048, 5)
-    plain = settings_module.parse(raw_settings()).cluster.state
-    assert (plain.least_write_rps, plain.least_value_bytes, plain.least_txn_ops) == (60, 32768, 16)
+    unannounced = settings_module.parse(raw_settings()).cluster.state
+    assert (
+        unannounced.least_write_rps,
+        unannounced.least_value_bytes,
+        unannounced.least_txn_ops,
+    ) == (60, 32768, 16)
     higher = settings_module.parse(raw_settings(coming={**ANNOUNCED_LIMITS, "value_kb": 64.0}))
     assert higher.cluster.state.least_value_bytes == 32768
     for field, value in (("write_rps", 0), ("value_kb", -1.0), ("txn_ops", 3), ("txn_ops", "x")):
@@ -29,26 +33,28 @@
     padded = simulation.submit(
         job(1, racks=["box"] * 500 + [f"no-such-type-{n}" for n in range(90)])
     )
-    endless = simulation.submit(job(2, master="i" * 3000))
+    too_large = simulation.submit(job(2, master="i" * 3000))
     large = simulation.submit(job(3, master="i" * 1500))
     simulation.run(1.0)
-    assert [padded.status, endless.status, large.status] == [201, 422, 201]
+    assert [padded.status, too_large.status, large.status] == [201, 422, 201]
     assert simulation.state.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
     assert simulation.state.too_large == 0
-    # Small enough by our count and too large by the service's own.
+    # This record is within the limit in our encoding and exceeds it in that of the store.
     size = len(encode(simulation.state.data["c/live/req-000003"][0]))
-    narrow = simulation.submit(job(4, master="i" * (1500 + 2048 - 10 - size)))
+    near_limit = simulation.submit(job(4, master="i" * (1500 + 2048 - 10 - size)))
     simulation.run(1.0)
-    assert narrow.status == 422 and simulation.state.too_large == 1
-    again = simulation.submit(job(1, master="i" * 3000))
+    assert near_limit.status == 422 and simulation.state.too_large == 1
+    repeated = simulation.submit(job(1, master="i" * 3000))
     simulation.run(1.0)
-    assert again.status == 200
+    assert repeated.status == 200
 
 
 def test_machine_types_that_no_value_can_hold_are_not_stored():
     simulation = Simulation(coming=ANNOUNCED_LIMITS)
-    one = dict(simulation.cloud.offer[0])
-    simulation.cloud.offer = [{**one, "name": f"box-{n}"} for n in range(20)] + [one]
+    machine_type = dict(simulation.cloud.offer[0])
+    simulation.cloud.offer = [{**machine_type, "name": f"box-{n}"} for n in range(20)] + [
+        machine_type
+    ]
     simulation.run_until(simulation.leader)
     simulation.submit(job(1))
     calls = []
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -1,4 +1,4 @@
-"""Controllers whose watch cache is too old to command workers."""
+"""Controllers whose watch cache is outdated, which must not command workers."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 
 def check_cancelled_for(simulation, seconds):
-    """Pass time, looking at the rules as it goes."""
+    """Run the simulation for some seconds, checking leaders and cancellations every 0.5 s."""
     end = simulation.now + seconds
     while simulation.now < end:
         simulation.run(0.5)
@@ -34,15 +34,15 @@
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_cancellation_stops_tasks_when_store_refuses_leader_and_then_all(partitioned, gap):
     simulation = started_simulation(partitioned)
-    old = simulation.leader()
-    simulation.refused.add(old)
-    others = [n for n in simulation.names if n != old]
-    asked = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in range(1, 5)]
+    old_leader = simulation.leader()
+    simulation.refused.add(old_leader)
+    others = [n for n in simulation.names if n != old_leader]
+    answers = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in range(1, 5)]
     simulation.run(gap)
-    assert [a.status for a in asked] == [200] * 4
+    assert [a.status for a in answers] == [200] * 4
     simulation.state.down = True
     simulation.run(0.5)
-    simulation.refused.discard(old)
+    simulation.refused.discard(old_leader)
     check_cancelled_for(simulation, 1.6 * simulation.cancel_s)
     assert running(simulation) == 0 and not simulation.violations
     simulation.outage_over()
@@ -53,8 +53,8 @@
 def test_owner_loses_its_shard_when_only_it_is_refused_by_store():
     simulation = started_simulation(partitioned=True)
     leader = simulation.leader()
-    shares = simulation.nodes[leader].cluster_manager.shards.values()
-    shard = next(p for p in shares if p.owner != leader)
+    shards = simulation.nodes[leader].cluster_manager.shards.values()
+    shard = next(s for s in shards if s.owner != leader)
     owner, starts = shard.owner, simulation.starts
     simulation.refused.add(owner)
     simulation.run_until(
@@ -69,14 +69,15 @@
 
 
 def leader_with_hung_watch():
-    """The watch of a leader that owns everything hangs while its key is renewed."""
+    """Hang the watch of a leader that owns all shards while its key is renewed, and cancel jobs."""
     simulation = started_simulation()
     leader = simulation.leader()
     simulation.watches_blocked.add(leader)
     simulation.run(3.0)
     for name in simulation.names:
         if name != leader:
-            # The others see nothing of it: they are cut off, and users reach the state over them.
+            # The others can't inform the leader, from which they are cut off. Users cancel the jobs
+            # through them, since they still reach the store.
             simulation.cut(leader, name)
     other = next(n for n in simulation.names if n != leader)
     for n in range(1, 5):
@@ -93,7 +94,7 @@
 def test_hung_watch_breaks_a_rule_without_the_watch_cache_age_limit(monkeypatch):
     monkeypatch.setattr(LeaderElection, "watch_cache_valid_until", lambda self: float("inf"))
     monkeypatch.setattr(PeerHeartbeats, "is_behind", lambda self, consistent_at: False)
-    # A check on the way may fail, or the violations at the end.
+    # Either a check during the run fails or the one for violations at the end.
     with pytest.raises(AssertionError):  # noqa: PT012
         simulation = leader_with_hung_watch()
         assert not simulation.violations
@@ -114,13 +115,13 @@
     watch_cache = simulation.nodes["n0"].watch_cache
     simulation.watches_blocked.add("n0")
     simulation.run(5.0)
-    before = watch_cache.consistent_at
+    consistent_before = watch_cache.consistent_at
     watch_cache.synced = False
     simulation.run(5.0)
-    assert watch_cache.consistent_at == before and not watch_cache.synced
+    assert watch_cache.consistent_at == consistent_before and not watch_cache.synced
     simulation.watches_blocked.clear()
     simulation.run(5.0)
-    assert watch_cache.consistent_at > before + 5.0
+    assert watch_cache.consistent_at > consistent_before + 5.0
 
 
 def test_a_cancellation_is_announced_before_the_watch_delivers_it():
@@ -131,11 +132,11 @@
     leader = simulation.leader()
     simulation.watches_blocked.add(leader)
     simulation.run(1.0)
-    waiting = simulation.submit(job(9, tasks=9, cpus=7.5, run_s=100.0), "n2")
+    submission = simulation.submit(job(9, tasks=9, cpus=7.5, run_s=100.0), "n2")
     others = [n for n in simulation.names if n != leader]
-    asked = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in (1, 2, 3, 4, 9)]
+    answers = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in (1, 2, 3, 4, 9)]
     simulation.run(1.2)
-    assert waiting.status == 201 and [a.status for a in asked] == [200] * 5
+    assert submission.status == 201 and [a.status for a in answers] == [200] * 5
     assert simulation.leader() == leader and running(simulation) == 0
     starts = simulation.starts
     simulation.run(30.0)
@@ -149,12 +150,14 @@
     )
     announced = []
     leader = simulation.leader()
-    one, other = [n for n in simulation.names if n != leader]
+    canceller, other = [n for n in simulation.names if n != leader]
     deliver = simulation.frame
-    simulation.frame = lambda s, m, f: (
-        announced.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
+    simulation.frame = lambda sender, member, frame: (
+        announced.append((sender, member))
+        if isinstance(frame, JobCancelled)
+        else deliver(sender, member, frame)
     )
-    simulation.nodes[one].version_registry.upgraded.discard(leader)
-    simulation.cancel("req-000001", one)
+    simulation.nodes[canceller].version_registry.upgraded.discard(leader)
+    simulation.cancel("req-000001", canceller)
     simulation.run(2.0)
-    assert announced == [(one, other)] and running(simulation) == 6
+    assert announced == [(canceller, other)] and running(simulation) == 6
