--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -61,7 +61,7 @@
 
     guards: dict[str, int]
     writes: list[Write] = field(default_factory=list)
-    pages: list[PageWrite] = field(default_factory=list)
+    page_writes: list[PageWrite] = field(default_factory=list)
     # The size of the largest value in bytes, including a page left for the next transaction.
     largest_value_bytes: int = 0
 
@@ -278,7 +278,7 @@
                 break
             batch.guards[page.key] = page.version
             batch.writes.append(write)
-            batch.pages.append(PageWrite(page, page.callbacks, set(page.items)))
+            batch.page_writes.append(PageWrite(page, page.callbacks, set(page.items)))
             page.callbacks, page.due_at = [], None
         return batch
 
@@ -288,9 +288,9 @@
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.APPLIED:
-                for write in batch.pages:
-                    write.page.version = max(write.page.version, revision)
-                    self._on_page_stored(done_at, write, up_marks)
+                for page_write in batch.page_writes:
+                    page_write.page.version = max(page_write.page.version, revision)
+                    self._on_page_stored(done_at, page_write, up_marks)
             else:
                 self._on_pages_failed(done_at, batch, outcome)
 
@@ -299,14 +299,14 @@
     def _on_pages_failed(self, now: float, batch: PageBatch, outcome: TransactionOutcome) -> None:
         limits_reduced = outcome is TransactionOutcome.INVALID and self._reduce_limits(batch)
         can_retry = outcome is TransactionOutcome.CONFLICT or limits_reduced
-        for write in batch.pages:
-            write.page.schedule_write(now)
+        for page_write in batch.page_writes:
+            page_write.page.schedule_write(now)
             if self.single_record.migrating or can_retry:
                 # The page is not authoritative yet, or it was certainly not stored and a retry may
                 # succeed: requests need not fail.
-                write.page.callbacks = [*write.callbacks, *write.page.callbacks]
+                page_write.page.callbacks = [*page_write.callbacks, *page_write.page.callbacks]
                 continue
-            for on_stored in write.callbacks:
+            for on_stored in page_write.callbacks:
                 on_stored(now, False)
         self.writer.back_off(now)
 
@@ -318,10 +318,10 @@
         transaction was too large, so fewer pages are sent together. A refusal of a single page
         shows that values must be smaller, if the page has items that can be migrated.
         """
-        if len(batch.pages) > 1:
-            self.writer.max_writes = len(batch.pages) // 2
+        if len(batch.page_writes) > 1:
+            self.writer.max_writes = len(batch.page_writes) // 2
             return True
-        page = batch.pages[0].page
+        page = batch.page_writes[0].page
         value_bytes = max(MIN_VALUE_BYTES, batch.largest_value_bytes // 2)
         if len(page.items) < 2 or value_bytes >= batch.largest_value_bytes:
             return False
@@ -329,22 +329,22 @@
         self.layout.split(page)
         return True
 
-    def _on_page_stored(self, now: float, write: PageWrite, up_marks: set[str]) -> None:
+    def _on_page_stored(self, now: float, page_write: PageWrite, up_marks: set[str]) -> None:
         """Handle that a page is stored with the items that it had when the write was submitted."""
-        self.layout.on_items_stored(now, write.names)
+        self.layout.on_items_stored(now, page_write.names)
         for request, unstored in list(self.answered_requests.items()):
-            unstored -= write.names
+            unstored -= page_write.names
             # Machines that were removed meanwhile need not be stored.
             if unstored.isdisjoint(self.machines):
                 del self.answered_requests[request]
                 self.pending_requests.pop(request, None)
                 self.layout.end_migration(now, request)
         if self.single_record.migrating:
-            self.single_record.migrated_marks |= write.names & up_marks
-            self.single_record.callbacks.extend(write.callbacks)
+            self.single_record.migrated_marks |= page_write.names & up_marks
+            self.single_record.callbacks.extend(page_write.callbacks)
             return
-        self._on_marks_stored(now, write.names & up_marks)
-        for on_stored in write.callbacks:
+        self._on_marks_stored(now, page_write.names & up_marks)
+        for on_stored in page_write.callbacks:
             on_stored(now, True)
 
     def _on_marks_stored(self, now: float, up_marks: set[str]) -> None:
