--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,4 +1,4 @@
-"""The transaction queue when the state harness's limits drop unannounced."""
+"""The transaction queue when the limits of the key-value store are lowered unannounced."""
 
 from copperpass.core.kvstore.operations import Operation, Priority, TransactionOutcome
 from copperpass.core.kvstore.transactions import TransactionQueue
@@ -7,7 +7,7 @@
 from tests.storage_harness import StorageHarness
 
 
-def test_refused_batches_go_one_by_one_within_the_budgets_and_teach_the_limit():
+def test_refused_batches_are_resent_one_by_one_and_reduce_max_writes():
     harness = StorageHarness(txn_ops=5)
     transactions = TransactionQueue(harness.out, 60.0, 16, 1.0)
     outcomes = []
@@ -40,7 +40,7 @@
     )
 
 
-def test_refusals_for_the_rate_slow_the_queue_down_and_drop_nothing():
+def test_rate_refusals_slow_the_queue_without_losing_operations():
     harness = StorageHarness(write_rps=5.0)
     transactions = TransactionQueue(harness.out, 60.0, 16, 1.0)
     outcomes, sent = [], 0
@@ -65,9 +65,10 @@
         if len(outcomes) == 150:
             break
     assert outcomes == [TransactionOutcome.APPLIED] * 150
-    # Batches of up to 16 never fit into 5 a second: the pace finds what does, without a storm.
+    # Batches of up to 16 writes exceed a limit of 5 writes per second: the queue finds a rate that
+    # the store accepts without many refused requests.
     assert harness.state.too_fast < 0.2 * sent + 60
-    slow = transactions.budget.rate
+    reduced_rate = transactions.budget.rate
     harness.state.drop(write_rps=60.0)
     transactions.budget.take(harness.now + 120.0, 0.0)
-    assert slow < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
+    assert reduced_rate < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
