--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -10,7 +10,7 @@
 from copperpass.protocol.cloud import MachineType, MachineTypes
 from copperpass.protocol.json_codec import decode
 
-TYPE = {
+MACHINE_TYPE = {
     "name": "box",
     "cpus": 16.0,
     "cards": 0.0,
@@ -24,7 +24,7 @@
 }
 
 # Limits of the state service: changes a second, KiB a value, changes a transaction.
-LIMITS = {"write_rps": 60.0, "value_kb": 32.0, "txn_ops": 16}
+KVSTORE_LIMITS = {"write_rps": 60.0, "value_kb": 32.0, "txn_ops": 16}
 
 
 def machine_types(*offer: dict[str, Any]) -> dict[str, MachineType]:
@@ -45,10 +45,10 @@
 
     teams: tuple[dict[str, Any], ...]
     objectives: tuple[dict[str, Any], ...]
-    offer: tuple[dict[str, Any], ...]
+    machine_types: tuple[dict[str, Any], ...]
     # Machines by (zone, spot), or by (type, zone, spot) where types differ in it.
     capacity: dict[tuple[Any, ...], int]
-    state: dict[str, float] = field(default_factory=lambda: {"rps": 200.0, **LIMITS})
+    kvstore: dict[str, float] = field(default_factory=lambda: {"rps": 200.0, **KVSTORE_LIMITS})
     cloud_rps: float = 8.0
     max_connections: int = 1000
     heartbeat_interval_s: float = 1.0
@@ -56,7 +56,7 @@
     # don't, each burst of frames also plays what a broken connection loses.
     ordered_links: bool = False
 
-    def limit(self, name: str) -> float:
+    def cpu_limit(self, name: str) -> float:
         """The most CPUs that a team may use: as the page has it, 0 stands for none."""
         written = next(entry["cpus_max"] for entry in self.teams if entry["name"] == name)
         return written or math.inf
@@ -74,11 +74,11 @@
         {"kind": "finished", "class": "slow", "within_s": 200.0, "share": 0.9},
         {"kind": "guarantee", "within_s": 5.0, "share": 0.9},
     ),
-    offer=(TYPE,),
+    machine_types=(MACHINE_TYPE,),
     capacity={(zone, spot): 3 for zone in "abc" for spot in (True, False)},
 )
 
-_CRATE = {**TYPE, "name": "crate", "cpus": 64.0, "memory_gb": 128.0, "local_gb": 60.0}
+_CRATE = {**MACHINE_TYPE, "name": "crate", "cpus": 64.0, "memory_gb": 128.0, "local_gb": 60.0}
 
 # One team without guarantee or limit, a small state service, a slow cloud, and two types of
 # machines, the larger of which one zone doesn't have.
@@ -88,15 +88,15 @@
         {"kind": "deadline", "class": "quick", "share": 0.9, "times": 1.0},
         {"kind": "wait", "class": "quick", "within_s": 5.0, "share": 0.9},
     ),
-    offer=(
-        {**TYPE, "cpus": 8.0, "price": 0.42, "low_price": 0.16},
+    machine_types=(
+        {**MACHINE_TYPE, "cpus": 8.0, "price": 0.42, "low_price": 0.16},
         {**_CRATE, "price": 2.51, "low_price": 1.05, "halls": ["a", "c"]},
     ),
     capacity={
         **{("box", zone, spot): 4 if spot else 1 for zone in "abc" for spot in (True, False)},
         **{("crate", zone, spot): 2 if spot else 1 for zone in "ac" for spot in (True, False)},
     },
-    state={"rps": 60.0, "write_rps": 20.0, "value_kb": 4.0, "txn_ops": 12},
+    kvstore={"rps": 60.0, "write_rps": 20.0, "value_kb": 4.0, "txn_ops": 12},
     cloud_rps=6.0,
     max_connections=900,
 )
@@ -105,9 +105,9 @@
 LARGE = Deployment(
     teams=(team("red", 20_000.0, 0.0), team("blue", 20_000.0, 0.0)),
     objectives=TWO_TEAMS.objectives,
-    offer=(TYPE,),
+    machine_types=(MACHINE_TYPE,),
     capacity={(zone, spot): 700 for zone in "abc" for spot in (True, False)},
-    state={"rps": 2000.0, "write_rps": 200.0, "value_kb": 4.0, "txn_ops": 12},
+    kvstore={"rps": 2000.0, "write_rps": 200.0, "value_kb": 4.0, "txn_ops": 12},
     cloud_rps=36.0,
     max_connections=10_000,
     heartbeat_interval_s=4.0,
--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -48,7 +48,7 @@
 }
 
 
-def commit():
+def production_commit():
     """The commit that `deploy/service.toml` names."""
     found = re.search(
         r'^production = "([0-9a-f]{40})"', (ROOT / "deploy/service.toml").read_text(), re.MULTILINE
@@ -113,7 +113,7 @@
         """What cuts a stream of bytes into its frames."""
         return self.peer.Unpacker()
 
-    def node(self, raw, seed, now):
+    def create_node(self, raw, seed, now):
         """A node of that version."""
         return self.core.Node(self.settings.parse(raw), seed, now, day=1000.0)
 
@@ -145,7 +145,7 @@
 
 def load(name=None):
     """The version in production or the named commit, or a skip that says why."""
-    name = name or commit()
+    name = name or production_commit()
     made = _load(name)
     if made is None:
         pytest.skip(
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -14,31 +14,33 @@
 
     def __init__(self, simulation):
         self.simulation = simulation
-        self.bookings: dict[str, list[str]] = {}
+        self.rentals: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
-        self.names = itertools.count(1)
-        self.offer = list(simulation.deployment.offer)
+        self.machine_numbers = itertools.count(1)
+        self.machine_types = list(simulation.deployment.machine_types)
         self.capacity = dict(simulation.deployment.capacity)
         # Between what bounds the time lies that a machine takes to boot.
         self.boot_s = (6.0, 15.0)
 
     def handle(self, method, path, body, reply):
         if path == "/machine_types":
-            reply(200, json.dumps({"racks": self.offer}).encode())
+            reply(200, json.dumps({"racks": self.machine_types}).encode())
         elif path == "/rentals" and method == "POST":
             ask = json.loads(body)
-            if ask["booking"] not in self.bookings:
+            if ask["booking"] not in self.rentals:
                 place = (ask["hall"], ask["borrowed"])
-                kind = next(kind for kind in self.offer if kind["name"] == ask["rack"])
-                count = min(ask["count"], self.remaining(kind, place))
+                kind = next(kind for kind in self.machine_types if kind["name"] == ask["rack"])
+                count = min(ask["count"], self.remaining_capacity(kind, place))
                 if count <= 0:
                     reply(503, b'{"error":"no capacity"}')
                     return
-                self.bookings[ask["booking"]] = [self.rent(place, kind) for _ in range(count)]
-            reply(200, json.dumps({"presses": self.bookings[ask["booking"]]}).encode())
+                self.rentals[ask["booking"]] = [
+                    self.create_machine(place, kind) for _ in range(count)
+                ]
+            reply(200, json.dumps({"presses": self.rentals[ask["booking"]]}).encode())
         elif path == "/rentals/release":
             for name in json.loads(body)["presses"]:
-                self.returned(name)
+                self.on_released(name)
                 self.reclaim(name)
             reply(200, b"{}")
         else:
@@ -64,7 +66,7 @@
                 ).encode(),
             )
 
-    def remaining(self, kind, place):
+    def remaining_capacity(self, kind, place):
         """How many more machines there are of a type in a place."""
         typed = (kind["name"], *place)
         if typed in self.capacity:
@@ -73,8 +75,8 @@
         live = [m for m in self.machines.values() if m["place"] == place]
         return self.capacity[place] - len(live)
 
-    def rent(self, place, kind):
-        name = f"m-{next(self.names):06d}"
+    def create_machine(self, place, kind):
+        name = f"m-{next(self.machine_numbers):06d}"
         now = self.simulation.now
         self.machines[name] = {"place": place, "kind": kind, "at": now, "worker": None}
         self.simulation.after(self.simulation.rng.uniform(*self.boot_s), lambda: self.boot(name))
@@ -92,7 +94,7 @@
             machine["worker"].alive = False
             machine["worker"].drop_all()
 
-    def returned(self, name):
+    def on_released(self, name):
         """The service gives a machine back: a gang that runs there loses progress."""
         machine = self.machines.get(name)
         if machine and machine["worker"]:
--- a/tests/fakes/gang.py
+++ b/tests/fakes/gang.py
@@ -15,8 +15,10 @@
         self.simulation, self.job_id, self.attempt = simulation, job_id, attempt
         self.spec = simulation.specs[job_id]
         self.members = {}  # (worker, key of the task) -> what the worker notes of it
-        self.started = self.broken = self.safe = self.completed = self.late = False
-        self.progress, self.since, self.speed, self.turn = 0.0, None, 1.0, 0
+        self.started = self.broken = self.progress_saved = self.completed = (
+            self.stop_deadline_passed
+        ) = False
+        self.progress, self.progressing_since, self.speed, self.progress_timer = 0.0, None, 1.0, 0
         self.first_stop_at, self.stop_requested = None, set()
 
     # -- waiting
@@ -25,7 +27,7 @@
         mark.update(state="gathering", at=self.simulation.now)
         self.members[worker, key] = mark
         self.simulation.task_index.add(worker, key)
-        self.simulation.started(worker, key[0], self.spec)
+        self.simulation.on_task_started(worker, key[0], self.spec)
         others = [
             g
             for (j, a), g in self.simulation.gangs.items()
@@ -34,9 +36,9 @@
         if others:
             self.simulation.violations.append(f"two_attempts: {key} beside {others[0].attempt}")
         if key[0] in self.simulation.completed:
-            worker.end(key, "done")
+            worker.end_task(key, "done")
             return
-        if worker.failing or self.spec.get("broken"):
+        if worker.fails_tasks or self.spec.get("broken"):
             self.simulation.after(0.2, lambda: self.leave(worker, key, mark, "error"))
         self.simulation.after(
             self.simulation.gang_wait_s, lambda: self.leave(worker, key, mark, "alone", "gathering")
@@ -45,7 +47,9 @@
 
     def begin(self):
         """Start together, once every task has its image and executes."""
-        ready = {key[0] for (worker, key), _ in self.members.items() if not worker.hung_for()}
+        ready = {
+            key[0] for (worker, key), _ in self.members.items() if not worker.remaining_hang_s()
+        }
         if self.started or len(ready) < self.spec["pages"]:
             return
         self.started = True
@@ -53,7 +57,7 @@
             self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
             mark["state"] = "running"
         self.speed = min(worker.speed for worker, _ in self.members)
-        self.progress = self.simulation.progress.get(self.job_id, 0.0)
+        self.progress = self.simulation.saved_progress.get(self.job_id, 0.0)
         self.resume_progress()
 
     def leave(self, worker, key, mark, exit_cause, only=None, **more):
@@ -64,56 +68,56 @@
             or (only and mark["state"] != only)
         ):
             return
-        if worker.hung_for():
+        if worker.remaining_hang_s():
             self.simulation.after(
-                worker.hung_for() + 0.01,
+                worker.remaining_hang_s() + 0.01,
                 lambda: self.leave(worker, key, mark, exit_cause, only, **more),
             )
             return
         if exit_cause == "alone":
             self.simulation.gave_up_waiting.add((self.job_id, self.attempt))
-        worker.end(key, exit_cause, **more)
+        worker.end_task(key, exit_cause, **more)
 
     # -- running
 
-    def length(self):
-        if self.job_id not in self.simulation.lengths:
-            self.simulation.lengths[self.job_id] = (
+    def runtime_s(self):
+        if self.job_id not in self.simulation.gang_runtime_s:
+            self.simulation.gang_runtime_s[self.job_id] = (
                 self.simulation.gang_rng.uniform(0.5, 1.5) * self.spec["runtime_s"]
             )
-        return self.simulation.lengths[self.job_id]
+        return self.simulation.gang_runtime_s[self.job_id]
 
     def resume_progress(self):
-        self.since = self.simulation.now
-        self.turn += 1
-        turn, left = self.turn, max(0.0, self.length() - self.progress) / self.speed
-        self.simulation.after(left, lambda: turn == self.turn and self.finish())
+        self.progressing_since = self.simulation.now
+        self.progress_timer += 1
+        turn, left = self.progress_timer, max(0.0, self.runtime_s() - self.progress) / self.speed
+        self.simulation.after(left, lambda: turn == self.progress_timer and self.finish())
 
     def stop_progress(self):
         """Progress stops."""
-        if self.since is not None:
-            self.progress += (self.simulation.now - self.since) * self.speed
-        self.since = None
-        self.turn += 1
+        if self.progressing_since is not None:
+            self.progress += (self.simulation.now - self.progressing_since) * self.speed
+        self.progressing_since = None
+        self.progress_timer += 1
 
     def finish(self):
         self.stop_progress()
         self.completed = True
         self.simulation.completed.update(f"{self.job_id}/{i}" for i in range(self.spec["pages"]))
         for worker, key in list(self.members):
-            worker.end(key, "done")
+            worker.end_task(key, "done")
 
     def checkpoint(self):
-        every, kept = self.spec["proof_s"], self.simulation.progress.get(self.job_id, 0.0)
+        every, kept = self.spec["proof_s"], self.simulation.saved_progress.get(self.job_id, 0.0)
         return max(kept, int(self.progress / every + 1e-9) * every) if every > 0 else 0.0
 
-    def gone(self, worker, key, mark):
+    def on_member_gone(self, worker, key, mark):
         """A member has exited, or its machine is gone."""
         if self.members.pop((worker, key), None) is None:
             return  # it never had its image
         if "at" in mark:
             self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
-        elif self.started and not self.completed and not self.safe:
+        elif self.started and not self.completed and not self.progress_saved:
             self.fail()
 
     def fail(self, within=None):
@@ -131,10 +135,10 @@
     def roll_back(self):
         self.stop_progress()
         self.broken = True
-        self.simulation.progress[self.job_id] = self.checkpoint()
+        self.simulation.saved_progress[self.job_id] = self.checkpoint()
 
-    def hangs(self, worker):
-        if not self.started or self.broken or self.safe or self.completed:
+    def on_hang(self, worker):
+        if not self.started or self.broken or self.progress_saved or self.completed:
             return
         self.stop_progress()
         until, within = worker.hung_until, self.simulation.gang_peer_s
@@ -142,61 +146,68 @@
 
         def notice():
             if (
-                worker.hung_for()
+                worker.remaining_hang_s()
                 and worker.hung_until == until
-                and not self.safe
+                and not self.progress_saved
                 and any(w is worker for w, _ in self.members)
             ):
                 self.fail(within - wait)
 
         self.simulation.after(wait, notice)
 
-    def resumes(self):
+    def on_resume(self):
         self.begin()
         if self.started and not self.broken and not self.completed:
             if self.first_stop_at is not None:
                 self.exit_saved()
-            elif self.since is None and not any(w.hung_for() for w, _ in self.members):
+            elif self.progressing_since is None and not any(
+                w.remaining_hang_s() for w, _ in self.members
+            ):
                 self.resume_progress()
 
     # -- stopping
 
-    def stop(self, worker, key, mark, grace):
+    def on_stop_command(self, worker, key, mark, grace):
         if mark["state"] == "gathering" or self.broken:
-            worker.end(key, "halted")
+            worker.end_task(key, "halted")
         elif mark["state"] == "flushing":
             if grace <= 0:
                 self.lose_progress("ended while it saved")
-                worker.end(key, "halted")
+                worker.end_task(key, "halted")
         else:
             if self.first_stop_at is None:
                 self.first_stop_at = self.simulation.now
                 self.stop_progress()
-                self.simulation.after(self.simulation.gang_peer_s, self.deadline)
+                self.simulation.after(self.simulation.gang_peer_s, self.on_stop_deadline)
             if self.spec["proof_s"] <= 0 or grace < self.spec["flush_s"]:
                 self.lose_progress("too little grace")
-                worker.end(key, "halted")
+                worker.end_task(key, "halted")
                 return
             self.stop_requested.add(key[0])
             mark["state"] = "flushing"
-            self.simulation.after(self.spec["flush_s"], lambda: self.saved(worker, key, mark))
+            self.simulation.after(
+                self.spec["flush_s"], lambda: self.on_checkpoint_written(worker, key, mark)
+            )
 
-    def saved(self, worker, key, mark):
+    def on_checkpoint_written(self, worker, key, mark):
         if worker.tasks.get(key) is not mark or mark["state"] != "flushing":
             return
-        if worker.hung_for():
-            self.simulation.after(worker.hung_for() + 0.01, lambda: self.saved(worker, key, mark))
+        if worker.remaining_hang_s():
+            self.simulation.after(
+                worker.remaining_hang_s() + 0.01,
+                lambda: self.on_checkpoint_written(worker, key, mark),
+            )
             return
         mark["kept"] = True
         if self.broken:
-            worker.end(key, "halted")
+            worker.end_task(key, "halted")
         else:
             self.exit_saved()
 
-    def deadline(self):
+    def on_stop_deadline(self):
         """No task waits longer than this for the stop commands of the others."""
-        self.late = True
-        if self.broken or self.safe or self.completed:
+        self.stop_deadline_passed = True
+        if self.broken or self.progress_saved or self.completed:
             return
         if len(self.stop_requested) == self.spec["pages"]:
             self.exit_saved()
@@ -214,10 +225,12 @@
         if len(self.stop_requested) < self.spec["pages"]:
             return
         ready = [m for m in self.members.items() if m[1].get("kept")]
-        if ready and (self.late or self.safe or len(ready) == len(self.members)):
-            if not self.safe:
-                self.safe = True
-                self.simulation.progress[self.job_id] = self.progress
+        if ready and (
+            self.stop_deadline_passed or self.progress_saved or len(ready) == len(self.members)
+        ):
+            if not self.progress_saved:
+                self.progress_saved = True
+                self.simulation.saved_progress[self.job_id] = self.progress
             for (worker, key), mark in ready:
                 self.leave(worker, key, mark, "halted", saved=True)
 
@@ -226,7 +239,7 @@
         loss = self.progress - self.checkpoint()
         if (
             self.started
-            and not (self.broken or self.safe or self.completed)
+            and not (self.broken or self.progress_saved or self.completed)
             and loss > 1e-6
             and self.spec["proof_s"] > 0
             and self.job_id not in self.simulation.cancel_requested
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -7,10 +7,10 @@
 import json
 import operator
 
-from tests.deployments import LIMITS, TWO_TEAMS
+from tests.deployments import KVSTORE_LIMITS, TWO_TEAMS
 
 
-class State:
+class KeyValueStore:
     """The state service: keys, leases, guarded transactions and watches."""
 
     def __init__(self, simulation, deployment=TWO_TEAMS):
@@ -20,20 +20,20 @@
         self.down = False
         self.watches = []
         # What the settings say, and what holds now.
-        self.announced = {name: deployment.state[name] for name in LIMITS}
-        self.limits, self.level = dict(self.announced), self.announced["write_rps"]
-        self.filled = 0.0
-        self.writes, self.too_large, self.too_fast, self.largest = 0, 0, 0, 0
+        self.announced = {name: deployment.kvstore[name] for name in KVSTORE_LIMITS}
+        self.limits, self.tokens = dict(self.announced), self.announced["write_rps"]
+        self.refilled_at = 0.0
+        self.write_count, self.too_large, self.too_fast, self.largest_value = 0, 0, 0, 0
 
-    def drop(self, **limits):
+    def set_limits(self, **limits):
         """From now on, without notice."""
         self.limits.update(limits)
 
-    def refuses(self, txn):
+    def limit_error(self, txn):
         """Why a transaction is beyond the limits: a status, or None."""
         writes, limits = txn["writes"], self.limits
         sizes = [len(json.dumps(w["value"])) for w in writes if "put" in w]
-        self.largest = max([self.largest, *sizes])
+        self.largest_value = max([self.largest_value, *sizes])
         if (
             len(writes) > limits["txn_ops"]
             or len(txn["guards"]) > 4 * limits["txn_ops"]
@@ -42,16 +42,16 @@
             self.too_large += 1
             return 400
         rate = limits["write_rps"]
-        self.level = min(rate, self.level + (self.simulation.now - self.filled) * rate)
-        self.filled = self.simulation.now
-        if self.level < len(writes):
+        self.tokens = min(rate, self.tokens + (self.simulation.now - self.refilled_at) * rate)
+        self.refilled_at = self.simulation.now
+        if self.tokens < len(writes):
             self.too_fast += 1
             return 429
-        self.level -= len(writes)
-        self.writes += len(writes)
+        self.tokens -= len(writes)
+        self.write_count += len(writes)
         return None
 
-    def expire(self):
+    def expire_leases(self):
         for lease, (until, _) in list(self.leases.items()):
             if self.simulation.now > until and not self.down:
                 self.end_lease(lease)
@@ -67,7 +67,7 @@
             self.notify_watches()
 
     def handle(self, method, path, body, reply, asker=""):
-        self.expire()
+        self.expire_leases()
         if self.down:
             if not path.startswith("/follow"):
                 reply(503, b"{}")
@@ -104,7 +104,9 @@
             query = dict(part.split("=") for part in path.split("?")[1].split("&"))
             watch = [query["under"], int(query["since"]), reply, asker]
             self.watches.append(watch)
-            self.simulation.after(int(query["block_ms"]) / 1000, lambda: self.answer(watch, True))
+            self.simulation.after(
+                int(query["block_ms"]) / 1000, lambda: self.answer_watch(watch, True)
+            )
             self.notify_watches()
         elif path == "/multi":
             self.transaction(json.loads(body), reply)
@@ -127,7 +129,7 @@
 
     def transaction(self, txn, reply):
         writes = txn["writes"]
-        refused = self.refuses(txn)
+        refused = self.limit_error(txn)
         if refused is not None:
             assert refused == 429 or self.limits != self.announced, (
                 "beyond the limits of the settings"
@@ -152,17 +154,17 @@
                 self.log.append((self.revision, write["put"], write["value"]))
             elif self.data.pop(write["remove"], None):
                 self.log.append((self.revision, write["remove"], None))
-        self.simulation.wrote(writes)
+        self.simulation.on_writes(writes)
         reply(200, json.dumps({"issue": self.revision}).encode())
         self.notify_watches()
 
     def notify_watches(self):
         for watch in list(self.watches):
-            self.answer(watch, False)
+            self.answer_watch(watch, False)
 
-    def answer(self, watch, timed_out):
+    def answer_watch(self, watch, timed_out):
         prefix, since, reply, asker = watch
-        if watch not in self.watches or self.down or asker in self.simulation.refused:
+        if watch not in self.watches or self.down or asker in self.simulation.kvstore_refuses:
             # Also the open watches of a node that is refused alone wait as in an outage.
             return
         unseen = bisect.bisect_right(self.log, since, key=operator.itemgetter(0))
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -6,26 +6,26 @@
 import random
 from typing import Any
 
-from tests.deployments import TYPE
+from tests.deployments import MACHINE_TYPE
 
 
 class Worker:
     """A machine and the tasks on it."""
 
-    def __init__(self, simulation, name, zone, spot, kind=TYPE):
+    def __init__(self, simulation, name, zone, spot, kind=MACHINE_TYPE):
         self.simulation, self.name, self.zone, self.spot = simulation, name, zone, spot
-        self.kind = kind
+        self.machine_type = kind
         self.agent_epoch, self.sequence, self.token = 1, 0, 0
         # By task and attempt: the state, and what more there is to know of it.
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.lease_renewed_at = simulation.now
         self.alive = True
-        self.failing = False
-        self.notice = None
+        self.fails_tasks = False
+        self.reclaim_notice_s = None
         self.hung_until = 0.0
         self.speed = 1.0 - 0.1 * random.Random(name).random()
-        self.sent = []
-        self.node = simulation.rng.randrange(len(simulation.names))
+        self.sent_heartbeats = []
+        self.node_index = simulation.rng.randrange(len(simulation.node_names))
         simulation.after(0.01, self.send_heartbeat)
         self.watch_lease()
 
@@ -34,7 +34,7 @@
             return
         # A machine that hangs beyond its lease has lost its tasks all the same.
         self.check_lease()
-        self.simulation.after_time(self.next_lease_check(), self.watch_lease)
+        self.simulation.at_time(self.next_lease_check(), self.watch_lease)
 
     def next_lease_check(self):
         """When the lease, checked ten times a report, can first be seen to have run out.
@@ -64,7 +64,7 @@
         for key, mark in dropped.items():
             self.simulation.task_index.discard(self, key)
             if "gang" in mark and mark["state"] != "exited":
-                mark["gang"].gone(self, key, mark)
+                mark["gang"].on_member_gone(self, key, mark)
 
     def hang(self, seconds):
         """Execute, report and answer nothing for a while."""
@@ -72,7 +72,7 @@
         for mark in list(self.tasks.values()):
             mark["late"] = mark.get("late", 0.0) + seconds
             if "gang" in mark:
-                mark["gang"].hangs(self)
+                mark["gang"].on_hang(self)
         self.simulation.after(seconds, self.resume)
 
     def restart(self, seconds):
@@ -84,17 +84,17 @@
         self.lease_renewed_at = self.simulation.now + seconds
 
     def resume(self):
-        if self.alive and not self.hung_for():
+        if self.alive and not self.remaining_hang_s():
             self.check_lease()
             for mark in list(self.tasks.values()):
                 if "gang" in mark:
-                    mark["gang"].resumes()
+                    mark["gang"].on_resume()
 
-    def hung_for(self):
+    def remaining_hang_s(self):
         left = self.hung_until - self.simulation.now
         return left if left > 1e-6 else 0.0
 
-    def body(self):
+    def heartbeat_body(self):
         self.sequence += 1
         tasks = []
         for (task, attempt), t in self.tasks.items():
@@ -108,13 +108,13 @@
             {
                 "press": self.name,
                 "address": self.name,
-                "rack": self.kind["name"],
+                "rack": self.machine_type["name"],
                 "hall": self.zone,
                 "borrowed": self.spot,
                 "shift": self.agent_epoch,
                 "line": self.sequence,
                 "baton": self.token,
-                "recall_s": self.notice,
+                "recall_s": self.reclaim_notice_s,
                 "pages": tasks,
             }
         ).encode()
@@ -122,18 +122,18 @@
     def send_heartbeat(self):
         if not self.alive:
             return
-        if self.hung_for():
-            self.simulation.after(self.hung_for() + 0.01, self.send_heartbeat)
+        if self.remaining_hang_s():
+            self.simulation.after(self.remaining_hang_s() + 0.01, self.send_heartbeat)
             return
         sent, agent_epoch = self.simulation.now, self.agent_epoch
-        target = self.simulation.names[self.node]
+        target = self.simulation.node_names[self.node_index]
         answered = []
 
         def reply(status, body):
             if answered or not self.alive:
                 return
-            if self.hung_for():
-                self.simulation.after(self.hung_for() + 0.01, lambda: reply(0, b"{}"))
+            if self.remaining_hang_s():
+                self.simulation.after(self.remaining_hang_s() + 0.01, lambda: reply(0, b"{}"))
                 return
             answered.append(True)
             if self.simulation.now - sent > 4.0:
@@ -150,53 +150,55 @@
                 self.simulation.after(pause, self.send_heartbeat)
                 return
             hint = json.loads(body).get("editor") if status == 421 else None
-            if hint in self.simulation.names and hint != target:
-                self.node = self.simulation.names.index(hint)
+            if hint in self.simulation.node_names and hint != target:
+                self.node_index = self.simulation.node_names.index(hint)
                 self.simulation.after(0.1, self.send_heartbeat)
             else:
-                self.node = (self.node + 1) % len(self.simulation.names)
+                self.node_index = (self.node_index + 1) % len(self.simulation.node_names)
                 self.simulation.after(1.0, self.send_heartbeat)
 
-        body = self.body()
-        self.sent.append((target, body))
-        self.simulation.to_node(self.name, target, body, reply)
-        self.simulation.maybe_copied(target, body)
+        body = self.heartbeat_body()
+        self.sent_heartbeats.append((target, body))
+        self.simulation.deliver_heartbeat(self.name, target, body, reply)
+        self.simulation.maybe_duplicate_heartbeat(target, body)
         self.simulation.after(4.0, lambda: reply(0, b"{}"))
 
-    def direct(self, raw, reply):
+    def on_command(self, raw, reply):
         if not self.alive:
             return
-        if self.hung_for():
-            self.simulation.after(self.hung_for() + 0.01, lambda: self.direct(raw, reply))
+        if self.remaining_hang_s():
+            self.simulation.after(
+                self.remaining_hang_s() + 0.01, lambda: self.on_command(raw, reply)
+            )
             return
         order = json.loads(raw)
         if order["baton"] < self.token or order["shift"] != self.agent_epoch:
-            reply(409, self.body())
+            reply(409, self.heartbeat_body())
             return
         self.token = order["baton"]
         self.execute(order["orders"])
-        reply(200, self.body())
+        reply(200, self.heartbeat_body())
 
     def execute(self, orders):
         for order in orders:
             key = (order["page"], order["take"])
             if order["verb"] == "run":
-                self.start(key)
+                self.start_task(key)
             elif order["verb"] == "kill" and key in self.tasks:
                 mark = self.tasks[key]
                 if "gang" in mark and mark["state"] not in ("pulling", "exited"):
-                    mark["gang"].stop(self, key, mark, order.get("windup_s") or 0.0)
+                    mark["gang"].on_stop_command(self, key, mark, order.get("windup_s") or 0.0)
                 elif mark["state"] != "exited":
-                    self.end(key, "halted")
+                    self.end_task(key, "halted")
             elif order["verb"] == "clear" and self.tasks.get(key, {}).get("state") == "exited":
                 del self.tasks[key]
 
-    def start(self, key):
+    def start_task(self, key):
         if key in self.tasks:
             return
         task, _ = key
         spec = self.simulation.specs.get(task.split("/")[0])
-        exit_cause = self.simulation.refusals.pop(task, None)
+        exit_cause = self.simulation.start_refusals.pop(task, None)
         used = sum(t["cpus"] for t in self.tasks.values() if t["state"] != "exited")
         if exit_cause:
             pass
@@ -204,7 +206,7 @@
             exit_cause = "unknown"
         elif any(other[0] == task for other in self.tasks):
             exit_cause = "in_use"
-        elif used + spec["cpus"] > self.kind["cpus"] + 1e-6:
+        elif used + spec["cpus"] > self.machine_type["cpus"] + 1e-6:
             exit_cause = "no_room"
         if exit_cause:
             self.tasks[key] = {
@@ -217,37 +219,39 @@
         mark = self.tasks[key] = {"state": "pulling", "cpus": spec["cpus"]}
         if spec["form"] == "ensemble":
             mark["gang"] = self.simulation.gang(task.split("/")[0], key[1])
-        fetch_s = self.simulation.fetch_s.get(task, 0.3)
-        self.simulation.after(fetch_s, lambda: self.begin(key, mark, spec))
+        fetch_s = self.simulation.image_pull_s.get(task, 0.3)
+        self.simulation.after(fetch_s, lambda: self.begin_task(key, mark, spec))
 
-    def begin(self, key, mark: dict[str, Any], spec):
+    def begin_task(self, key, mark: dict[str, Any], spec):
         if not self.alive or self.tasks.get(key) is not mark or mark["state"] != "pulling":
             return
-        if self.held_up(mark, lambda: self.begin(key, mark, spec)):
+        if self.postponed_by_hang(mark, lambda: self.begin_task(key, mark, spec)):
             return
         if "gang" in mark:
             mark["gang"].join(self, key, mark)
             return
         mark["state"] = "running"
         self.simulation.task_index.add(self, key)
-        self.simulation.started(self, key[0], spec)
-        wait = 0.2 if self.failing else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
-        exit_cause = "error" if self.failing or spec.get("broken") else "done"
+        self.simulation.on_task_started(self, key[0], spec)
+        wait = (
+            0.2 if self.fails_tasks else self.simulation.rng.uniform(0.5, 1.5) * spec["runtime_s"]
+        )
+        exit_cause = "error" if self.fails_tasks or spec.get("broken") else "done"
 
         def over():
-            if self.tasks.get(key) is mark and not self.held_up(mark, over):
-                self.end(key, exit_cause)
+            if self.tasks.get(key) is mark and not self.postponed_by_hang(mark, over):
+                self.end_task(key, exit_cause)
 
         self.simulation.after(wait, over)
 
-    def held_up(self, mark, action):
+    def postponed_by_hang(self, mark, action):
         """Whether the machine hung meanwhile: then the action is only due that much later."""
         late = mark.pop("late", 0.0)
         if late:
             self.simulation.after(late, action)
         return bool(late)
 
-    def end(self, key, exit_cause, saved=False):
+    def end_task(self, key, exit_cause, saved=False):
         mark = self.tasks[key]
         if self.alive and mark["state"] != "exited":
             mark.update(state="exited", exit_cause=exit_cause, saved=saved)
@@ -255,7 +259,7 @@
             if exit_cause == "done":
                 self.simulation.completed.add(key[0])
             if "gang" in mark:
-                mark["gang"].gone(self, key, mark)
+                mark["gang"].on_member_gone(self, key, mark)
 
     def present_tasks(self):
         """The tasks that are on this machine: from the image to the exit."""
@@ -265,7 +269,7 @@
             if t["state"] in ("gathering", "running", "flushing")
         ]
 
-    def in_state(self, state):
+    def tasks_in_state(self, state):
         return [k for k, t in self.tasks.items() if t["state"] == state]
 
 
--- a/tests/gang_scenarios.py
+++ b/tests/gang_scenarios.py
@@ -3,7 +3,7 @@
 from tests.simulation import Simulation
 
 
-def marks(simulation, number):
+def task_records(simulation, number):
     """What machines note of a job's tasks: (worker, key, mark)."""
     job_id = f"req-{number:06d}"
     return [
@@ -14,31 +14,31 @@
     ]
 
 
-def count(simulation, number, *states):
-    return sum(mark["state"] in states for _, _, mark in marks(simulation, number))
+def count_tasks(simulation, number, *states):
+    return sum(mark["state"] in states for _, _, mark in task_records(simulation, number))
 
 
-def present(simulation, number):
+def count_present_tasks(simulation, number):
     """Tasks that are on machines or on their way there."""
-    return count(simulation, number, "pulling", "gathering", "running", "flushing")
+    return count_tasks(simulation, number, "pulling", "gathering", "running", "flushing")
 
 
-def runs(simulation, number):
+def all_running(simulation, number):
     return lambda: (
-        count(simulation, number, "running") == simulation.specs[f"req-{number:06d}"]["pages"]
+        count_tasks(simulation, number, "running") == simulation.specs[f"req-{number:06d}"]["pages"]
     )
 
 
-def done(simulation, *numbers):
-    return lambda: all(f"d/job/req-{n:06d}" in simulation.state.data for n in numbers)
+def all_done(simulation, *numbers):
+    return lambda: all(f"d/job/req-{n:06d}" in simulation.kvstore.data for n in numbers)
 
 
 def attempts(simulation, number):
     return sorted(a for j, a in simulation.gangs if j == f"req-{number:06d}")
 
 
-def progress(simulation, number):
-    return simulation.progress.get(f"req-{number:06d}", 0.0)
+def saved_progress(simulation, number):
+    return simulation.saved_progress.get(f"req-{number:06d}", 0.0)
 
 
 def poll_body(simulation, number):
@@ -48,7 +48,7 @@
     return poll.body
 
 
-def simulation_with(*specs, capacity=None, **more):
+def simulation_with_jobs(*specs, capacity=None, **more):
     """A simulation with a leader, in which these jobs have been submitted."""
     simulation = Simulation(**more)
     if capacity is not None:
@@ -61,6 +61,6 @@
 
 
 def check_invariants(simulation):
-    simulation.check_sums()
+    simulation.check_derived_state()
     simulation.check_cancelled()
     assert not simulation.violations
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -3,7 +3,7 @@
 from tests.simulation import Simulation
 
 
-def running(simulation):
+def present_task_count(simulation):
     return sum(len(w.present_tasks()) for w in simulation.cloud.workers())
 
 
@@ -16,7 +16,7 @@
     elif fault == "hung":
         worker.hang(hang_s)
     else:
-        for name in simulation.names:
+        for name in simulation.node_names:
             simulation.cut(name, worker.name)
 
 
@@ -26,11 +26,11 @@
     simulation.run_until(simulation.leader)
     for spec in jobs:
         simulation.submit(spec)
-    simulation.run_until(lambda: running(simulation) >= count, 90)
+    simulation.run_until(lambda: present_task_count(simulation) >= count, 90)
     return simulation
 
 
-def step(simulation, seconds):
+def run_checked(simulation, seconds):
     """Let time pass, with the rules that are checked as it goes."""
     end = simulation.now + seconds
     while simulation.now < end:
@@ -38,13 +38,13 @@
         simulation.leader()
         simulation.check_owners()
         simulation.check_cancelled()
-        simulation.check_sums()
+        simulation.check_derived_state()
 
 
 def is_completed(simulation, number):
-    return f"d/job/req-{number:06d}" in simulation.state.data
+    return f"d/job/req-{number:06d}" in simulation.kvstore.data
 
 
-def new_leader(simulation, old, seconds=60.0):
+def wait_for_new_leader(simulation, old, seconds=60.0):
     simulation.run_until(lambda: simulation.leader() not in (None, old), seconds)
     return simulation.leader()
--- a/tests/scheduler_bench.py
+++ b/tests/scheduler_bench.py
@@ -11,7 +11,7 @@
 from copperpass.core.shards.fencing_tokens import base_token
 from copperpass.protocol.frames.messages import MachineRoute, Occupancy
 from copperpass.protocol.workers import TaskStatus, WorkerHeartbeat
-from tests.deployments import TYPE, machine_types
+from tests.deployments import MACHINE_TYPE, machine_types
 from tests.request_bodies import job, raw_settings
 
 
@@ -23,7 +23,7 @@
         self.out, self.jobs, self.now = Outbox(), JobTable(), 10.0
         self.consistent_at = float("-inf")
         transactions = TransactionQueue(self.out, 60.0, 16, 1.0)
-        types = machine_types(TYPE)
+        types = machine_types(MACHINE_TYPE)
         self.token = base_token(1, 1)
         context = SchedulerContext(
             cluster,
@@ -41,14 +41,14 @@
             consistent_at=lambda: self.consistent_at,
         )
         self.scheduler = ShardScheduler(context, revision=50, now=self.now)
-        self.entry = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
-        self.scheduler.on_route(self.now, self.entry)
+        self.route = MachineRoute("m-1", "box", "a", True, 0, self.token, recorded=True)
+        self.scheduler.on_route(self.now, self.route)
         self.scheduler.on_watch_synced(self.now)
         self.sequence = 0
         self.worker_heartbeat([], token=0)
         self.worker_heartbeat([])
 
-    def take_over(self, name, **more):
+    def adopt_machine(self, name, **more):
         """Learn of a machine that an earlier commander may have used."""
         self.scheduler.on_route(
             self.now,
@@ -72,10 +72,10 @@
             self.sequence += 1
             sequence = self.sequence
         return self.scheduler.worker_heartbeat(
-            self.now, self.message(tasks, token, agent_epoch, sequence)
+            self.now, self.heartbeat(tasks, token, agent_epoch, sequence)
         )
 
-    def message(self, tasks, token=None, agent_epoch=1, sequence=0):
+    def heartbeat(self, tasks, token=None, agent_epoch=1, sequence=0):
         return WorkerHeartbeat(
             "m-1",
             "10.0.0.9:1",
@@ -89,23 +89,23 @@
             [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
         )
 
-    def answer_state(self, status=200):
-        for call in self.take("state"):
+    def answer_kvstore(self, status=200):
+        for call in self.take_calls("state"):
             call.on_done(self.now, CallOutcome(status, b'{"issue":60}'))
 
-    def take(self, service):
+    def take_calls(self, service):
         found = [c for c in self.out.calls if c.service == service]
         self.out.calls[:] = [c for c in self.out.calls if c.service != service]
         return found
 
-    def add(self, number=1, tasks=1, version=70):
+    def add_job(self, number=1, tasks=1, version=70):
         record = json.dumps({"spec": job(number, tasks=tasks)}).encode()
         self.jobs.on_watch_event(self.now, f"c/live/req-{number:06d}", record, version)
 
-    def start(self, tasks=1):
-        self.add(tasks=tasks)
+    def start_tasks(self, tasks=1):
+        self.add_job(tasks=tasks)
         self.scheduler.dispatch_round(self.now)
-        (call,) = self.take("worker")
+        (call,) = self.take_calls("worker")
         orders = json.loads(call.body)["orders"]
         assert [o["verb"] for o in orders] == ["run"] * tasks
         return call, orders[0]["take"]
--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -11,15 +11,15 @@
     """Simulated time; what is due at the same moment happens in the order it was scheduled."""
 
     def after(self, delay, action):
-        self.after_time(self.now + delay, action)
+        self.at_time(self.now + delay, action)
 
-    def after_time(self, due, action):
-        heapq.heappush(self.queue, (due, next(self.order), action))
+    def at_time(self, due, action):
+        heapq.heappush(self.pending_events, (due, next(self.event_numbers), action))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.queue and self.queue[0][0] <= end:
-            at, _, action = heapq.heappop(self.queue)
+        while self.pending_events and self.pending_events[0][0] <= end:
+            at, _, action = heapq.heappop(self.pending_events)
             self.now = max(self.now, at)
             action()
         self.now = end
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -10,27 +10,27 @@
 
     def isolate(self, name):
         """Cut a controller from the state service and the other controllers alone."""
-        self.refused.add(name)
-        for other in self.names:
+        self.kvstore_refuses.add(name)
+        for other in self.node_names:
             if other != name:
                 self.cut(name, other)
 
     def outage(self, seconds):
         """The state service is out; afterwards every lease has its full time again."""
-        self.state.down = True
+        self.kvstore.down = True
         self.run(seconds)
-        self.outage_over()
+        self.end_outage()
 
-    def outage_over(self):
-        self.state.down = False
-        for lease, (_, ttl) in self.state.leases.items():
-            self.state.leases[lease] = (self.now + ttl, ttl)
-        self.state.notify_watches()
+    def end_outage(self):
+        self.kvstore.down = False
+        for lease, (_, ttl) in self.kvstore.leases.items():
+            self.kvstore.leases[lease] = (self.now + ttl, ttl)
+        self.kvstore.notify_watches()
 
     def end_faults(self):
         """End all faults."""
         self.heal()
-        self.inbound_blocked, self.outbound_blocked, self.refused = set(), set(), set()
-        self.late_writes = self.late_reports = self.slow_state = 0.0
+        self.inbound_blocked, self.outbound_blocked, self.kvstore_refuses = set(), set(), set()
+        self.late_writes = self.late_heartbeats = self.kvstore_delay_s = 0.0
         self.lost_answers = self.late_commands = 0.0
-        self.latency = (0.001, 0.02)
+        self.latency_s = (0.001, 0.02)
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -12,14 +12,17 @@
     """A rule that is broken adds a line to `broken`, or fails the test at once."""
 
     def check_answer(self, user, name):
-        if user.known is not None and user.status in (400, 404, 422):
-            self.violations.append(f"forgotten: {user.known} {user.status}")
+        if user.known_job_id is not None and user.status in (400, 404, 422):
+            self.violations.append(f"forgotten: {user.known_job_id} {user.status}")
         if user.status not in (200, 201) or "id" not in user.body:
             return
         job_id, status = user.body["id"], user.body["status"]
         # Told by anybody before this was asked, or by the same node before this was answered. Of
         # two questions that overlap at two nodes, the one read first may be answered last.
-        for before in (user.before.get(job_id), self.acknowledged_by[name].get(job_id)):
+        for before in (
+            user.final_states_before.get(job_id),
+            self.acknowledged_by[name].get(job_id),
+        ):
             if before in (JobState.DONE, JobState.CANCELLED) and status != before:
                 self.violations.append(f"went_back: {job_id} {before} -> {status}")
         self.acknowledged_by[name][job_id] = status
@@ -32,7 +35,7 @@
         if self.acknowledged.get(job_id) not in (JobState.DONE, JobState.CANCELLED):
             self.acknowledged[job_id] = status
 
-    def started(self, worker, task, spec):
+    def on_task_started(self, worker, task, spec):
         self.starts += 1
         job_id = task.split("/")[0]
         self.first_start.setdefault(job_id, self.now)
@@ -46,10 +49,10 @@
             for other_id, tasks in self.task_index.by_job.items()
             if self.specs[other_id]["desk"] == team
         )
-        limit = self.deployment.limit(team)
+        limit = self.deployment.cpu_limit(team)
         if used > limit + 1e-6:
             self.violations.append(f"quota: {team} {used}")
-        if worker.kind["name"] not in (spec.get("racks") or [worker.kind["name"]]):
+        if worker.machine_type["name"] not in (spec.get("racks") or [worker.machine_type["name"]]):
             self.violations.append(f"wrong_place: {task}")
         if worker.spot and not spec["borrowed"]:
             self.violations.append(f"wrong_place: {task}")
@@ -62,14 +65,14 @@
             self.violations.append(f"wrong_place: {task} {zones}")
         cancelled_at = self.cancelled.get(job_id)
         if cancelled_at is not None:
-            self.late_starts.append(self.now - cancelled_at)
+            self.starts_after_cancel_s.append(self.now - cancelled_at)
             if self.now - cancelled_at > self.cancel_s:
                 self.violations.append(f"ran_cancelled: {task}")
 
-    def wrote(self, writes):
+    def on_writes(self, writes):
         """A change of the state service; scenarios may look at it."""
 
-    def check_sums(self):
+    def check_derived_state(self):
         """What owners keep up as they go must equal a count from the beginning."""
         assert self.task_index.matches(self.cloud.workers())
         for node in self.nodes.values():
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -9,31 +9,32 @@
     """Messages take time, and can be held, dropped or delivered late."""
 
     def cut(self, a, b):
-        self.cuts.add(frozenset((a, b)))
+        self.cut_links.add(frozenset((a, b)))
 
     def heal(self):
         """End all cuts; what was held back arrives now, however late."""
-        self.cuts.clear()
-        held, self.held = self.held, []
+        self.cut_links.clear()
+        held, self.held_messages = self.held_messages, []
         for action in held:
             self.after(self.rng.uniform(0.0, 0.5), action)
 
-    def carry(self, a, b, action, back=False):
-        if b in self.inbound_blocked and (back or a in self.names):
+    def deliver(self, a, b, action, back=False):
+        if b in self.inbound_blocked and (back or a in self.node_names):
             return
-        if frozenset((a, b)) in self.cuts:
+        if frozenset((a, b)) in self.cut_links:
             if self.rng.random() < 0.7:
-                self.held.append(action)
+                self.held_messages.append(action)
             return
-        self.after(self.rng.uniform(*self.latency), action)
+        self.after(self.rng.uniform(*self.latency_s), action)
 
-    def carry_frame(self, sender, member, action):
+    def deliver_frame(self, sender, member, action):
         """As `carry`, but what is sent later arrives later where links keep their order."""
-        if not self.deployment.ordered_links or frozenset((sender, member)) in self.cuts:
-            self.carry(sender, member, action)
+        if not self.deployment.ordered_links or frozenset((sender, member)) in self.cut_links:
+            self.deliver(sender, member, action)
             return
         at = max(
-            self.now + self.rng.uniform(*self.latency), self.arrivals.get((sender, member), 0.0)
+            self.now + self.rng.uniform(*self.latency_s),
+            self.last_arrivals.get((sender, member), 0.0),
         )
-        self.arrivals[sender, member] = at
+        self.last_arrivals[sender, member] = at
         self.after(at - self.now, action)
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -8,7 +8,7 @@
 class ServiceChecks(Users):
     """No job waits beside capacity that fits it, and every accepted job is completed."""
 
-    def check_starved(self, bound=90.0):
+    def check_starvation(self, bound=90.0):
         """To be called about once a second without faults: who waits beside room that fits?"""
         on = set()
         # Of the machines that take work, by what a job may ask of them: the CPUs in use on the one
@@ -22,13 +22,13 @@
                     on.add(task.split("/")[0])
                     used[self.specs[task.split("/")[0]]["desk"]] += t["cpus"]
                     used_here += t["cpus"]
-            if worker.alive and worker.notice is None:
-                place = (worker.zone, worker.spot, worker.kind["cpus"])
+            if worker.alive and worker.reclaim_notice_s is None:
+                place = (worker.zone, worker.spot, worker.machine_type["cpus"])
                 least_used[place] = min(used_here, least_used.get(place, used_here))
         for job_id in sorted(self.acknowledged):
             spec = self.specs[job_id]
             ended = all(f"{job_id}/{i}" in self.completed for i in range(spec["pages"]))
-            limit = self.deployment.limit(spec["desk"])
+            limit = self.deployment.cpu_limit(spec["desk"])
             fits = used[spec["desk"]] + spec["cpus"] <= limit and any(
                 used_here + spec["cpus"] <= cpus
                 and (spec["borrowed"] or not spot)
@@ -36,11 +36,11 @@
                 for (zone, spot, cpus), used_here in least_used.items()
             )
             if ended or job_id in self.cancelled or job_id in on or not fits:
-                self.waits.pop(job_id, None)
-            elif self.now - self.waits.setdefault(job_id, self.now) > bound:
+                self.waiting_since.pop(job_id, None)
+            elif self.now - self.waiting_since.setdefault(job_id, self.now) > bound:
                 self.violations.append(f"starved: {job_id}")
 
-    def check_known(self):
+    def check_accepted_jobs_known(self):
         """Every accepted uncancelled job is answered for, and none is forgotten or called less."""
         accepted = sorted(j for j in self.acknowledged if j not in self.cancelled)
         polls = {j: self.poll(j) for j in accepted}
@@ -54,24 +54,24 @@
         while self.now < end:
             self.run(1.0)
             self.leader()
-            self.check_starved()
+            self.check_starvation()
             self.check_cancelled()
             if asked and self.now >= asked:
-                self.check_known()
+                self.check_accepted_jobs_known()
                 asked = 0.0
             left = [
                 j
                 for j in self.acknowledged
-                if j not in self.cancelled and f"d/job/{j}" not in self.state.data
+                if j not in self.cancelled and f"d/job/{j}" not in self.kvstore.data
             ]
             if not left:
                 break
-        self.check_known()
-        self.check_sums()
+        self.check_accepted_jobs_known()
+        self.check_derived_state()
         assert not self.violations, self.violations
         assert not left, [self.specs[j] for j in left]
 
-    def check_served(self, within=240.0, age_s=None):
+    def check_service_levels(self, within=240.0, age_s=None):
         """At least half of each class and team is done, and the largest of a class start in time.
 
         Only jobs count that weren't cancelled and came longer than `age_s` ago, as a rule `within`.
@@ -112,17 +112,17 @@
             )
             allowed = spec["borrowed"] or not worker.spot
             if worker.alive and allowed and spec["hall"] in (None, worker.zone):
-                free = worker.kind["cpus"] - sum(self.specs[j]["cpus"] for j in on_it)
-                slots = int((free + 1e-6) / spec["cpus"]) if worker.notice is None else 0
+                free = worker.machine_type["cpus"] - sum(self.specs[j]["cpus"] for j in on_it)
+                slots = int((free + 1e-6) / spec["cpus"]) if worker.reclaim_notice_s is None else 0
                 room[worker.zone] = room.get(worker.zone, 0) + slots
-        if used + spec["cpus"] * spec["pages"] > self.deployment.limit(spec["desk"]):
+        if used + spec["cpus"] * spec["pages"] > self.deployment.cpu_limit(spec["desk"]):
             return False
         if spec["same_place"]:
             return max(room.values(), default=0) >= spec["pages"]
         most = (spec["pages"] + 1) // 2 if spec["spread"] else spec["pages"]
         return sum(min(most, slots) for slots in room.values()) >= spec["pages"]
 
-    def check_gangs_starved(self, waits, bound=90.0):
+    def check_gang_starvation(self, waits, bound=90.0):
         """As `check_starved`, for whole gangs; `waits`: since when each waits beside room."""
         placed = {
             key[0].split("/")[0]
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -14,5 +14,5 @@
 
     def __init__(self, seed=1, **parameters):
         super().__init__(seed, **parameters)
-        for name in self.names:
+        for name in self.node_names:
             self.boot(name)
--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -8,7 +8,7 @@
 from copperpass.core.storage.cached_inventory import CachedInventory
 from copperpass.core.storage.inventory_writer import InventoryContext
 from copperpass.core.storage.machine_inventory import MachineInventory
-from tests.fakes.state import State
+from tests.fakes.state import KeyValueStore
 
 # Limits that the settings announce under `state.next`.
 COMING = {"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}
@@ -19,8 +19,8 @@
 
     def __init__(self, **limits):
         self.now, self.rng, self.timers = 100.0, random.Random(1), []
-        self.state = State(self)
-        self.state.drop(**limits)
+        self.state = KeyValueStore(self)
+        self.state.set_limits(**limits)
         self.out = Outbox()
         self.fate = lambda body: "served"
         self.late = []
@@ -28,7 +28,7 @@
     def after(self, delay, action):
         """Watches are not followed to their end here."""
 
-    def wrote(self, writes):
+    def on_writes(self, writes):
         """Part of the simulation's interface."""
 
     def win(self):
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.request_bodies import gang, job
-from tests.scenarios import is_completed, running, started_simulation, step
+from tests.scenarios import is_completed, present_task_count, run_checked, started_simulation
 from tests.simulation import Simulation
 from tests.test_service_guarantees import PARTED, busy, settle
 
@@ -15,14 +15,16 @@
     simulation = Simulation(seed=13, partitioned=partitioned)
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=8, cpus=4.0, run_s=200.0))
-    simulation.run_until(lambda: running(simulation) == 8, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 8, 60)
     for n in range(2, 42):
         simulation.submit(job(n, team="red" if n % 2 else "blue", tasks=2, cpus=1.0))
         simulation.run(simulation.rng.uniform(0.02, 0.3))
         simulation.cancel(f"req-{n:06d}")
-        step(simulation, 0.5)
+        run_checked(simulation, 0.5)
     assert len(simulation.cancelled) == 40
-    assert not [late for late in simulation.late_starts if late > 2.0 * simulation.latency[1]]
+    assert not [
+        late for late in simulation.starts_after_cancel_s if late > 2.0 * simulation.latency_s[1]
+    ]
     simulation.finish()
 
 
@@ -38,17 +40,17 @@
     for worker in victims[::2]:
         worker.hang(hang * simulation.lease_s)
     for worker in victims[1::4]:
-        for name in simulation.names:
+        for name in simulation.node_names:
             simulation.cut(name, worker.name)
     for n in range(10, 18):
         simulation.submit(job(n, team="red" if n % 2 else "blue", cpus=8.0, run_s=5.0))
     simulation.run(0.3)
     old = simulation.leader()
     simulation.crash(old, 0.3)
-    step(simulation, 1.2 * simulation.cancel_s)
+    run_checked(simulation, 1.2 * simulation.cancel_s)
     assert {user.status for user in users} == {200}
     simulation.finish()
-    assert not any(late > simulation.lease_s for late in simulation.late_starts)
+    assert not any(late > simulation.lease_s for late in simulation.starts_after_cancel_s)
 
 
 @PARTED
@@ -67,7 +69,7 @@
         alone.append(simulation.submit(job(7, run_s=5.0), old))
         if simulation.leader() not in (None, old) and not confirmed:
             confirmed = [simulation.cancel(f"req-{n:06d}", simulation.leader()) for n in (1, 2)]
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
     settle(simulation, alone, {503})
     assert [user.status for user in confirmed] == [200, 200]
     assert simulation.leader() not in (None, old)
@@ -87,12 +89,12 @@
             simulation.crash(simulation.rng.choice(owners), simulation.rng.choice([0.1, 0.5]))
         simulation.run(simulation.rng.uniform(0.0, 1.5))
         user = simulation.cancel(f"req-{n:06d}")
-        step(simulation, simulation.rng.uniform(1.0, 4.0))
+        run_checked(simulation, simulation.rng.uniform(1.0, 4.0))
         if user.status != 200:
             simulation.cancel(f"req-{n:06d}")
-    step(simulation, simulation.cancel_s)
-    assert len(simulation.cancelled) == 8 and not running(simulation)
-    assert not any(late > 0.5 * simulation.lease_s for late in simulation.late_starts)
+    run_checked(simulation, simulation.cancel_s)
+    assert len(simulation.cancelled) == 8 and not present_task_count(simulation)
+    assert not any(late > 0.5 * simulation.lease_s for late in simulation.starts_after_cancel_s)
     simulation.finish()
 
 
@@ -102,13 +104,13 @@
     # No node may answer something older than it acknowledged: neither 404 nor an earlier state.
     simulation = Simulation(seed=14)
     simulation.run_until(simulation.leader)
-    simulation.slow_state = slow
+    simulation.kvstore_delay_s = slow
     job_id, users = "", []
 
     def look():
         for _ in range(4):
             simulation.run(simulation.rng.uniform(0.0, 0.01))
-            for name in simulation.names:
+            for name in simulation.node_names:
                 users.append(simulation.poll(job_id, name))
                 users.append(simulation.submit(simulation.specs[job_id], name))
 
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -107,7 +107,7 @@
     run_store(harness, store)
     # Until then it is stored as older versions do, which read it so.
     assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.unstored
-    harness.state.drop(**COMING)
+    harness.state.set_limits(**COMING)
     store = make_store(harness, table)
     big.unstored.add(99_999)
     store.record(harness.now, big)
@@ -120,12 +120,12 @@
     table = live_jobs(harness, [100_000, 40])
     store = make_store(harness, table)
     run_store(harness, store, 1.0)
-    big, writes = table.jobs["req-000001"], harness.state.writes
+    big, writes = table.jobs["req-000001"], harness.state.write_count
     big.unstored.add(50_001)
     store.record(harness.now, big)
     run_store(harness, store, 6.0)
     assert stored_completions(harness, table.jobs)[big.spec.id] == {*expected, 50_001}
-    assert harness.state.writes - writes <= len(pages) and not big.unstored
+    assert harness.state.write_count - writes <= len(pages) and not big.unstored
     # An older version takes no harm from the parts: it knows no such jobs, and keeps the pages.
     old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
     theirs = old.core.JobTable()
@@ -139,7 +139,7 @@
 
     Returns the new owner's jobs once it has written all it knows.
     """
-    harness.state.drop(**COMING)
+    harness.state.set_limits(**COMING)
     tasks = [40_000, 40_000]
     before = live_jobs(harness, tasks)
     earlier = make_store(harness, before)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -9,8 +9,8 @@
 
 from copperpass.core.ports import CallOutcome
 from tests.request_bodies import job
-from tests.scenarios import is_completed, running, started_simulation, step
-from tests.simulation import Simulation, User
+from tests.scenarios import is_completed, present_task_count, run_checked, started_simulation
+from tests.simulation import Simulation, UserRequest
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
@@ -18,7 +18,7 @@
     simulation = Simulation(seed=3, partitioned=partitioned)
     simulation.cloud.capacity = {(z, s): 1 for z in "abc" for s in (True, False)}
     simulation.run_until(simulation.leader)
-    simulation.latency = (0.05, 0.2)
+    simulation.latency_s = (0.05, 0.2)
     for n in range(1, 31):
         simulation.submit(
             job(
@@ -31,13 +31,13 @@
                 slot="quick" if n % 3 else "none",
             )
         )
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
     # The largest must begin within four minutes, whatever small ones are about.
     simulation.submit(job(99, tasks=1, cpus=16.0, run_s=5.0, slot="none"))
     for n in range(31, 70):
         simulation.submit(job(n, team="red" if n % 2 else "blue", tasks=3, cpus=4.0, run_s=8.0))
-        step(simulation, 3.0)
-    step(simulation, 120.0)
+        run_checked(simulation, 3.0)
+    run_checked(simulation, 120.0)
     assert is_completed(simulation, 99)
     simulation.finish(400.0)
 
@@ -52,15 +52,15 @@
     for n in range(1, 26):
         spec = job(n, tasks=1 + n % 3, cpus=2.0, run_s=4.0 + n % 7)
         asked[n] = simulation.submit(spec)
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
         if asked[n].status not in (200, 201):
             asked[n] = simulation.submit(spec)
         if n % 4 == 0:
             simulation.cancel(f"req-{n:06d}")
         if n % 9 == 0:
-            simulation.crash(simulation.rng.choice(simulation.names), 0.3)
+            simulation.crash(simulation.rng.choice(simulation.node_names), 0.3)
         simulation.poll(f"req-{max(1, n - 5):06d}")
-        step(simulation, 2.0)
+        run_checked(simulation, 2.0)
     simulation.finish()
 
 
@@ -71,12 +71,12 @@
     # Holds the guards on the version of the live record in `UserApi.cancel`,
     # `JobResults.store` and on both keys in `UserApi.submit`. Slow answers let an end come
     # between a read and a write.
-    simulation.slow_state = 0.25 if seed > 2 else 0.0
+    simulation.kvstore_delay_s = 0.25 if seed > 2 else 0.0
     users = []
     for n in range(1, 21):
         spec = job(n, tasks=1, cpus=1.0, run_s=3.0)
         simulation.submit(spec)
-        step(simulation, 2.0)
+        run_checked(simulation, 2.0)
     for n in range(21, 41):
         simulation.submit(job(n, tasks=1, cpus=1.0, run_s=3.0))
         task = f"req-{n:06d}/0"
@@ -100,15 +100,15 @@
     simulation = started_simulation(specs, 12, partitioned=partitioned)
     for zone, name in (("a", "n0"), ("b", "n1"), ("c", "n2")):
         inside = {name, *(w.name for w in simulation.cloud.workers() if w.zone == zone)}
-        outside = {*simulation.names, *(w.name for w in simulation.cloud.workers())} - inside
+        outside = {*simulation.node_names, *(w.name for w in simulation.cloud.workers())} - inside
         for one in inside:
             for other in [*outside, "state", "cloud"]:
                 simulation.cut(one, other)
         for n in (1, 2):
             simulation.cancel(f"req-{n:06d}")
-        step(simulation, 1.5 * simulation.lease_s)
+        run_checked(simulation, 1.5 * simulation.lease_s)
         simulation.heal()
-        step(simulation, 5.0)
+        run_checked(simulation, 5.0)
     simulation.finish()
 
 
@@ -121,7 +121,7 @@
     # New work all the time: direct commands go on, and their answers must not pass for reports.
     for n in range(10, 10 + int(3 * simulation.lease_s)):
         simulation.submit(job(n, tasks=1, cpus=1.0, run_s=25.0 if n % 3 else 2.0))
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
     if share == "some":
         assert not any(w.name in simulation.outbound_blocked for w in simulation.cloud.workers()), (
             "still kept"
@@ -133,7 +133,7 @@
     # Holds the comparison of agent epoch and sequence in `HeartbeatHandler.on_heartbeat`.
     simulation = Simulation(seed=4)
     simulation.run_until(simulation.leader)
-    simulation.late_reports = 0.4
+    simulation.late_heartbeats = 0.4
     for n in range(1, 31):
         simulation.submit(job(n, tasks=2, cpus=4.0, run_s=6.0))
         if n in (10, 20):
@@ -141,8 +141,8 @@
             for worker in simulation.cloud.workers()[:2]:
                 worker.hang(1.2 * simulation.lease_s)
         if n in (12, 25):
-            simulation.crash(simulation.rng.choice(simulation.names), 0.2)
-        step(simulation, 2.0)
+            simulation.crash(simulation.rng.choice(simulation.node_names), 0.2)
+        run_checked(simulation, 2.0)
     simulation.finish()
 
 
@@ -157,7 +157,7 @@
         simulation.run(simulation.rng.uniform(0.0, 0.6))
         if n % 3 == 0:
             simulation.cancel(f"req-{n:06d}")
-        step(simulation, 3.0)
+        run_checked(simulation, 3.0)
     simulation.finish()
 
 
@@ -171,11 +171,11 @@
     simulation.submit(job(3, tasks=5, cpus=8.0, run_s=15.0, hall="b", borrowed=False))
     simulation.submit(job(4, tasks=4, cpus=4.0, run_s=15.0, spread=True, hall="c"))
     simulation.submit(job(5, tasks=4, cpus=4.0, run_s=15.0, spread=True, same_place=True))
-    simulation.run_until(lambda: running(simulation) >= 8, 90)
+    simulation.run_until(lambda: present_task_count(simulation) >= 8, 90)
     for _ in range(3):
         for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
             simulation.cloud.reclaim(worker.name)
-        step(simulation, 12.0)
+        run_checked(simulation, 12.0)
     simulation.finish(400.0)
 
 
@@ -186,9 +186,9 @@
     simulation.cloud.capacity = {(z, s): 6 for z in "abc" for s in (True, False)}
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=1, cpus=16.0, run_s=200.0, same_place=True, slot="none"))
-    simulation.run_until(lambda: running(simulation) == 1, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 1, 60)
     simulation.submit(job(2, tasks=3, cpus=16.0, run_s=120.0, same_place=True))
-    simulation.run_until(lambda: running(simulation) == 4, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 4, 60)
     simulation.finish(500.0)
 
 
@@ -196,12 +196,12 @@
     simulation = started_simulation(
         [job(n, tasks=2, cpus=2.0, run_s=10.0) for n in range(1, 9)], 12
     )
-    simulation.slow_state = 0.5
+    simulation.kvstore_delay_s = 0.5
     for n in range(10, 25):
         simulation.submit(job(n, tasks=2, cpus=2.0, run_s=6.0))
         simulation.cancel(f"req-{n - 6:06d}" if n % 2 else "req-000003")
         simulation.poll(f"req-{n - 2:06d}")
-        step(simulation, 2.0)
+        run_checked(simulation, 2.0)
     simulation.finish()
 
 
@@ -211,7 +211,7 @@
     simulation.run_until(simulation.leader)
     node = simulation.nodes["n0"]
     node.out.calls.clear()
-    node.user_api.poll(simulation.now, User(), "req-000001")
+    node.user_api.poll(simulation.now, UserRequest(), "req-000001")
     (read,) = node.out.calls
     node.out.calls.clear()
     node.user_api.on_job_removed("req-000001")
@@ -234,6 +234,6 @@
     team = next(t for t, n in leader.shards.items() if n == shard.number)
     simulation.submit(job(1, team=team, tasks=1, cpus=16.0, run_s=200.0, same_place=True))
     simulation.submit(job(2, team=team, tasks=2, cpus=16.0, run_s=300.0, same_place=True))
-    simulation.run_until(lambda: running(simulation) >= 2, 60)
-    simulation.run_until(lambda: running(simulation) == 3, 90)
+    simulation.run_until(lambda: present_task_count(simulation) >= 2, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 3, 90)
     assert not simulation.violations
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -7,13 +7,13 @@
 from copperpass.protocol.records import JobRecord
 from tests.fakes.worker import WorkerRequest
 from tests.request_bodies import job
-from tests.scenarios import running
+from tests.scenarios import present_task_count
 from tests.simulation import Simulation
 
 
 def finished(simulation, *numbers):
     ids = [f"req-{n:06d}" for n in numbers]
-    return lambda: all(f"d/job/{i}" in simulation.state.data for i in ids)
+    return lambda: all(f"d/job/{i}" in simulation.kvstore.data for i in ids)
 
 
 def test_a_job_runs_and_is_told_done():
@@ -23,7 +23,7 @@
     simulation.run(1)
     assert user.status == 201 and user.body == {"id": "req-000001", "status": "queued"}
     simulation.run_until(finished(simulation, 1), 90)
-    for name in simulation.names:
+    for name in simulation.node_names:
         poll = simulation.poll("req-000001", name)
         simulation.run(1)
         assert poll.body["status"] == "done"
@@ -37,7 +37,7 @@
     second = simulation.submit(job(1), "n1")
     simulation.run(1)
     assert sorted([first.status, second.status]) == [200, 201]
-    assert len([k for k in simulation.state.data if k.startswith("c/live/")]) == 1
+    assert len([k for k in simulation.kvstore.data if k.startswith("c/live/")]) == 1
 
 
 def test_cancel_is_stored_and_kills():
@@ -78,7 +78,7 @@
     at = simulation.now
     simulation.submit(job(1, tasks=2, run_s=300.0))
     simulation.run(40.0)
-    for name in simulation.names:
+    for name in simulation.node_names:
         simulation.crash(name, 2.0)
     simulation.run_until(lambda: simulation.leader() is not None, 20)
     simulation.run(1.0)
@@ -100,13 +100,13 @@
         lambda: sum(len(w.present_tasks()) for w in simulation.cloud.workers()) == 6, 60
     )
     leader, starts = simulation.leader(), simulation.starts
-    simulation.state.down = True
+    simulation.kvstore.down = True
     simulation.run(1.8 * simulation.lease_s)
     assert simulation.leader() == leader
     refused = simulation.submit(job(9))
     simulation.run(2)
     assert refused.status == 503 and refused.retry_after >= 1
-    simulation.outage_over()
+    simulation.end_outage()
     simulation.run_until(finished(simulation, 1, 2, 3), 90)
     assert simulation.starts == starts and not simulation.violations
 
@@ -117,7 +117,7 @@
     simulation.submit(job(1, run_s=60.0, tasks=4))
     simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
     old = simulation.leader()
-    simulation.refused.add(old)
+    simulation.kvstore_refuses.add(old)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 3 * simulation.lease_s)
     assert simulation.nodes[old].healthy(simulation.now) is False
     simulation.run_until(finished(simulation, 1), 150)
@@ -130,7 +130,7 @@
     simulation.submit(job(1, run_s=30.0))
     simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
     old, starts = simulation.leader(), simulation.starts
-    for other in [w.name for w in simulation.cloud.workers()] + simulation.names:
+    for other in [w.name for w in simulation.cloud.workers()] + simulation.node_names:
         if other != old:
             simulation.cut(old, other)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 15)
@@ -149,7 +149,7 @@
     simulation.crash(simulation.leader(), 5.0)
     simulation.run(1.5 * simulation.lease_s)
     # Whichever form of the record counts by now.
-    assert simulation.fleet() and victim not in str(simulation.fleet())
+    assert simulation.inventory_records() and victim not in str(simulation.inventory_records())
     simulation.crash(simulation.leader(), 5.0)
     simulation.run_until(
         lambda: any(o.ready for n in simulation.nodes.values() for o in n.schedulers), 10
@@ -168,7 +168,7 @@
         simulation.submit(job(n, cpus=4.0, tasks=2))
     simulation.run_until(lambda: len(simulation.cloud.workers()) > 1, 60)
     failing = simulation.cloud.workers()[0]
-    failing.failing = True
+    failing.fails_tasks = True
     simulation.run_until(lambda: not failing.alive, 120)
     simulation.run_until(finished(simulation, *range(1, 7)), 180)
     assert not simulation.violations
@@ -181,8 +181,8 @@
     simulation.submit(job(2, tasks=2))
     simulation.run(150)
     assert simulation.starts < 40
-    assert "d/job/req-000002" in simulation.state.data
-    assert "c/live/req-000001" in simulation.state.data
+    assert "d/job/req-000002" in simulation.kvstore.data
+    assert "c/live/req-000001" in simulation.kvstore.data
     assert all(w.alive for w in simulation.cloud.workers())
 
 
@@ -217,7 +217,7 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=6, run_s=60.0))
-    simulation.run_until(lambda: running(simulation) == 6, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 6, 60)
     leader, starts = simulation.leader(), simulation.starts
     for worker in simulation.cloud.workers():
         if worker.zone != "a":
@@ -274,8 +274,8 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=2, run_s=20.0))
-    simulation.run_until(lambda: running(simulation) == 2, 60)
-    copies = [body for w in simulation.cloud.workers() for _, body in w.sent[-4:]]
+    simulation.run_until(lambda: present_task_count(simulation) == 2, 60)
+    copies = [body for w in simulation.cloud.workers() for _, body in w.sent_heartbeats[-4:]]
     old = simulation.leader()
     for worker in simulation.cloud.workers():
         simulation.cloud.reclaim(worker.name)
@@ -287,7 +287,7 @@
     for _ in range(3):
         heard = node.schedulers[0].last_heartbeat_at
         for body in copies:
-            simulation.copy(simulation.leader(), body)
+            simulation.deliver_late_heartbeat(simulation.leader(), body)
         assert node.schedulers[0].last_heartbeat_at == heard
         simulation.run(0.5)
     said = b"".join(copies)
@@ -301,17 +301,17 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=2, run_s=300.0))
-    simulation.run_until(lambda: running(simulation) == 2, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 2, 60)
     worker = next(w for w in simulation.cloud.workers() if w.present_tasks())
     leader = simulation.leader()
     machine = simulation.nodes[leader].schedulers[0].machines[worker.name]
-    copy = worker.sent[-1][1]
-    for name in simulation.names:
+    copy = worker.sent_heartbeats[-1][1]
+    for name in simulation.node_names:
         simulation.cut(name, worker.name)
     simulation.cut("cloud", leader)
     at = simulation.now
     while simulation.now < at + 1.3 * simulation.lease_s:
-        simulation.copy(leader, copy)
+        simulation.deliver_late_heartbeat(leader, copy)
         simulation.run(1.0)
     assert not machine.tasks, "copies must not hold up what a lease's end proves"
 
@@ -320,19 +320,19 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=4, run_s=60.0))
-    simulation.run_until(lambda: running(simulation) == 4, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 4, 60)
     old, starts = simulation.leader(), simulation.starts
-    simulation.refused.add(old)
-    for name in simulation.names:
+    simulation.kvstore_refuses.add(old)
+    for name in simulation.node_names:
         if name != old:
             simulation.cut(old, name)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
     answers = []
-    body = simulation.cloud.workers()[0].sent[-1][1]
+    body = simulation.cloud.workers()[0].sent_heartbeats[-1][1]
     simulation.nodes[old].worker_heartbeat(
         simulation.now, WorkerRequest(lambda s, b: answers.append(s)), body
     )
-    simulation.drain(old)
+    simulation.process_outbox(old)
     assert answers == [421]
     simulation.run_until(finished(simulation, 1), 120)
     assert simulation.starts == starts and not simulation.violations
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -5,24 +5,24 @@
 
 import pytest
 
-from tests.deployments import TYPE
+from tests.deployments import MACHINE_TYPE
 from tests.gang_scenarios import (
+    all_done,
+    all_running,
     attempts,
     check_invariants,
-    done,
-    marks,
+    count_present_tasks,
     poll_body,
-    present,
-    progress,
-    runs,
-    simulation_with,
+    saved_progress,
+    simulation_with_jobs,
+    task_records,
 )
 from tests.request_bodies import gang, job
 from tests.test_gangs import send
 
 
 def test_a_gang_beyond_its_teams_limit_can_never_run():
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, tasks=4, cpus=16.0), gang(2, team="blue", tasks=12, cpus=4.0)
     )
     for spec, status in [
@@ -41,22 +41,22 @@
             if status == 201:
                 simulation.specs[spec["id"]] = spec
             ask = functools.partial(send, simulation, json.dumps(spec).encode())
-            user = simulation.ask(ask, "n1" if again else "n2")
+            user = simulation.request(ask, "n1" if again else "n2")
             simulation.run(1)
             assert user.status == (200 if again and status == 201 else status), spec["id"]
-    simulation.run_until(done(simulation, 1, 2), 200)
+    simulation.run_until(all_done(simulation, 1, 2), 200)
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_two_gangs_for_the_last_room_run_one_after_the_other(partitioned):
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, cpus=8.0),
         gang(2, team="blue", cpus=8.0),
         capacity={("a", True): 3},
         partitioned=partitioned,
     )
-    simulation.run_until(done(simulation, 1, 2), 150)
+    simulation.run_until(all_done(simulation, 1, 2), 150)
     assert (
         simulation.gang_wait_s_total < 20.0
         and not simulation.gave_up_waiting
@@ -69,7 +69,7 @@
 # Guards what is held for a gang: of its team's limit (blue), and of the machines (red).
 @pytest.mark.parametrize("team", ["blue", "red"])
 def test_a_large_gang_and_a_stream_of_small_arrays_starve_neither(team):
-    simulation = simulation_with(job(1, team=team, run_s=5.0), capacity={("a", True): 3})
+    simulation = simulation_with_jobs(job(1, team=team, run_s=5.0), capacity={("a", True): 3})
     for number in range(2, 20):
         simulation.submit(job(number, team=team, run_s=5.0))
         simulation.run(1)
@@ -78,65 +78,65 @@
     for number in range(21, 171):
         simulation.submit(job(number, team=team, run_s=5.0))
         simulation.run(1)
-    assert done(simulation, 20)(), "the large gang starves"
-    simulation.run_until(done(simulation, *range(1, 171)), 150)
+    assert all_done(simulation, 20)(), "the large gang starves"
+    simulation.run_until(all_done(simulation, *range(1, 171)), 150)
     assert not simulation.gave_up_waiting
     check_invariants(simulation)
 
 
 def test_an_array_is_not_starved_by_a_stream_of_gangs():
-    simulation = simulation_with(gang(1, team="blue", tasks=6), capacity={("a", True): 3})
+    simulation = simulation_with_jobs(gang(1, team="blue", tasks=6), capacity={("a", True): 3})
     for number in range(2, 60):
         simulation.submit(gang(number, team="blue", tasks=6, run_s=8.0))
         if number == 10:
             simulation.submit(job(100, team="blue", tasks=6, cpus=8.0, run_s=8.0))
         simulation.run(3)
-    assert done(simulation, 100)(), "the array starves"
-    simulation.run_until(done(simulation, *range(1, 60)), 700)
+    assert all_done(simulation, 100)(), "the array starves"
+    simulation.run_until(all_done(simulation, *range(1, 60)), 700)
     assert not simulation.gave_up_waiting
     check_invariants(simulation)
 
 
 def test_a_gang_whose_zone_loses_its_machines_starts_in_another():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0))
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0))
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(7.0)
-    (zone,) = {w.zone for w, _, _ in marks(simulation, 1)}
+    (zone,) = {w.zone for w, _, _ in task_records(simulation, 1)}
     for spot in (True, False):
         simulation.cloud.capacity[zone, spot] = 0
     for name in [n for n, m in simulation.cloud.machines.items() if m["place"][0] == zone]:
         simulation.cloud.reclaim(name)
-    simulation.run_until(runs(simulation, 1), 120)
-    (other,) = {w.zone for w, _, _ in marks(simulation, 1)}
-    assert other != zone and progress(simulation, 1) == 5.0
-    simulation.run_until(done(simulation, 1), 90)
+    simulation.run_until(all_running(simulation, 1), 120)
+    (other,) = {w.zone for w, _, _ in task_records(simulation, 1)}
+    assert other != zone and saved_progress(simulation, 1) == 5.0
+    simulation.run_until(all_done(simulation, 1), 90)
     check_invariants(simulation)
 
 
 def test_a_spread_gang_starts_whole_in_several_zones():
-    simulation = simulation_with(gang(1, tasks=5, cpus=12.0, same_place=False, spread=True))
-    simulation.run_until(runs(simulation, 1), 60)
-    zones = [w.zone for w, _, _ in marks(simulation, 1)]
+    simulation = simulation_with_jobs(gang(1, tasks=5, cpus=12.0, same_place=False, spread=True))
+    simulation.run_until(all_running(simulation, 1), 60)
+    zones = [w.zone for w, _, _ in task_records(simulation, 1)]
     assert max(zones.count(z) for z in zones) <= 3
-    simulation.run_until(done(simulation, 1), 60)
+    simulation.run_until(all_done(simulation, 1), 60)
     assert len(attempts(simulation, 1)) == 1
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("one_zone", [False, True])
 def test_a_gang_takes_room_in_different_zones_only_if_it_may(one_zone):
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, tasks=3, cpus=14.0, same_place=one_zone), capacity={(z, True): 1 for z in "abc"}
     )
     if one_zone:
         for _ in range(60):
             simulation.run(1)
-            assert not present(simulation, 1), "placed whole or not at all"
+            assert not count_present_tasks(simulation, 1), "placed whole or not at all"
         assert poll_body(simulation, 1)["status"] == "queued"
         simulation.cloud.capacity["b", False] = 3
-    simulation.run_until(runs(simulation, 1), 90)
-    assert len({w.zone for w, _, _ in marks(simulation, 1)}) == (1 if one_zone else 3)
-    simulation.run_until(done(simulation, 1), 60)
+    simulation.run_until(all_running(simulation, 1), 90)
+    assert len({w.zone for w, _, _ in task_records(simulation, 1)}) == (1 if one_zone else 3)
+    simulation.run_until(all_done(simulation, 1), 60)
     assert not simulation.gave_up_waiting and len(attempts(simulation, 1)) == 1
     check_invariants(simulation)
 
@@ -157,31 +157,31 @@
 )
 def test_each_shape_of_gang_runs_where_it_may(shape, zones, spot):
     capacity = {(z, s): 3 for z in "abc" for s in (True, False) if s or not spot}
-    simulation = simulation_with(capacity=capacity)
+    simulation = simulation_with_jobs(capacity=capacity)
     # A cheaper type that the gang doesn't name.
-    crate = {**TYPE, "name": "crate", "price": 0.5, "low_price": 0.1}
-    simulation.cloud.offer = [TYPE, crate] if "racks" in shape else [TYPE]
-    for name in simulation.names:
+    crate = {**MACHINE_TYPE, "name": "crate", "price": 0.5, "low_price": 0.1}
+    simulation.cloud.machine_types = [MACHINE_TYPE, crate] if "racks" in shape else [MACHINE_TYPE]
+    for name in simulation.node_names:
         simulation.crash(name, 0.1)
     simulation.run_until(simulation.leader, 40)
     # Leaves idle machines in a zone that the gang may not be allowed.
     simulation.submit(job(2, tasks=3, cpus=16.0, hall="a", run_s=1.0))
-    simulation.run_until(done(simulation, 2), 60)
+    simulation.run_until(all_done(simulation, 2), 60)
     simulation.submit(gang(1, **{"tasks": 3, "cpus": 16.0, **shape}))
-    simulation.run_until(runs(simulation, 1), 90)
-    workers = [w for w, _, _ in marks(simulation, 1)]
+    simulation.run_until(all_running(simulation, 1), 90)
+    workers = [w for w, _, _ in task_records(simulation, 1)]
     assert min(len({w.zone for w in workers}), 2) == zones and {w.spot for w in workers} == {spot}
     assert shape.get("hall") in (None, workers[0].zone)
     (owner,) = simulation.nodes[simulation.leader()].schedulers
     assert {owner.machines[w.name].type.name for w in workers} == {"box"}
-    simulation.run_until(done(simulation, 1), 60)
+    simulation.run_until(all_done(simulation, 1), 60)
     assert len(attempts(simulation, 1)) == 1
     check_invariants(simulation)
 
 
 # Guards the bound on a wait beside room: with gangs of all shapes and single tasks of both teams.
 def test_no_gang_waits_beside_room_for_it():
-    simulation, waits, number = simulation_with(capacity={(z, True): 2 for z in "abc"}), {}, 0
+    simulation, waits, number = simulation_with_jobs(capacity={(z, True): 2 for z in "abc"}), {}, 0
     for second in range(240):
         if second < 150 and second % 6 == 0:
             for shape in ({}, {"same_place": False}, {"same_place": False, "spread": True}):
@@ -192,6 +192,6 @@
                 number += 1
                 simulation.submit(job(number, team=team, run_s=6.0))
         simulation.run(1.0)
-        simulation.check_gangs_starved(waits, 40.0)
-    simulation.run_until(done(simulation, *range(1, number + 1)), 400)
+        simulation.check_gang_starvation(waits, 40.0)
+    simulation.run_until(all_done(simulation, *range(1, number + 1)), 400)
     check_invariants(simulation)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -6,38 +6,38 @@
 import pytest
 
 from tests.gang_scenarios import (
+    all_done,
+    all_running,
     attempts,
     check_invariants,
-    count,
-    done,
-    marks,
+    count_present_tasks,
+    count_tasks,
     poll_body,
-    present,
-    progress,
-    runs,
-    simulation_with,
+    saved_progress,
+    simulation_with_jobs,
+    task_records,
 )
 from tests.request_bodies import gang, job
 from tests.simulation import Simulation
 
 
 def test_a_gang_starts_whole_and_is_told_done():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=15.0))
-    simulation.fetch_s["req-000001/3"] = 6.0
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=15.0))
+    simulation.image_pull_s["req-000001/3"] = 6.0
     polls = 0
-    while not count(simulation, 1, "running"):
+    while not count_tasks(simulation, 1, "running"):
         assert simulation.now < 200.0
         body = poll_body(simulation, 1)
-        if not count(simulation, 1, "running"):
+        if not count_tasks(simulation, 1, "running"):
             polls += 1
             assert (body["status"], body.get("running", 0)) == ("queued", 0)
     assert polls > 5
-    assert count(simulation, 1, "running") == 4 and simulation.starts == 4
-    assert len({w for w, _, _ in marks(simulation, 1)}) == 4
+    assert count_tasks(simulation, 1, "running") == 4 and simulation.starts == 4
+    assert len({w for w, _, _ in task_records(simulation, 1)}) == 4
     simulation.run(3)
     body = poll_body(simulation, 1)
     assert (body["status"], body["running"]) == ("running", 4)
-    simulation.run_until(done(simulation, 1), 60)
+    simulation.run_until(all_done(simulation, 1), 60)
     simulation.run(3)
     assert poll_body(simulation, 1)["status"] == "done"
     assert (
@@ -55,11 +55,11 @@
 
 @pytest.mark.parametrize("state", ["room", "pulling", "gathering", "running"])
 def test_a_cancelled_gang_is_gone_in_every_state(state):
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, run_s=300.0, cpus=12.0),
         capacity={} if state == "room" else {("a", True): 3, ("a", False): 3},
     )
-    simulation.fetch_s.update(
+    simulation.image_pull_s.update(
         {f"req-000001/{i}": 8.0 for i in range(4)}
         if state == "pulling"
         else {"req-000001/2": 8.0}
@@ -68,17 +68,17 @@
     )
     if state != "room":
         simulation.run_until(
-            lambda: count(simulation, 1, state) >= (4 if state == "running" else 2), 60
+            lambda: count_tasks(simulation, 1, state) >= (4 if state == "running" else 2), 60
         )
     user = simulation.cancel("req-000001")
     simulation.run_until(lambda: user.status is not None, 5)
     assert (user.status, user.body["status"]) == (200, "withdrawn")
-    simulation.run_until(lambda: not present(simulation, 1), 5)
+    simulation.run_until(lambda: not count_present_tasks(simulation, 1), 5)
     starts = simulation.starts
     simulation.cloud.capacity = dict.fromkeys(simulation.cloud.capacity, 3)
     for _ in range(60):
         simulation.run(1)
-        assert not present(simulation, 1)
+        assert not count_present_tasks(simulation, 1)
     assert (
         simulation.starts == starts
         and not simulation.lost_progress
@@ -89,101 +89,105 @@
 
 
 def test_a_member_lost_before_the_start_is_replaced_under_the_same_attempt():
-    simulation = simulation_with(gang(1, cpus=12.0))
-    simulation.fetch_s["req-000001/3"] = 20.0
-    simulation.run_until(lambda: count(simulation, 1, "gathering") == 3, 60)
-    victim = next(w for w, key, m in marks(simulation, 1) if m["state"] == "gathering")
+    simulation = simulation_with_jobs(gang(1, cpus=12.0))
+    simulation.image_pull_s["req-000001/3"] = 20.0
+    simulation.run_until(lambda: count_tasks(simulation, 1, "gathering") == 3, 60)
+    victim = next(w for w, key, m in task_records(simulation, 1) if m["state"] == "gathering")
     simulation.cloud.reclaim(victim.name)
-    simulation.run_until(runs(simulation, 1), simulation.gang_wait_s)
+    simulation.run_until(all_running(simulation, 1), simulation.gang_wait_s)
     assert len(attempts(simulation, 1)) == 1 and not simulation.gave_up_waiting
-    simulation.run_until(done(simulation, 1), 60)
+    simulation.run_until(all_done(simulation, 1), 60)
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
 def test_a_gang_that_loses_a_member_goes_on_from_its_checkpoint(partitioned):
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0), partitioned=partitioned)
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0), partitioned=partitioned)
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(13.0)
     first = attempts(simulation, 1)
-    victim = marks(simulation, 1)[0][0]
+    victim = task_records(simulation, 1)[0][0]
     simulation.cloud.reclaim(victim.name)
-    simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 90)
+    simulation.run_until(
+        lambda: len(attempts(simulation, 1)) == 2 and all_running(simulation, 1)(), 90
+    )
     (gone, again) = attempts(simulation, 1)
     assert [gone] == first and again > gone
     # The simulation itself fails the test when the attempts overlap on machines.
-    assert simulation.gangs["req-000001", again].progress >= progress(simulation, 1) == 10.0
-    simulation.run_until(done(simulation, 1), 90)
+    assert simulation.gangs["req-000001", again].progress >= saved_progress(simulation, 1) == 10.0
+    simulation.run_until(all_done(simulation, 1), 90)
     assert len(attempts(simulation, 1)) == 2 and not simulation.gave_up_waiting
     check_invariants(simulation)
 
 
 def test_a_gang_with_a_machine_that_hangs_begins_again():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0))
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0))
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(7.0)
-    marks(simulation, 1)[0][0].hang(8.0)
+    task_records(simulation, 1)[0][0].hang(8.0)
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2, 90)
-    assert progress(simulation, 1) == 5.0
-    simulation.run_until(done(simulation, 1), 120)
+    assert saved_progress(simulation, 1) == 5.0
+    simulation.run_until(all_done(simulation, 1), 120)
     check_invariants(simulation)
 
 
 def test_a_gang_that_gave_up_alone_begins_a_new_attempt():
-    simulation = simulation_with(gang(1, cpus=12.0), gang_wait_s=15.0)
-    simulation.fetch_s["req-000001/3"] = 40.0
+    simulation = simulation_with_jobs(gang(1, cpus=12.0), gang_wait_s=15.0)
+    simulation.image_pull_s["req-000001/3"] = 40.0
     simulation.run_until(lambda: simulation.gave_up_waiting, 90)
-    simulation.fetch_s.clear()
-    simulation.run_until(done(simulation, 1), 120)
+    simulation.image_pull_s.clear()
+    simulation.run_until(all_done(simulation, 1), 120)
     (first, *more) = attempts(simulation, 1)
     assert simulation.gave_up_waiting == {("req-000001", first)} and more
     check_invariants(simulation)
 
 
 def test_a_notice_on_one_machine_saves_the_whole_gang():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=60.0, proof_s=100.0, flush_s=2.0))
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=60.0, proof_s=100.0, flush_s=2.0))
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(12.0)
-    victim = marks(simulation, 1)[0][0]
-    victim.notice = 10.0
+    victim = task_records(simulation, 1)[0][0]
+    victim.reclaim_notice_s = 10.0
     simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
-    simulation.run_until(lambda: progress(simulation, 1) > 0, 10)
-    assert progress(simulation, 1) > 10.0
-    simulation.run_until(done(simulation, 1), 150)
+    simulation.run_until(lambda: saved_progress(simulation, 1) > 0, 10)
+    assert saved_progress(simulation, 1) > 10.0
+    simulation.run_until(all_done(simulation, 1), 150)
     assert len(attempts(simulation, 1)) == 2 and not simulation.lost_progress
     check_invariants(simulation)
 
 
 def test_a_gang_that_gives_way_to_higher_work_is_saved():
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, team="blue", run_s=200.0, proof_s=500.0, urgency="low"), capacity={("a", True): 3}
     )
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(5.0)
     simulation.submit(job(2, team="blue", tasks=3, cpus=16.0, urgency="production", run_s=10.0))
-    simulation.run_until(done(simulation, 2), 60)
-    assert progress(simulation, 1) > 4.0 and not simulation.lost_progress
-    simulation.run_until(done(simulation, 1), 400)
+    simulation.run_until(all_done(simulation, 2), 60)
+    assert saved_progress(simulation, 1) > 4.0 and not simulation.lost_progress
+    simulation.run_until(all_done(simulation, 1), 400)
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("crash", ["leader", "all"])
 @pytest.mark.parametrize("state", ["gathering", "running", "flushing"])
 def test_controllers_crash_in_each_state_of_a_gang(state, crash):
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0, flush_s=3.0))
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
-        simulation.fetch_s["req-000001/1"] = 10.0
-    simulation.run_until(lambda: count(simulation, 1, state) >= 3 or runs(simulation, 1)(), 60)
+        simulation.image_pull_s["req-000001/1"] = 10.0
+    simulation.run_until(
+        lambda: count_tasks(simulation, 1, state) >= 3 or all_running(simulation, 1)(), 60
+    )
     if state == "flushing":
         simulation.run(7.0)
-        victim = marks(simulation, 1)[0][0]
-        victim.notice = 10.0
+        victim = task_records(simulation, 1)[0][0]
+        victim.reclaim_notice_s = 10.0
         simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
-        simulation.run_until(lambda: count(simulation, 1, "flushing"), 10)
+        simulation.run_until(lambda: count_tasks(simulation, 1, "flushing"), 10)
     starts = simulation.starts
-    for name in [simulation.leader()] if crash == "leader" else simulation.names:
+    for name in [simulation.leader()] if crash == "leader" else simulation.node_names:
         simulation.crash(name, 4.0)
-    simulation.run_until(done(simulation, 1), 200)
+    simulation.run_until(all_done(simulation, 1), 200)
     if state == "running":
         assert simulation.starts == starts and len(attempts(simulation, 1)) == 1
     simulation.run(4)
@@ -192,21 +196,24 @@
 
 
 def test_late_reports_of_an_older_attempt_count_for_nothing():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0))
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0))
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(6.0)
-    workers = [w for w, _, _ in marks(simulation, 1)]
-    copies = [body for w in workers for _, body in w.sent]
+    workers = [w for w, _, _ in task_records(simulation, 1)]
+    copies = [body for w in workers for _, body in w.sent_heartbeats]
     simulation.cloud.reclaim(workers[0].name)
-    simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 120)
-    copies += [body for w in workers[1:] for _, body in w.sent[-30:]]
+    simulation.run_until(
+        lambda: len(attempts(simulation, 1)) == 2 and all_running(simulation, 1)(), 120
+    )
+    copies += [body for w in workers[1:] for _, body in w.sent_heartbeats[-30:]]
     starts = simulation.starts
     for body in copies:
-        for name in simulation.names:
+        for name in simulation.node_names:
             simulation.after(
-                simulation.rng.uniform(0.0, 10.0), functools.partial(simulation.copy, name, body)
+                simulation.rng.uniform(0.0, 10.0),
+                functools.partial(simulation.deliver_late_heartbeat, name, body),
             )
-    simulation.run_until(done(simulation, 1), 120)
+    simulation.run_until(all_done(simulation, 1), 120)
     assert (
         simulation.starts == starts
         and len(attempts(simulation, 1)) == 2
@@ -217,18 +224,20 @@
 
 @pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
 def test_a_member_that_is_refused_or_fails_is_replaced(exit_cause):
-    simulation = simulation_with(gang(1, cpus=12.0))
-    simulation.fetch_s["req-000001/0"] = 5.0
+    simulation = simulation_with_jobs(gang(1, cpus=12.0))
+    simulation.image_pull_s["req-000001/0"] = 5.0
     if exit_cause == "error":
-        simulation.run_until(lambda: count(simulation, 1, "pulling", "gathering") == 4, 60)
-        failing_worker = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/0")
-        failing_worker.failing = True
+        simulation.run_until(lambda: count_tasks(simulation, 1, "pulling", "gathering") == 4, 60)
+        failing_worker = next(
+            w for w, key, _ in task_records(simulation, 1) if key[0] == "req-000001/0"
+        )
+        failing_worker.fails_tasks = True
     else:
-        simulation.refusals["req-000001/2"] = exit_cause
-    simulation.run_until(runs(simulation, 1), 90)
+        simulation.start_refusals["req-000001/2"] = exit_cause
+    simulation.run_until(all_running(simulation, 1), 90)
     assert not simulation.gave_up_waiting and len(attempts(simulation, 1)) <= 2
-    simulation.run_until(done(simulation, 1), 60)
-    assert not simulation.refusals
+    simulation.run_until(all_done(simulation, 1), 60)
+    assert not simulation.start_refusals
     check_invariants(simulation)
 
 
@@ -249,11 +258,11 @@
     for number, team in ((1, "red"), (2, "blue")):
         simulation.submit(gang(number, team=team, run_s=40.0))
         if state == "gathering":
-            simulation.fetch_s[f"req-{number:06d}/0"] = 25.0
-    simulation.run_until(lambda: all(count(simulation, n, state) >= 3 for n in (1, 2)), 60)
+            simulation.image_pull_s[f"req-{number:06d}/0"] = 25.0
+    simulation.run_until(lambda: all(count_tasks(simulation, n, state) >= 3 for n in (1, 2)), 60)
     starts = simulation.starts
     simulation.crash(holders()[0], 6.0)
-    simulation.run_until(done(simulation, 1, 2), 200)
+    simulation.run_until(all_done(simulation, 1, 2), 200)
     if state == "running":
         assert simulation.starts == starts
     assert not simulation.lost_progress
@@ -304,12 +313,12 @@
             elif act < 0.96:
                 worker.hang(rng.uniform(0.5, 10.0))
             else:
-                worker.notice = 10.0
+                worker.reclaim_notice_s = 10.0
                 simulation.after(10.0, functools.partial(simulation.cloud.reclaim, worker.name))
     simulation.heal()
     simulation.run_until(
         lambda: all(
-            f"d/job/{j}" in simulation.state.data
+            f"d/job/{j}" in simulation.kvstore.data
             for j in simulation.acknowledged
             if j not in simulation.cancelled
         ),
--- a/tests/test_gangs_stop.py
+++ b/tests/test_gangs_stop.py
@@ -8,15 +8,15 @@
 from copperpass.protocol.json_codec import encode
 from copperpass.protocol.workers import CommandKind
 from tests.gang_scenarios import (
+    all_done,
+    all_running,
     attempts,
     check_invariants,
-    count,
-    done,
-    marks,
-    present,
-    progress,
-    runs,
-    simulation_with,
+    count_present_tasks,
+    count_tasks,
+    saved_progress,
+    simulation_with_jobs,
+    task_records,
 )
 from tests.request_bodies import gang, job
 from tests.scheduler_bench import SchedulerBench
@@ -40,7 +40,7 @@
         """The attempts of the starts that a round sends, each answered."""
         self.scheduler.dispatch_round(self.now)
         found = []
-        while calls := self.take("worker"):
+        while calls := self.take_calls("worker"):
             for call in calls:
                 orders = json.loads(call.body)["orders"]
                 runs = [
@@ -49,7 +49,7 @@
                 found += [attempt for _, attempt, _, _ in runs]
                 self.sequence += 1
                 self.shown = self.shown + runs
-                body = encode(self.message(self.shown, sequence=self.sequence))
+                body = encode(self.heartbeat(self.shown, sequence=self.sequence))
                 call.on_done(self.now, CallOutcome(200, body))
         return found
 
@@ -144,8 +144,8 @@
     bench = GangBench()
     bench.tell("running", "running", "running")
     bench.tell("running", "!mates_gone", "running")
-    late = bench.take_over("m-2")
-    heartbeat = bench.message(
+    late = bench.adopt_machine("m-2")
+    heartbeat = bench.heartbeat(
         [("req-000001/1", bench.attempt, "gathering", None)], late.base_token, 1, 1
     )
     heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
@@ -166,11 +166,11 @@
 def test_no_attempt_begins_beside_a_second_copy_of_an_older_one():
     bench = GangBench()
     bench.tell("gathering", "gathering", "gathering")
-    late = bench.take_over("m-2")
+    late = bench.adopt_machine("m-2")
 
     def copy(sequence, *tasks):
         bench.now += 1.0
-        heartbeat = bench.message(tasks, late.base_token, 1, sequence)
+        heartbeat = bench.heartbeat(tasks, late.base_token, 1, sequence)
         heartbeat.machine, heartbeat.address = "m-2", "10.0.0.8:1"
         return bench.scheduler.worker_heartbeat(bench.now, heartbeat)
 
@@ -198,70 +198,72 @@
 
 
 def test_nobody_is_replaced_after_the_start():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0))
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0))
     seen = started_under(simulation)
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation.run_until(all_running(simulation, 1), 60)
     (first,) = attempts(simulation, 1)
     simulation.run(2.0)
-    simulation.cloud.reclaim(marks(simulation, 1)[0][0].name)
-    simulation.run_until(done(simulation, 1), 150)
+    simulation.cloud.reclaim(task_records(simulation, 1)[0][0].name)
+    simulation.run_until(all_done(simulation, 1), 150)
     (first, again) = attempts(simulation, 1)
     assert (seen.count(first), seen.count(again)) == (4, 4)
     check_invariants(simulation)
 
 
 def test_a_gang_whose_rest_finds_no_room_begins_elsewhere_before_it_gives_up():
-    simulation = simulation_with(gang(1, cpus=12.0), gang_wait_s=60.0)
-    simulation.fetch_s["req-000001/3"] = 1e3
-    simulation.run_until(lambda: count(simulation, 1, "gathering") == 3, 60)
-    (zone,) = {w.zone for w, _, _ in marks(simulation, 1)}
+    simulation = simulation_with_jobs(gang(1, cpus=12.0), gang_wait_s=60.0)
+    simulation.image_pull_s["req-000001/3"] = 1e3
+    simulation.run_until(lambda: count_tasks(simulation, 1, "gathering") == 3, 60)
+    (zone,) = {w.zone for w, _, _ in task_records(simulation, 1)}
     simulation.cloud.capacity.update({(zone, True): 0, (zone, False): 0})
-    slow = next(w for w, key, _ in marks(simulation, 1) if key[0] == "req-000001/3")
+    slow = next(w for w, key, _ in task_records(simulation, 1) if key[0] == "req-000001/3")
     idle = [w for w in simulation.cloud.workers() if w.zone == zone and not w.tasks]
     for worker in [slow, *idle]:
         simulation.cloud.reclaim(worker.name)
-    simulation.fetch_s.clear()
+    simulation.image_pull_s.clear()
     simulation.run_until(lambda: len(attempts(simulation, 1)) == 2, 90)
     assert not simulation.gave_up_waiting
-    simulation.run_until(done(simulation, 1), 90)
+    simulation.run_until(all_done(simulation, 1), 90)
     check_invariants(simulation)
 
 
 # Guards against throwing progress away: a stop that can't save is worse than to run on.
 @pytest.mark.parametrize("fault", ["too short", "not reached"])
 def test_a_stop_that_cannot_save_is_not_tried(fault):
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=30.0, proof_s=100.0, flush_s=2.0))
-    simulation.lengths["req-000001"] = 60.0
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0, proof_s=100.0, flush_s=2.0))
+    simulation.gang_runtime_s["req-000001"] = 60.0
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(5.0)
-    (victim, *others) = [w for w, _, _ in marks(simulation, 1)]
+    (victim, *others) = [w for w, _, _ in task_records(simulation, 1)]
     if fault == "not reached":
-        for name in simulation.names:
+        for name in simulation.node_names:
             simulation.cut(name, others[0].name)
         simulation.run(5.0)
-    victim.notice = 1.5 if fault == "too short" else 5.0
+    victim.reclaim_notice_s = 1.5 if fault == "too short" else 5.0
     for _ in range(14):
         simulation.run(0.1)
-        assert not count(simulation, 1, "flushing", "exited")
+        assert not count_tasks(simulation, 1, "flushing", "exited")
     assert not simulation.lost_progress
     simulation.heal()
-    victim.notice = None
-    simulation.run_until(done(simulation, 1), 250)
+    victim.reclaim_notice_s = None
+    simulation.run_until(all_done(simulation, 1), 250)
     check_invariants(simulation)
 
 
 def test_a_machine_that_goes_before_the_first_has_saved_costs_the_save_only():
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=40.0, flush_s=4.0))
-    simulation.lengths["req-000001"] = 40.0
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0, flush_s=4.0))
+    simulation.gang_runtime_s["req-000001"] = 40.0
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(8.0)
-    victim = marks(simulation, 1)[0][0]
-    victim.notice = 8.0
-    simulation.run_until(lambda: count(simulation, 1, "flushing") == 4, 5)
+    victim = task_records(simulation, 1)[0][0]
+    victim.reclaim_notice_s = 8.0
+    simulation.run_until(lambda: count_tasks(simulation, 1, "flushing") == 4, 5)
     simulation.cloud.reclaim(victim.name)
-    simulation.run_until(lambda: len(attempts(simulation, 1)) == 2 and runs(simulation, 1)(), 90)
-    assert progress(simulation, 1) == 5.0
-    simulation.run_until(done(simulation, 1), 90)
+    simulation.run_until(
+        lambda: len(attempts(simulation, 1)) == 2 and all_running(simulation, 1)(), 90
+    )
+    assert saved_progress(simulation, 1) == 5.0
+    simulation.run_until(all_done(simulation, 1), 90)
     check_invariants(simulation)
 
 
@@ -269,42 +271,42 @@
 # zone for all, its zone. The simulation notes what breaks a rule.
 @pytest.mark.parametrize("one_zone", [False, True])
 def test_the_next_attempt_waits_for_a_task_that_hangs(one_zone):
-    simulation = simulation_with(
+    simulation = simulation_with_jobs(
         gang(1, team="blue", tasks=3, cpus=16.0, run_s=40.0, same_place=one_zone),
         job(2, team="blue", tasks=30, cpus=4.0, run_s=4.0, urgency="low"),
     )
-    simulation.run_until(runs(simulation, 1), 150)
+    simulation.run_until(all_running(simulation, 1), 150)
     simulation.run(6.0)
-    (lost, hung, _) = [w for w, _, _ in marks(simulation, 1)]
+    (lost, hung, _) = [w for w, _, _ in task_records(simulation, 1)]
     hung.hang(11.0)
     simulation.cloud.reclaim(lost.name)
     until = simulation.now + 10.0
     while simulation.now < until and hung.name in simulation.cloud.machines:
         simulation.run(0.5)
         assert len(attempts(simulation, 1)) == 1
-    simulation.run_until(done(simulation, 1, 2), 250)
+    simulation.run_until(all_done(simulation, 1, 2), 250)
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("state", ["flushing", "ending"])
 def test_a_cancelled_gang_that_is_being_stopped_is_gone(state):
-    simulation = simulation_with(gang(1, cpus=12.0, run_s=300.0, flush_s=3.0))
-    simulation.run_until(runs(simulation, 1), 60)
+    simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=300.0, flush_s=3.0))
+    simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(6.0)
-    victim = marks(simulation, 1)[0][0]
+    victim = task_records(simulation, 1)[0][0]
     if state == "flushing":
-        victim.notice = 9.0
-        simulation.run_until(lambda: count(simulation, 1, "flushing") == 4, 10)
+        victim.reclaim_notice_s = 9.0
+        simulation.run_until(lambda: count_tasks(simulation, 1, "flushing") == 4, 10)
     else:
         victim.hang(6.0)
-        simulation.run_until(lambda: count(simulation, 1, "exited") > 0, 10)
+        simulation.run_until(lambda: count_tasks(simulation, 1, "exited") > 0, 10)
     starts = simulation.starts
     user = simulation.cancel("req-000001")
     simulation.run_until(lambda: user.status is not None, 5)
     assert user.status == 200
-    simulation.run_until(lambda: not present(simulation, 1), simulation.cancel_s)
+    simulation.run_until(lambda: not count_present_tasks(simulation, 1), simulation.cancel_s)
     simulation.run(60)
-    assert simulation.starts == starts and not present(simulation, 1)
+    assert simulation.starts == starts and not count_present_tasks(simulation, 1)
     check_invariants(simulation)
 
 
@@ -313,7 +315,7 @@
     bench = GangBench()
     bench.tell("running", "running", "running")
     bench.tell("!done", "running", "running")
-    (write,) = bench.take("state")
+    (write,) = bench.take_calls("state")
     assert b'"final":"done"' in write.body
     bench.tell("!done", None, None)
     assert bench.starts() == []
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -40,7 +40,7 @@
 
 
 def completed(simulation, *numbers):
-    return lambda: all(f"d/job/req-{n:06d}" in simulation.state.data for n in numbers)
+    return lambda: all(f"d/job/req-{n:06d}" in simulation.kvstore.data for n in numbers)
 
 
 def test_teams_go_to_different_members_and_run_on_machines_of_their_own():
@@ -86,7 +86,7 @@
     simulation = partitioned()
     started(simulation)
     owner = owners(simulation)[0]
-    for name in simulation.names:
+    for name in simulation.node_names:
         if name != owner:
             simulation.cut(owner, name)
     end = simulation.now + 12.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -42,16 +42,16 @@
 def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
     # Holds `machine.last_answer_at` at a change of agent epoch in `HeartbeatHandler.apply`.
     bench = SchedulerBench()
-    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
+    machine = bench.adopt_machine("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     taken = bench.now
     bench.now += 11.9
     bench.scheduler.tick(bench.now)
     for status, token, sequence in ((409, 1, 7), (200, machine.base_token, 8)):
-        (probe,) = bench.take("worker")
+        (probe,) = bench.take_calls("worker")
         probe.on_done(bench.now, CallOutcome(status, heartbeat_body("m-9", [], token, 4, sequence)))
         bench.scheduler.commands.probe(bench.now)
     bench.scheduler.machines["m-1"].backoff_until = bench.now + 99.0
-    call, attempt = bench.start()
+    call, attempt = bench.start_tasks()
     assert call.address == "10.0.0.8:1"
     tasks = [("req-000001/0", attempt, "running", None)]
     call.on_done(
@@ -69,13 +69,13 @@
     machine = bench.scheduler.machines["m-1"]
     for second in range(1, 4):
         bench.now += 1.0
-        bench.add(second)
+        bench.add_job(second)
         bench.scheduler.heartbeats.apply(
-            bench.now, machine, bench.message([], sequence=bench.sequence + second), False
+            bench.now, machine, bench.heartbeat([], sequence=bench.sequence + second), False
         )
     assert not machine.is_usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
     # Yet a copy of what it said before is bounded by the newest message, not the newest report.
-    bench.scheduler.worker_heartbeat(bench.now, bench.message([], sequence=1))
+    bench.scheduler.worker_heartbeat(bench.now, bench.heartbeat([], sequence=1))
     assert machine.last_answer_at == bench.now
 
 
@@ -83,7 +83,7 @@
 def test_an_ended_attempt_that_was_not_cleared_does_not_free_the_one_that_runs(turn):
     # Holds `_alone`. A task was stopped, started again where it was, and the leader changed.
     bench = SchedulerBench()
-    bench.add(version=40)
+    bench.add_job(version=40)
     bench.worker_heartbeat(
         [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::turn]
     )
@@ -97,8 +97,8 @@
 def test_ends_that_an_earlier_owner_stored_are_not_written_over():
     # Holds the loop over `jobs.completion_records` in `CompletionStore._include_late`.
     bench = SchedulerBench()
-    bench.add(1, tasks=2)
-    bench.add(2, tasks=2)
+    bench.add_job(1, tasks=2)
+    bench.add_job(2, tasks=2)
     key = "c/ends/0.0"
     bench.jobs.on_completions_event(key, b'{"req-000001":"AQ=="}')
     bench.scheduler.completions.context.versions[key] = 66
@@ -106,7 +106,7 @@
     bench.scheduler.scan(bench.now)
     bench.now += bench.scheduler.completions.context.interval_s
     bench.scheduler.completions.tick(bench.now)
-    (write,) = bench.take("state")
+    (write,) = bench.take_calls("state")
     body = json.loads(write.body)
     assert {"path": key, "stamp": 66} in body["guards"]
     assert set(body["writes"][0]["value"]) == {"req-000001", "req-000002"}
@@ -155,9 +155,9 @@
 def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
     # Holds `ownership_overlap_s`: the leader restarted at once, and that owner had not seen it.
     bench = SchedulerBench()
-    bench.add(version=40)
+    bench.add_job(version=40)
     bench.scheduler.timing.ownership_overlap_s = 1.5
-    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
+    machine = bench.adopt_machine("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.scheduler.scan(bench.now + 1.4 + bench.scheduler.timing.lease_s)
     assert machine.name in bench.scheduler.unreconciled
     bench.scheduler.scan(bench.now + 1.6 + bench.scheduler.timing.lease_s)
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -16,7 +16,7 @@
 from copperpass.errors import SettingsError
 from copperpass.protocol.frames.messages import LeaseExtensionRequest
 from copperpass.protocol.kvstore import DeleteKey, PutKey, transaction_body
-from tests.fakes.state import State
+from tests.fakes.state import KeyValueStore
 from tests.request_bodies import raw_settings
 
 
@@ -29,9 +29,9 @@
         self.names = list(names)
         self.timings = timings or election_timings(settings_module.parse(raw_settings()).cluster)
         self.own_timings = own_timings or {}
-        self.state = State(self)
+        self.state = KeyValueStore(self)
         self.nodes, self.clock_rate, self.hung_until = {}, {}, {}
-        self.refused, self.cuts = set(), set()
+        self.kvstore_refuses, self.cuts = set(), set()
         self.most_leaders, self.past_leaders, self.extended_ticks = 0, set(), 0
         self.watched_revision = {}
         for name in self.names:
@@ -45,7 +45,7 @@
     def after(self, delay, action):
         self.queue.append((self.now + delay, self.rng.random(), action))
 
-    def wrote(self, writes):
+    def on_writes(self, writes):
         pass
 
     def boot(self, name):
@@ -67,7 +67,7 @@
 
     def step(self, seconds=0.05):
         self.now += seconds
-        self.state.expire()
+        self.state.expire_leases()
         due = [q for q in self.queue if q[0] <= self.now]
         self.queue = [q for q in self.queue if q[0] > self.now]
         for _, _, action in sorted(due, key=lambda q: q[:2]):
@@ -87,7 +87,7 @@
         )
 
     def watch(self, name):
-        if self.state.down or name in self.refused:
+        if self.state.down or name in self.kvstore_refuses:
             return
         node, at = self.nodes[name], self.clock(name)
         for revision, key, value in self.state.log:
@@ -134,7 +134,7 @@
                 self.drain(name)
 
         def arrive():
-            if name in self.refused or self.state.down:
+            if name in self.kvstore_refuses or self.state.down:
                 finish(503, b"{}")
                 return
             self.state.handle(
@@ -156,13 +156,13 @@
         elif act < 0.45:
             self.hung_until[name] = self.now + self.rng.uniform(0.2, 8.0)
         elif act < 0.65:
-            self.refused = {name} if self.rng.random() < 0.7 else set()
+            self.kvstore_refuses = {name} if self.rng.random() < 0.7 else set()
         elif act < 0.8:
             self.cuts = {frozenset(self.rng.sample(self.names, 2))}
         elif act < 0.9:
             self.state.down = not self.state.down
         else:
-            self.cuts, self.refused, self.state.down = set(), set(), False
+            self.cuts, self.kvstore_refuses, self.state.down = set(), set(), False
 
     def play(self, steps=2500):
         for step in range(steps):
--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -6,10 +6,10 @@
 from tests.scenarios import (
     is_completed,
     make_unreachable,
-    new_leader,
-    running,
+    present_task_count,
+    run_checked,
     started_simulation,
-    step,
+    wait_for_new_leader,
 )
 from tests.simulation import Simulation
 
@@ -27,7 +27,7 @@
         old = simulation.leader()
         if old:
             simulation.crash(old, 3.0)
-        step(simulation, 4.0)
+        run_checked(simulation, 4.0)
     simulation.finish()
 
 
@@ -45,14 +45,14 @@
         if turn in (3, 7):
             simulation.outage(8.0)
         simulation.submit(job(10 + turn, tasks=2, cpus=1.0, run_s=5.0))
-        step(simulation, 10.0)
+        run_checked(simulation, 10.0)
     simulation.finish()
 
 
 @pytest.mark.parametrize("back", [0.2, 4.0])
 def test_all_controllers_are_away_for_longer_than_a_lease(back):
     simulation = started_simulation([job(n, tasks=3, run_s=40.0) for n in range(1, 5)], 12)
-    names = list(simulation.names)
+    names = list(simulation.node_names)
     for n, name in enumerate(names):
         simulation.crash(name, 1.5 * simulation.lease_s + n * back)
     simulation.run(1.5 * simulation.lease_s + 10.0)
@@ -72,10 +72,10 @@
     for worker in victims:
         make_unreachable(simulation, worker, fault, 0.8 * simulation.lease_s)
     simulation.crash(old, 6.0)
-    new_leader(simulation, old)
+    wait_for_new_leader(simulation, old)
     simulation.cancel("req-000001")
     simulation.submit(job(3, tasks=4, run_s=5.0))
-    step(simulation, 2.5 * simulation.lease_s)
+    run_checked(simulation, 2.5 * simulation.lease_s)
     simulation.finish(500.0)
 
 
@@ -85,25 +85,25 @@
     simulation = started_simulation([job(n, tasks=3, run_s=400.0) for n in (1, 2)], 6)
     simulation.crash(simulation.leader(), back)
     users = [simulation.cancel(f"req-{n:06d}") for n in (1, 2)]
-    step(simulation, 1.2 * simulation.cancel_s)
-    assert [u.status for u in users] == [200, 200] and not running(simulation)
+    run_checked(simulation, 1.2 * simulation.cancel_s)
+    assert [u.status for u in users] == [200, 200] and not present_task_count(simulation)
     simulation.finish()
 
 
 def test_a_report_is_held_back_until_a_new_leader_has_acted():
     simulation = started_simulation([job(n, tasks=2, run_s=20.0) for n in range(1, 5)], 8)
-    held = [(w, w.sent[-1][1]) for w in simulation.cloud.workers()]
+    held = [(w, w.sent_heartbeats[-1][1]) for w in simulation.cloud.workers()]
     old = simulation.leader()
     simulation.crash(old, 4.0)
-    new = new_leader(simulation, old)
+    new = wait_for_new_leader(simulation, old)
     simulation.run_until(
         lambda: any(o.ready for n in simulation.nodes.values() for o in n.schedulers), 10
     )
     simulation.cancel("req-000001")
     for _ in range(10):
         for _, body in held:
-            simulation.copy(new, body)
-        step(simulation, 2.0)
+            simulation.deliver_late_heartbeat(new, body)
+        run_checked(simulation, 2.0)
     simulation.finish()
 
 
@@ -126,12 +126,12 @@
     simulation.crash(old, 1.0)
     simulation.run(1.5)
     users = [simulation.cancel("req-000001")]
-    new_leader(simulation, old if old not in simulation.nodes else None)
+    wait_for_new_leader(simulation, old if old not in simulation.nodes else None)
     for n in range(30, 36):
         simulation.submit(job(n, tasks=4, cpus=4.0, run_s=20.0, team="blue"))
         simulation.run(0.5)
     users.append(simulation.cancel("req-000002"))
-    step(simulation, 2.0 * simulation.lease_s)
+    run_checked(simulation, 2.0 * simulation.lease_s)
     assert {u.status for u in users} <= {200, 503}
     simulation.finish(600.0)
 
@@ -143,10 +143,10 @@
     simulation = started_simulation(specs, 12, partitioned=partitioned)
     old = simulation.leader()
     simulation.isolate(old)
-    new = new_leader(simulation, old)
+    new = wait_for_new_leader(simulation, old)
     users = [simulation.cancel(f"req-{n:06d}", new) for n in range(1, 4)]
     alone = [simulation.poll(f"req-{n:06d}", old) for n in range(1, 7)]
-    step(simulation, 1.2 * simulation.cancel_s)
+    run_checked(simulation, 1.2 * simulation.cancel_s)
     assert [u.status for u in users] == [200] * 3 and all(p.status == 503 for p in alone)
     simulation.finish(500.0)
 
@@ -159,13 +159,13 @@
     )
     first = simulation.leader()
     simulation.nodes[first].election.step_down(simulation.now, "hand over", backoff_s=3.0)
-    second = new_leader(simulation, first)
+    second = wait_for_new_leader(simulation, first)
     simulation.nodes[second].election.step_down(simulation.now, "hand back", backoff_s=3.0)
-    new_leader(simulation, second)
-    for name in simulation.names:
+    wait_for_new_leader(simulation, second)
+    for name in simulation.node_names:
         simulation.crash(name, back if name == first else 8.0)
     simulation.run(1.0)
-    step(simulation, 12.0)
+    run_checked(simulation, 12.0)
     simulation.finish()
 
 
@@ -175,13 +175,13 @@
     specs = [job(n, tasks=4, run_s=40.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=True)
     old = simulation.leader()
-    simulation.refused.add(old)
-    step(simulation, length * 0.22 * simulation.lease_s)
-    simulation.refused.clear()
+    simulation.kvstore_refuses.add(old)
+    run_checked(simulation, length * 0.22 * simulation.lease_s)
+    simulation.kvstore_refuses.clear()
     for _ in range(60):
         simulation.run(0.1)
         simulation.check_owners()
-    step(simulation, 3.0 * simulation.lease_s)
+    run_checked(simulation, 3.0 * simulation.lease_s)
     owners = {o.shard: n for n, node in simulation.nodes.items() for o in node.schedulers}
     assert len(set(owners.values())) == 2, "one member has all shards for good"
     simulation.finish()
@@ -209,9 +209,9 @@
     simulation = started_simulation(specs, 12, partitioned=True, seed=seed)
     old, life = simulation.leader(), 0.22 * simulation.lease_s
     token = simulation.nodes[old].election.token
-    simulation.refused.add(old)
-    step(simulation, 1.1 * life)
-    simulation.refused = set(simulation.names) - {old}
+    simulation.kvstore_refuses.add(old)
+    run_checked(simulation, 1.1 * life)
+    simulation.kvstore_refuses = set(simulation.node_names) - {old}
     for _ in range(100):
         simulation.run(0.05)
         simulation.check_owners()
@@ -226,14 +226,14 @@
     simulation = started_simulation(specs, 12, partitioned=True, seed=seed)
     simulation.run(1.2 * simulation.lease_s)
     old = simulation.leader()
-    simulation.refused = set(simulation.names) - {old}
+    simulation.kvstore_refuses = set(simulation.node_names) - {old}
     simulation.run(0.1)
     simulation.crash(old, 0.1)
     simulation.run(1.0)
     for worker in [w for w in simulation.cloud.workers() if w.present_tasks()][::2]:
-        for name in simulation.names:
+        for name in simulation.node_names:
             simulation.cut(name, worker.name)
-    step(simulation, 1.5 * simulation.lease_s)
+    run_checked(simulation, 1.5 * simulation.lease_s)
     simulation.finish()
 
 
@@ -250,7 +250,7 @@
     ]
     simulation.nodes[leader].election.step_down(simulation.now, "told to")
     while simulation.now < max(granted):
-        assert "c/lead" in simulation.state.data
+        assert "c/lead" in simulation.kvstore.data
         simulation.run(0.1)
         simulation.check_owners()
     simulation.run_until(lambda: simulation.leader() is not None, 10)
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -44,24 +44,24 @@
     inventory = harness.inventory()
     marked = set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
-    began, writes = harness.now, harness.state.writes
+    began, writes = harness.now, harness.state.write_count
     fill(harness, inventory)
     state = harness.state
     assert inventory.paged and "c/fleet" not in state.data and not inventory.full()
     assert harness.truth() == ({}, inventory.machines, inventory.up) and len(inventory.up) == 550
     assert marked | inventory.up == marked | inventory.stored_up == marked
     # A quarter of the budget at most, in values and transactions that are allowed.
-    assert state.writes - writes <= (harness.now - began) * 15.0 / 4 + 5
-    assert (state.too_large, state.too_fast) == (0, 0) and state.largest <= 2048
+    assert state.write_count - writes <= (harness.now - began) * 15.0 / 4 + 5
+    assert (state.too_large, state.too_fast) == (0, 0) and state.largest_value <= 2048
     assert len(inventory.pages) <= 8
     # One machine less is one write, and not before others could share it.
-    before = state.writes
+    before = state.write_count
     for name in sorted(inventory.machines)[:3]:
         inventory.remove(harness.now, name)
     harness.run(inventory, 1.0)
-    assert state.writes == before
+    assert state.write_count == before
     harness.run(inventory, 6.0)
-    assert 1 <= state.writes - before <= 3 and harness.truth()[1] == inventory.machines
+    assert 1 <= state.write_count - before <= 3 and harness.truth()[1] == inventory.machines
 
 
 def test_names_that_do_not_fit_their_page_keep_the_request_pending_until_they_are_stored():
@@ -77,7 +77,7 @@
         pending, machines, _ = harness.truth()
         assert "b-1-1" in pending or set(names) <= set(machines)
     assert harness.truth()[:2] == ({}, dict.fromkeys(names, GROUPS[0]))
-    assert harness.state.largest <= 2048
+    assert harness.state.largest_value <= 2048
 
 
 def put_single_record(harness, machines=400):
@@ -116,7 +116,7 @@
         for call in late:
             assert harness.serve(call)[0] == 409
             assert harness.truth() == truth
-        harness.state.drop(**COMING)
+        harness.state.set_limits(**COMING)
         harness.run(successor, 12.0)
         assert "c/fleet" not in harness.state.data and successor.paged
         assert harness.truth() == truth
@@ -157,7 +157,7 @@
     harness = StorageHarness()
     put_single_record(harness)
     inventory = harness.inventory(all_upgraded=False, limits_announced=limits_announced)
-    harness.state.drop(**COMING)
+    harness.state.set_limits(**COMING)
     sent, marked = [], set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
     inventory.record_request(harness.now, "b-9-1", GROUPS[1], 2, lambda now, ok: sent.append(ok))
@@ -317,7 +317,7 @@
             day.proof = True
         if step == 300:
             # Pages that were stored when values could be larger are split by a successor.
-            day.harness.state.drop(value_kb=1.2)
+            day.harness.state.set_limits(value_kb=1.2)
             day.lead()
         for _ in range(day.rng.randint(0, 4)):
             day.change()
@@ -345,8 +345,8 @@
     inventory = harness.inventory(limits_announced=False, least=32768.0)
     fill(harness, inventory, 400)
     harness.run(inventory, 8.0)
-    assert harness.state.largest > 4096
-    harness.state.drop(value_kb=2.0, txn_ops=5)
+    assert harness.state.largest_value > 4096
+    harness.state.set_limits(value_kb=2.0, txn_ops=5)
     refused, sent, marked = harness.state.too_large, [], set()
     inventory.writer.max_writes = 16
     inventory.on_marks_stored = lambda now, names: marked.update(names)
@@ -377,7 +377,7 @@
 def test_a_page_of_one_item_that_no_value_can_hold_is_not_moved_around_for_ever():
     harness = StorageHarness()
     inventory = harness.inventory(limits_announced=False, least=32768.0)
-    harness.state.drop(value_kb=0.5)
+    harness.state.set_limits(value_kb=0.5)
     sent, pages, request = [], len(inventory.pages), "b" * 600
 
     def on_done(now, ok):
--- a/tests/test_odd_submissions.py
+++ b/tests/test_odd_submissions.py
@@ -52,25 +52,25 @@
     simulation.run(2.0)
     for n, (status, odd) in enumerate(ODD, 1):
         spec = {**job(n, tasks=1, run_s=3.0), **odd}
-        for name in simulation.names:
+        for name in simulation.node_names:
             if status == 201:
                 user = simulation.submit(spec, name)
             else:
                 raw = json.dumps(spec).encode()
-                user = simulation.ask(
+                user = simulation.request(
                     lambda user_api, u, r=raw: user_api.submit(simulation.now, u, r), name
                 )
             simulation.run(0.3)
             assert user.status == status or (status, user.status) == (201, 200), (odd, user.body)
     for raw in (b"NaN", b"Infinity", b"-Infinity", b"1e999", b"[]", b"{}"):
         body = json.dumps(job(90)).encode().replace(b'"cpus": 4.0', b'"cpus": ' + raw)
-        user = simulation.ask(lambda user_api, u, r=body: user_api.submit(simulation.now, u, r))
+        user = simulation.request(lambda user_api, u, r=body: user_api.submit(simulation.now, u, r))
         simulation.run(0.3)
         assert user.status == 400, raw
     for field in job(91):
         if field not in ("racks", "hall", "edition_s"):
             short = json.dumps({k: v for k, v in job(91).items() if k != field}).encode()
-            user = simulation.ask(
+            user = simulation.request(
                 lambda user_api, u, r=short: user_api.submit(simulation.now, u, r)
             )
             simulation.run(0.3)
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -54,11 +54,11 @@
     elif draw < 0.09:
         simulation.outage(rng.uniform(2, 20))
     elif draw < 0.11:
-        simulation.slow_state = rng.choice([0.0, 0.5])
+        simulation.kvstore_delay_s = rng.choice([0.0, 0.5])
     elif draw < 0.13:
         simulation.late_writes = rng.choice([0.0, 0.2])
     elif draw < 0.15:
-        simulation.late_reports = rng.choice([0.0, 0.3])
+        simulation.late_heartbeats = rng.choice([0.0, 0.3])
     elif draw < 0.17 and workers:
         rng.choice(workers).hang(rng.uniform(1.0, 14.0))
     elif draw < 0.19 and workers:
@@ -66,7 +66,7 @@
     elif draw < 0.23 and workers:
         for worker in workers:
             if worker.spot and rng.random() < 0.5:
-                worker.notice = 5.0
+                worker.reclaim_notice_s = 5.0
                 reclaim = functools.partial(simulation.cloud.reclaim, worker.name)
                 simulation.after(5.0, reclaim)
     elif draw < 0.26:
@@ -85,7 +85,7 @@
         simulation.leader()
         simulation.check_owners()
         simulation.check_cancelled()
-        simulation.check_sums()
+        simulation.check_derived_state()
         inject_fault(simulation, rng)
         if not simulation.nodes:
             continue
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -20,7 +20,7 @@
         super().__init__()
         self.submit(1, **{"tasks": 4, "run_s": 100.0, **PATIENT, **more})
         self.scheduler.dispatch_round(self.now)
-        self.take("worker")
+        self.take_calls("worker")
         self.run_all()
 
     def submit(self, number, **more):
@@ -47,7 +47,7 @@
 
     def round(self):
         self.scheduler.dispatch_round(self.now)
-        self.take("worker")
+        self.take_calls("worker")
         return self.stopped()
 
 
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -15,7 +15,7 @@
     if act < 0.02:
         simulation.late_writes = rng.choice([0.0, 0.3])
     elif act < 0.04:
-        simulation.late_reports = rng.choice([0.0, 0.4])
+        simulation.late_heartbeats = rng.choice([0.0, 0.4])
     elif act < 0.06 and workers:
         zone = rng.choice("abc")
         simulation.outbound_blocked = {
@@ -27,7 +27,7 @@
     elif act < 0.105 and names:
         simulation.isolate(rng.choice(names))
     elif act < 0.115:
-        simulation.slow_state = rng.choice([0.0, 0.5])
+        simulation.kvstore_delay_s = rng.choice([0.0, 0.5])
     elif act < 0.125 and names:
         for name in names:
             simulation.crash(name, rng.choice([0.1, 0.5, 1.5 * simulation.lease_s]))
@@ -53,7 +53,7 @@
         simulation.leader()
         simulation.check_owners()
         simulation.check_cancelled()
-        simulation.check_sums()
+        simulation.check_derived_state()
         inject_fault(simulation, rng)
         act = rng.random()
         names = sorted(simulation.nodes)
@@ -85,10 +85,12 @@
                     simulation.cut(*rng.sample(ends, 2))
         elif act < 0.89:
             for worker in simulation.cloud.workers():
-                if worker.sent and names and rng.random() < 0.5:
+                if worker.sent_heartbeats and names and rng.random() < 0.5:
                     # A late copy of a report, to any controller.
-                    _, body = rng.choice(worker.sent[-40:])
-                    late = functools.partial(simulation.copy, rng.choice(names), body)
+                    _, body = rng.choice(worker.sent_heartbeats[-40:])
+                    late = functools.partial(
+                        simulation.deliver_late_heartbeat, rng.choice(names), body
+                    )
                     simulation.after(rng.uniform(0.5, 2.0 * simulation.lease_s), late)
         elif act < 0.90 and simulation.cloud.workers():
             simulation.inbound_blocked = {rng.choice(simulation.cloud.workers()).name}
@@ -101,7 +103,7 @@
     simulation.end_faults()
     for _ in range(75):
         simulation.run(1.0)
-        simulation.check_starved()
+        simulation.check_starvation()
     simulation.check_cancelled()
     accepted = {j for j, status in simulation.acknowledged.items() if j not in simulation.cancelled}
     polls = {j: simulation.poll(j) for j in sorted(accepted)}
@@ -110,10 +112,10 @@
     assert not silent, f"forgotten: {silent}"
     for _ in range(400):
         simulation.run(1.0)
-        simulation.check_starved()
-        if all(f"d/job/{j}" in simulation.state.data for j in accepted):
+        simulation.check_starvation()
+        if all(f"d/job/{j}" in simulation.kvstore.data for j in accepted):
             break
-    left = [j for j in accepted if f"d/job/{j}" not in simulation.state.data]
+    left = [j for j in accepted if f"d/job/{j}" not in simulation.kvstore.data]
     assert not left, [simulation.specs[j] for j in left]
     assert not simulation.violations
     assert simulation.starts > 20
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -21,7 +21,7 @@
     """A simulation in which every member runs an earlier version, and jobs run."""
     old = earlier_versions.load(OLD[old])
     simulation = Simulation(
-        seed, coming=coming, partitioned=partitioned, versions=dict.fromkeys(order, old)
+        seed, next_limits=coming, partitioned=partitioned, versions=dict.fromkeys(order, old)
     )
     simulation.run_until(simulation.leader)
     for n in range(1, 5):
@@ -39,16 +39,16 @@
 def settle(simulation, numbers, seconds=150.0):
     """All jobs end, none is forgotten, no rule is broken, and the pages alone are the truth."""
     ids = [f"req-{n:06d}" for n in numbers]
-    simulation.run_until(lambda: all(f"d/job/{i}" in simulation.state.data for i in ids), seconds)
-    simulation.run_until(lambda: "c/fleet" not in simulation.state.data, 30.0)
+    simulation.run_until(lambda: all(f"d/job/{i}" in simulation.kvstore.data for i in ids), seconds)
+    simulation.run_until(lambda: "c/fleet" not in simulation.kvstore.data, 30.0)
     simulation.run(3.0)
     for i in ids:
         poll = simulation.poll(i)
         simulation.run(1.0)
         assert poll.status == 200 and poll.body["status"] == "done"
-    assert any(k.startswith("c/fleet/") for k in simulation.state.data)
+    assert any(k.startswith("c/fleet/") for k in simulation.kvstore.data)
     assert not simulation.violations
-    simulation.check_sums()
+    simulation.check_derived_state()
 
 
 @both
@@ -59,16 +59,16 @@
         simulation.submit(job(number, tasks=3, run_s=20.0))
         turn(simulation, name)
         simulation.run(5.0)
-        paged = any(k.startswith("c/fleet/") for k in simulation.state.data)
+        paged = any(k.startswith("c/fleet/") for k in simulation.kvstore.data)
         if old == "0.3.0":
             # Moved long ago, and never back.
-            assert paged and "c/fleet" not in simulation.state.data
+            assert paged and "c/fleet" not in simulation.kvstore.data
         elif len(simulation.versions):
             # Not proven by all: the one record counts, as the older version wrote it.
-            assert not paged and "c/fleet" in simulation.state.data
-    simulation.state.drop(**COMING)
+            assert not paged and "c/fleet" in simulation.kvstore.data
+    simulation.kvstore.set_limits(**COMING)
     settle(simulation, range(1, 8))
-    assert simulation.state.too_large <= 3
+    assert simulation.kvstore.too_large <= 3
 
 
 def owners(simulation):
@@ -104,7 +104,7 @@
         simulation.cut("n0", "n1")
         simulation.run(2.0)
         simulation.heal()
-    simulation.state.drop(**COMING)
+    simulation.kvstore.set_limits(**COMING)
     assert {former for _, former in led} == {True, False}
     for shard in (0, 1):
         assert {former for p, former in owned if p == shard} == {True, False}
@@ -116,16 +116,16 @@
     for name in ("n0", "n1", "n2"):
         simulation.versions.pop(name)
     # Two are new, the third's key is doubtful: whoever leads keeps to the old form.
-    simulation.state.data["v/n2"] = ({"format": 0, "version": "?"}, 1, None)
+    simulation.kvstore.data["v/n2"] = ({"format": 0, "version": "?"}, 1, None)
     simulation.crash("n0", 1.0)
     simulation.crash("n1", 1.0)
     simulation.run(8.0)
-    assert {"v/n0", "v/n1"} <= set(simulation.state.data)
+    assert {"v/n0", "v/n1"} <= set(simulation.kvstore.data)
     leader = simulation.leader()
     if leader != "n2":
         node = simulation.nodes[leader]
         assert node.is_upgraded(leader) and not node.is_upgraded("n2")
-    assert "c/fleet" in simulation.state.data
+    assert "c/fleet" in simulation.kvstore.data
     simulation.crash("n2", 1.0)
     settle(simulation, range(1, 5))
     assert simulation.nodes[simulation.leader()].is_upgraded("n2")
@@ -136,7 +136,7 @@
 def test_limits_drop_in_mid_move_and_the_leader_dies_there(step, applied):
     # From 0.2.0 only: 0.3.0 has moved before.
     simulation = rolled(["n0", "n1", "n2"], seed=10 + step, old="0.2.0")
-    seen, handle = [], simulation.state.transaction
+    seen, handle = [], simulation.kvstore.transaction
 
     def transaction(txn, reply):
         pages = [
@@ -145,10 +145,10 @@
             if w.get("put", w.get("remove", "")).startswith("c/fleet/")
             or w.get("remove") == "c/fleet"
         ]
-        if pages and "c/fleet" in simulation.state.data:
+        if pages and "c/fleet" in simulation.kvstore.data:
             seen.append(pages)
             if len(seen) == 1:
-                simulation.state.drop(**COMING)
+                simulation.kvstore.set_limits(**COMING)
             if len(seen) == step + 1:
                 leader = simulation.leader()
                 if applied:
@@ -157,7 +157,7 @@
                 return
         handle(txn, reply)
 
-    simulation.state.transaction = transaction
+    simulation.kvstore.transaction = transaction
     for name in ("n2", "n0", "n1"):
         turn(simulation, name)
         simulation.run(4.0)
@@ -175,7 +175,7 @@
         simulation.submit(job(number, team="blue", tasks=3, run_s=15.0))
         simulation.run(4.0)
         if number == 5:
-            simulation.state.drop(**COMING)
+            simulation.kvstore.set_limits(**COMING)
         leader = simulation.leader()
         if leader:
             # Whoever leads next meets the limits afresh.
@@ -218,9 +218,11 @@
         simulation.versions[name] = earlier_versions.load()
         simulation.crash(name, 1.5)
         simulation.run(4.0)
-    assert all(simulation.running.values())
+    assert all(simulation.running_versions.values())
     simulation.run(10.0)
-    assert any(k.startswith("d/job/") for k in simulation.state.data) and not simulation.violations
+    assert (
+        any(k.startswith("d/job/") for k in simulation.kvstore.data) and not simulation.violations
+    )
     for name in order:
         turn(simulation, name)
         simulation.run(4.0)
@@ -279,7 +281,7 @@
     forbid_used_attempts(simulation)
     simulation.run_until(lambda: len(owners(simulation)) == 2)
     owner = "n1" if new else owners(simulation)[0]
-    for name in simulation.names:
+    for name in simulation.node_names:
         if (name == owner) == new:
             turn(simulation, name)
     simulation.run(5.0)
@@ -291,7 +293,7 @@
             simulation.crash(name, 3.0)
         simulation.run(8.0)
     assert (owner not in simulation.versions) == new
-    assert all((n in simulation.versions) == new for n in simulation.names if n != owner)
+    assert all((n in simulation.versions) == new for n in simulation.node_names if n != owner)
     return simulation, shard, owner
 
 
@@ -304,22 +306,22 @@
     team = next(t for t, p in simulation.nodes[owner].shards.items() if p == shard)
     simulation.submit(gang(1, team=team, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
-        simulation.fetch_s["req-000001/1"] = 10.0
+        simulation.image_pull_s["req-000001/1"] = 10.0
     wanted = "gathering" if state == "gathering" else "running"
     simulation.run_until(lambda: count(simulation, wanted) >= (3 if wanted == "gathering" else 4))
     assert owners(simulation)[shard] == owner
     starts = simulation.starts
     if state == "flushing":
         simulation.run(7.0)
-        victim = next(w for w in simulation.cloud.workers() if w.in_state("running"))
-        victim.notice = 10.0
+        victim = next(w for w in simulation.cloud.workers() if w.tasks_in_state("running"))
+        victim.reclaim_notice_s = 10.0
         simulation.after(10.0, lambda: simulation.cloud.reclaim(victim.name))
         simulation.run_until(lambda: count(simulation, "flushing"), 10)
     if state == "cancelled":
         # Some tasks are told to stop, the others not yet.
         for worker in [w for w in simulation.cloud.workers() if w.tasks][:2]:
             worker.hang(6.0)
-        user = simulation.cancel("req-000001", next(n for n in simulation.names if n != owner))
+        user = simulation.cancel("req-000001", next(n for n in simulation.node_names if n != owner))
         simulation.run_until(lambda: user.status == 200, 5)
         simulation.run_until(lambda: count(simulation, "running") < 4, 5)
         assert count(simulation, "running")
@@ -342,4 +344,4 @@
     if state == "running":
         assert simulation.starts == starts and len(simulation.gangs) == 1
     assert not simulation.violations
-    simulation.check_sums()
+    simulation.check_derived_state()
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.ports import CallOutcome
 from tests.request_bodies import gang, job
-from tests.scenarios import is_completed, new_leader, started_simulation, step
+from tests.scenarios import is_completed, run_checked, started_simulation, wait_for_new_leader
 from tests.scheduler_bench import SchedulerBench
 from tests.simulation import Simulation
 
@@ -56,8 +56,8 @@
             else:
                 large = job(number, tasks=1, cpus=16.0, team=team, run_s=20.0, slot="none", **more)
             simulation.submit(large)
-        step(simulation, 1.0)
-    simulation.check_served()
+        run_checked(simulation, 1.0)
+    simulation.check_service_levels()
     assert not simulation.violations
     late = [
         j
@@ -80,8 +80,8 @@
             simulation.submit(job(second + 1, team="blue", tasks=2, cpus=4.0, run_s=12.0))
         if second == 40:
             simulation.submit(job(9000, team="blue", tasks=1, cpus=16.0, run_s=10.0, slot="none"))
-        step(simulation, 1.0)
-    simulation.check_served()
+        run_checked(simulation, 1.0)
+    simulation.check_service_levels()
     assert not simulation.violations and is_completed(simulation, 9000)
 
 
@@ -93,7 +93,7 @@
     for name in list(simulation.cloud.machines):
         simulation.cloud.reclaim(name)
     simulation.run(250.0)
-    shares = simulation.check_served()
+    shares = simulation.check_service_levels()
     assert shares["class", "quick"] == shares["team", "red"] == 1.0
     assert shares["class", "none"] == shares["team", "blue"] == shares["largest of", "none"] == 0
     assert len(simulation.violations) == 1 and simulation.violations[0].startswith("unserved")
@@ -113,11 +113,11 @@
                 answers.append(simulation.cancel(f"req-{number - 8:06d}"))
         if second in (50, 100):
             simulation.crash(simulation.leader(), 0.3)
-        step(simulation, 0.0)
+        run_checked(simulation, 0.0)
     # A controller that has just begun may refuse for a moment.
     refused = [user for user in answers if user.status == 503]
     assert len(refused) < 0.1 * len(answers)
-    simulation.check_served(within=60.0)
+    simulation.check_service_levels(within=60.0)
     simulation.finish()
 
 
@@ -140,11 +140,11 @@
             simulation.run(rng.uniform(0.05, 0.4))
             simulation.leader()
             simulation.check_owners()
-            for name in rng.sample(simulation.names, 1 + turn % 2):
+            for name in rng.sample(simulation.node_names, 1 + turn % 2):
                 if simulation.leader() != name:
                     simulation.crash(name, rng.choice([0.1, 0.2, 0.5]))
         simulation.run_until(lambda: simulation.leader() is not None, simulation.lease_s)
-        step(simulation, rng.uniform(0.5, 4.0))
+        run_checked(simulation, rng.uniform(0.5, 4.0))
     assert simulation.starts == starts, "a task was lost to a restart"
     simulation.finish()
 
@@ -163,7 +163,7 @@
         if turn == 1:
             simulation.crash(simulation.leader(), 0.2)
         simulation.submit(job(10 + turn, tasks=3, run_s=5.0))
-        step(simulation, 3.0)
+        run_checked(simulation, 3.0)
     simulation.finish()
 
 
@@ -174,7 +174,7 @@
 def test_deaf_machines_late_copies_and_a_new_leader(partitioned):
     specs = [job(n, tasks=3, run_s=60.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=partitioned)
-    simulation.late_reports = 0.5
+    simulation.late_heartbeats = 0.5
     for turn in range(3):
         simulation.inbound_blocked = {w.name for w in busy(simulation)[turn::3]}
         simulation.run(simulation.rng.uniform(0.0, 3.0))
@@ -184,7 +184,7 @@
         simulation.cancel(f"req-{turn + 1:06d}")
         for n in range(4):
             simulation.submit(job(10 + 4 * turn + n, tasks=2, cpus=2.0, run_s=8.0))
-            step(simulation, 0.3 * simulation.lease_s)
+            run_checked(simulation, 0.3 * simulation.lease_s)
     simulation.finish()
 
 
@@ -194,19 +194,19 @@
     simulation = started_simulation(specs, 10, partitioned=partitioned)
     for turn in range(4):
         old = simulation.leader()
-        copies = [body for w in simulation.cloud.workers() for _, body in w.sent[-6::2]]
+        copies = [body for w in simulation.cloud.workers() for _, body in w.sent_heartbeats[-6::2]]
         simulation.run(1.5)
         simulation.cancel(f"req-{6 - turn:06d}")
         simulation.crash(old, 3.0)
-        new_leader(simulation, old)
+        wait_for_new_leader(simulation, old)
         for _ in range(10):
             for body in copies:
-                for name in simulation.names:
-                    simulation.copy(name, body)
+                for name in simulation.node_names:
+                    simulation.deliver_late_heartbeat(name, body)
             simulation.run(0.1)
-            simulation.check_sums()
+            simulation.check_derived_state()
         simulation.submit(job(20 + turn, tasks=4, cpus=2.0, run_s=10.0))
-        step(simulation, 6.0)
+        run_checked(simulation, 6.0)
     simulation.finish()
 
 
@@ -231,12 +231,12 @@
         elif old is not None and turn % 3 == 1:
             simulation.isolate(old)
         simulation.cancel(f"req-{10 + 3 * turn:06d}")
-        step(simulation, 6.0)
+        run_checked(simulation, 6.0)
         simulation.heal()
-        simulation.refused.clear()
-        step(simulation, 2.0)
+        simulation.kvstore_refuses.clear()
+        run_checked(simulation, 2.0)
     simulation.finish()
-    assert not any(late > simulation.cancel_s for late in simulation.late_starts)
+    assert not any(late > simulation.cancel_s for late in simulation.starts_after_cancel_s)
 
 
 @PARTED
@@ -260,11 +260,11 @@
         old = simulation.leader()
         if old is not None:
             simulation.crash(old, [0.2, 4.0][turn % 2])
-        step(simulation, 5.0)
+        run_checked(simulation, 5.0)
         # Machines go, so that each turn rents new ones.
         for worker in simulation.cloud.workers()[::2]:
             simulation.cloud.reclaim(worker.name)
-        step(simulation, 3.0)
+        run_checked(simulation, 3.0)
     simulation.finish()
 
 
@@ -281,14 +281,14 @@
         for name in ("n1", "n2"):
             if name in simulation.nodes:
                 simulation.poll(f"req-{n:06d}", name)
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
         if n % 4 == 0:
             simulation.cancel(f"req-{n:06d}")
             simulation.run(0.05)
             simulation.poll(f"req-{n:06d}")
         if n % 9 == 0:
             simulation.crash(simulation.rng.choice(["n1", "n2"]), 0.3)
-        step(simulation, 1.5)
+        run_checked(simulation, 1.5)
         if simulation.acknowledged.get(f"req-{n:06d}") is None:
             simulation.submit(spec)
     simulation.finish()
@@ -312,9 +312,9 @@
             simulation.submit(make(number, team=team, tasks=2, **more))
         if second % 20 == 0:
             simulation.end_faults()
-            simulation.late_commands, simulation.late_reports = 0.3 * rng(), 0.3 * rng()
+            simulation.late_commands, simulation.late_heartbeats = 0.3 * rng(), 0.3 * rng()
             simulation.lost_answers, simulation.late_writes = 0.2 * rng(), 0.2 * rng()
-            simulation.slow_state = 0.3 * rng()
+            simulation.kvstore_delay_s = 0.3 * rng()
             chosen = [w for w in simulation.cloud.workers() if rng() < 0.15]
             for worker in chosen:
                 fault = simulation.rng.randrange(4)
@@ -333,9 +333,9 @@
                 simulation.crash(simulation.leader(), 0.1 + 0.4 * rng())
         if second % 10 == 5:
             simulation.cancel(f"req-{simulation.rng.randint(1, number):06d}")
-        step(simulation, 1.0)
+        run_checked(simulation, 1.0)
     simulation.finish()
-    simulation.check_served(age_s=0.0)
+    simulation.check_service_levels(age_s=0.0)
     assert not simulation.violations
 
 
@@ -347,19 +347,19 @@
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
     machine.recorded = False
-    bench.add()
+    bench.add_job()
     bench.scheduler.dispatch_round(bench.now)
-    assert not bench.take("worker")
+    assert not bench.take_calls("worker")
     machine.recorded = True
     bench.scheduler.dispatch_round(bench.now)
-    assert bench.take("worker")
+    assert bench.take_calls("worker")
 
 
 def test_a_start_without_an_answer_is_settled_by_a_restart_of_its_machine():
     # Holds `_session_over` in `ShardScheduler._take`: a later session can't carry it out, although
     # the new process has seen no token that passes it.
     bench = SchedulerBench()
-    call, _ = bench.start()
+    call, _ = bench.start_tasks()
     call.on_done(bench.now, CallOutcome(0))
     bench.worker_heartbeat([])
     assert bench.job.assigned == {0: "m-1"}, "it may yet be carried out"
--- a/tests/test_shard_completions.py
+++ b/tests/test_shard_completions.py
@@ -10,14 +10,14 @@
 
 def test_done_is_cleared_only_when_stored_and_past_repeats_of_its_start():
     bench = SchedulerBench()
-    call, attempt = bench.start()
+    call, attempt = bench.start_tasks()
     ended = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
         bench.now,
         CallOutcome(
             200,
             encode(
-                bench.message(
+                bench.heartbeat(
                     [("req-000001/0", attempt, "running", None)], sequence=bench.sequence + 1
                 )
             ),
@@ -26,10 +26,10 @@
     bench.sequence += 1
     answer = bench.worker_heartbeat(ended)
     assert answer.commands == []
-    bench.answer_state(0)
+    bench.answer_kvstore(0)
     assert bench.worker_heartbeat(ended).commands == [], "no answer: it may not be stored"
     bench.scheduler.results.store(bench.now, bench.job)
-    bench.answer_state(200)
+    bench.answer_kvstore(200)
     answer = bench.worker_heartbeat(ended)
     assert answer.commands == [] and answer.token > bench.token
     bench.token = answer.token
@@ -39,18 +39,18 @@
 def test_ends_of_many_jobs_are_stored_in_one_record_and_then_cleared():
     bench = SchedulerBench()
     for number in (1, 2):
-        bench.add(number, tasks=2)
+        bench.add_job(number, tasks=2)
     bench.scheduler.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
+    (call,) = bench.take_calls("worker")
     takes = {o["page"]: o["take"] for o in json.loads(call.body)["orders"]}
     ended = [(t, takes[t], "exited", "done") for t in ("req-000001/0", "req-000002/0")]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.heartbeat(ended, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
     bench.now += bench.scheduler.completions.context.interval_s
     bench.scheduler.completions.tick(bench.now)
-    (write,) = bench.take("state")
+    (write,) = bench.take_calls("state")
     (put,) = json.loads(write.body)["writes"]
     assert put["put"].startswith("c/ends/") and set(put["value"]) == {"req-000001", "req-000002"}
     job = bench.jobs.jobs["req-000001"]
@@ -62,13 +62,13 @@
 
 def test_an_applied_write_without_an_answer_is_learned_from_the_watch():
     bench = SchedulerBench()
-    call, attempt = bench.start(tasks=2)
+    call, attempt = bench.start_tasks(tasks=2)
     ended = [("req-000001/0", attempt, "exited", "done")]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.heartbeat(ended, sequence=bench.sequence + 1)))
     )
     bench.scheduler.completions.tick(bench.now + 5)
-    (write,) = bench.take("state")
+    (write,) = bench.take_calls("state")
     put = json.loads(write.body)["writes"][0]
     write.on_done(bench.now, CallOutcome(0))
     bench.jobs.on_completions_event(put["put"], json.dumps(put["value"]).encode())
@@ -78,11 +78,11 @@
 def test_a_job_whose_ends_were_all_stored_by_an_earlier_authority_still_ends():
     # The record of ends was written with the last end in it, and then that leader was gone.
     bench = SchedulerBench()
-    bench.add(tasks=2)
+    bench.add_job(tasks=2)
     bench.jobs.on_completions_event("c/ends/0", b'{"req-000001":"Aw=="}')
     assert bench.job.completed_count == 2
     bench.scheduler.scan(bench.now)
-    (write,) = bench.take("state")
+    (write,) = bench.take_calls("state")
     assert [w.get("put") for w in json.loads(write.body)["writes"]] == [None, "d/job/req-000001"]
 
 
@@ -90,7 +90,7 @@
     # Guards the tasks beside it: counted twice, it hides one that waits, for as long as the other
     # attempt runs, although there is room.
     bench = SchedulerBench()
-    bench.add(tasks=2)
+    bench.add_job(tasks=2)
     # An attempt of task 0 runs here whose end another attempt has brought, as a late write shows.
     bench.worker_heartbeat([("req-000001/0", 5, "running", None)])
     assert bench.job.assigned == {0: "m-1"}
@@ -98,7 +98,7 @@
     assert bench.job.is_completed(0) and 0 in bench.job.assigned
     assert bench.job.pending_count() == 1
     bench.scheduler.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
+    (call,) = bench.take_calls("worker")
     assert [(o["verb"], o["page"]) for o in json.loads(call.body)["orders"]] == [
         ("run", "req-000001/1")
     ]
--- a/tests/test_shard_scheduler.py
+++ b/tests/test_shard_scheduler.py
@@ -17,7 +17,7 @@
 
 def test_an_unanswered_start_stays_possible_until_a_higher_token_is_seen():
     bench = SchedulerBench()
-    call, _ = bench.start()
+    call, _ = bench.start_tasks()
     call.on_done(bench.now, CallOutcome(0))
     answer = bench.worker_heartbeat([])
     assert bench.job.assigned == {0: "m-1"}, "an old token's report proves nothing"
@@ -29,23 +29,23 @@
 
 def test_a_refused_start_is_free_at_once():
     bench = SchedulerBench()
-    call, _ = bench.start()
+    call, _ = bench.start_tasks()
     call.on_done(
-        bench.now, CallOutcome(409, encode(bench.message([], sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(409, encode(bench.heartbeat([], sequence=bench.sequence + 1)))
     )
     assert bench.job.assigned == {}
 
 
 def test_a_start_sent_with_an_answer_is_judged_by_the_next_report_only():
     bench = SchedulerBench()
-    bench.add()
+    bench.add_job()
     machine = bench.scheduler.machines["m-1"]
     machine.command_backoff_until = bench.now + 100
     bench.scheduler.dispatch_round(bench.now)
-    assert bench.take("worker") == []
+    assert bench.take_calls("worker") == []
     answer = bench.worker_heartbeat([])
     assert [c.kind for c in answer.commands] == [CommandKind.START]
-    direct = bench.message([], sequence=bench.sequence + 1)
+    direct = bench.heartbeat([], sequence=bench.sequence + 1)
     bench.scheduler.heartbeats.apply(bench.now, machine, direct, False)
     assert bench.job.assigned == {0: "m-1"}, "an answer of /do may be older than the start"
     bench.sequence += 1
@@ -55,7 +55,7 @@
 
 def test_an_old_report_changes_nothing():
     bench = SchedulerBench()
-    _, attempt = bench.start()
+    _, attempt = bench.start_tasks()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     late = bench.worker_heartbeat([], sequence=1)
     assert late.commands == [] and bench.job.assigned == {0: "m-1"}
@@ -63,16 +63,16 @@
 
 def test_a_cancelled_job_is_killed_at_once_and_again_until_gone():
     bench = SchedulerBench()
-    call, attempt = bench.start()
+    call, attempt = bench.start_tasks()
     running = [("req-000001/0", attempt, "running", None)]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(running, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.heartbeat(running, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
     change = bench.jobs.on_watch_event(bench.now, "c/live/req-000001", None, 80)
     assert change.removed
     bench.scheduler.on_job_completed(bench.now, change.job)
-    (kill,) = bench.take("worker")
+    (kill,) = bench.take_calls("worker")
     assert json.loads(kill.body)["orders"][0]["verb"] == CommandKind.STOP
     kill.on_done(bench.now, CallOutcome(0))
     for _ in range(2):
@@ -81,19 +81,19 @@
 
 def test_the_machine_is_deleted_before_its_tasks_are_free():
     bench = SchedulerBench()
-    _, attempt = bench.start()
+    _, attempt = bench.start_tasks()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     bench.scheduler.machines["m-1"].deletion_requested = True
     bench.scheduler.scan(bench.now)
     assert bench.job.assigned == {0: "m-1"}
     assert [s.deletion_requested for s in bench.scheduler.statuses(bench.now)] == [True]
-    bench.scheduler.on_route(bench.now, dataclasses.replace(bench.entry, deleted=True))
+    bench.scheduler.on_route(bench.now, dataclasses.replace(bench.route, deleted=True))
     assert bench.job.assigned == {} and "m-1" not in bench.scheduler.machines
 
 
 def test_work_of_the_lease_ends_with_the_lease_not_before():
     bench = SchedulerBench()
-    _, attempt = bench.start()
+    _, attempt = bench.start_tasks()
     bench.worker_heartbeat([("req-000001/0", attempt, "running", None)])
     at = bench.now
     bench.scheduler.scan(at + 11.9)
@@ -110,10 +110,10 @@
         bench.now, "c/live/req-000001", json.dumps({"spec": running}).encode(), 70
     )
     bench.scheduler.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
+    (call,) = bench.take_calls("worker")
     takes = [(o["page"], o["take"], "running", None) for o in json.loads(call.body)["orders"]]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(takes, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.heartbeat(takes, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
     waiting = job(2, tasks=4, slot="none", run_s=100.0)
@@ -167,7 +167,7 @@
 
 def test_a_late_write_does_not_make_an_old_job_look_new():
     bench = SchedulerBench()
-    bench.take_over("m-9")
+    bench.adopt_machine("m-9")
     young = json.dumps({"spec": job(1, tasks=2)}).encode()
     old = json.dumps({"spec": job(2, tasks=2), "done": "AQ=="}).encode()
     for number, record in ((1, young), (2, old)):
@@ -179,7 +179,7 @@
 
 def test_what_is_unseen_holds_up_only_jobs_that_may_be_there():
     bench = SchedulerBench()
-    bench.take_over("m-9")
+    bench.adopt_machine("m-9")
     for number, zone in ((1, None), (2, "b"), (3, "a")):
         record = json.dumps({"spec": job(number, hall=zone)}).encode()
         bench.jobs.on_watch_event(bench.now, f"c/live/req-{number:06d}", record, 40)
@@ -191,10 +191,10 @@
 
 def test_a_machine_taken_over_is_asked_at_once_and_its_answer_settles_it():
     bench = SchedulerBench()
-    bench.add(version=40)
-    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
+    bench.add_job(version=40)
+    machine = bench.adopt_machine("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     bench.scheduler.tick(bench.now)
-    (probe,) = bench.take("worker")
+    (probe,) = bench.take_calls("worker")
     sent = json.loads(probe.body)
     assert (probe.address, sent["shift"], sent["orders"]) == ("10.0.0.8:1", 3, [])
 
@@ -210,7 +210,7 @@
     probe.on_done(bench.now, CallOutcome(409, answer(4, 1, 7)))
     assert not machine.reconciled and bench.scheduler.unreconciled == {"m-9"}
     bench.scheduler.tick(bench.now)
-    (probe,) = bench.take("worker")
+    (probe,) = bench.take_calls("worker")
     assert json.loads(probe.body)["shift"] == 4
     probe.on_done(bench.now, CallOutcome(200, answer(4, machine.base_token, 8)))
     assert (
@@ -220,14 +220,14 @@
 
 def test_an_unanswered_probe_proves_nothing_and_is_sent_again_later():
     bench = SchedulerBench()
-    bench.add(version=40)
-    machine = bench.take_over("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
+    bench.add_job(version=40)
+    machine = bench.adopt_machine("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
     for _ in range(3):
         bench.scheduler.tick(bench.now)
-        (probe,) = bench.take("worker")
+        (probe,) = bench.take_calls("worker")
         probe.on_done(bench.now, CallOutcome(0))
         bench.scheduler.tick(bench.now)
-        assert not bench.take("worker")
+        assert not bench.take_calls("worker")
         assert not bench.scheduler.demand.is_startable(bench.job, bench.now)
         bench.now += bench.scheduler.timing.heartbeat_interval_s
     assert machine.name in bench.scheduler.unreconciled and not machine.reconciled
@@ -241,16 +241,16 @@
 @pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
 def test_a_refused_or_failed_attempt_is_tried_again_under_another_number(exit_cause):
     bench = SchedulerBench()
-    call, attempt = bench.start()
+    call, attempt = bench.start_tasks()
     ended = [("req-000001/0", attempt, "exited", exit_cause)]
     call.on_done(
-        bench.now, CallOutcome(200, encode(bench.message(ended, sequence=bench.sequence + 1)))
+        bench.now, CallOutcome(200, encode(bench.heartbeat(ended, sequence=bench.sequence + 1)))
     )
     bench.sequence += 1
     bench.now += 60.0
     bench.worker_heartbeat(ended)
     bench.scheduler.dispatch_round(bench.now)
-    (again,) = bench.take("worker")
+    (again,) = bench.take_calls("worker")
     assert json.loads(again.body)["orders"][0]["take"] > attempt
 
 
@@ -271,17 +271,17 @@
 def test_a_job_left_out_for_long_gets_room_that_is_kept_for_others():
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
-    bench.add(tasks=3)
+    bench.add_job(tasks=3)
     machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
     bench.scheduler.dispatch_round(bench.now)
-    assert not bench.take("worker"), "held for another"
+    assert not bench.take_calls("worker"), "held for another"
     for _ in range(80):
         bench.worker_heartbeat([])
     bench.scheduler.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
+    (call,) = bench.take_calls("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
     bench.scheduler.dispatch_round(bench.now)
-    assert not bench.take("worker"), "the rest of the room is still held"
+    assert not bench.take_calls("worker"), "the rest of the room is still held"
 
 
 def test_a_job_that_has_begun_and_is_left_out_for_long_gets_room_that_is_kept_too():
@@ -289,7 +289,7 @@
     # that were kept for others until they were given back.
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
-    bench.add(tasks=3)
+    bench.add_job(tasks=3)
     bench.job.mark_completed(0)
     bench.job.arrived_at = bench.now - 500.0
     machine.reserved_for_job, machine.reserved_until = "req-000099", bench.now + 1000.0
@@ -299,9 +299,9 @@
     for _ in range(70):
         bench.worker_heartbeat([])
         bench.scheduler.dispatch_round(bench.now)
-    assert not bench.take("worker"), "held for another, and it had a place not long ago"
+    assert not bench.take_calls("worker"), "held for another, and it had a place not long ago"
     for _ in range(10):
         bench.worker_heartbeat([])
     bench.scheduler.dispatch_round(bench.now)
-    (call,) = bench.take("worker")
+    (call,) = bench.take_calls("worker")
     assert len(json.loads(call.body)["orders"]) == 1, "it doesn't wait beside room"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,11 +12,11 @@
 
     def __init__(self, count=3, zones="a", **more):
         self.simulation = Simulation()
-        for name in self.simulation.names:
+        for name in self.simulation.node_names:
             self.simulation.crash(name, 1e9)
         self.spec = gang(1, tasks=count, run_s=40.0, **more)
         self.simulation.specs["req-000001"] = self.spec
-        self.simulation.lengths["req-000001"] = 40.0
+        self.simulation.gang_runtime_s["req-000001"] = 40.0
         self.workers = [self.worker(i, zones[i % len(zones)]) for i in range(count + 1)]
 
     def worker(self, index, zone):
@@ -49,7 +49,7 @@
 
     @property
     def progress(self):
-        return self.simulation.progress.get("req-000001", 0.0)
+        return self.simulation.saved_progress.get("req-000001", 0.0)
 
 
 def test_fakes_start_together_and_complete_together():
@@ -139,10 +139,10 @@
     harness.simulation.run(8.0)
     assert harness.states(0, 1, 2) == ["running"] * 3
     harness.workers[0].hang(6.0)
-    sent = len(harness.workers[0].sent)
+    sent = len(harness.workers[0].sent_heartbeats)
     harness.simulation.run(4.0)
     assert harness.states(0, 1, 2) == ["running", ("mates_gone", False), ("mates_gone", False)]
-    assert len(harness.workers[0].sent) == sent and harness.workers[0].present_tasks()
+    assert len(harness.workers[0].sent_heartbeats) == sent and harness.workers[0].present_tasks()
     harness.simulation.run(2.1)
     assert harness.state(0) == ("mates_gone", False) and harness.progress == 15.0
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -28,7 +28,7 @@
 from copperpass.protocol.frames.stream import FrameDecoder
 from copperpass.settings import Team, parse
 from copperpass.tuning import Tuning
-from tests.deployments import LARGE, TYPE, machine_types
+from tests.deployments import LARGE, MACHINE_TYPE, machine_types
 from tests.request_bodies import job, raw_settings
 from tests.scheduler_bench import SchedulerBench
 from tests.simulation import Simulation
@@ -128,7 +128,7 @@
     assert service.truth() == ({}, inventory.machines, inventory.up)
     assert len(inventory.up) == MACHINES and not inventory.full()
     state = service.state
-    assert (state.too_large, state.too_fast) == (0, 0) and state.largest <= 1024 * value_kb
+    assert (state.too_large, state.too_fast) == (0, 0) and state.largest_value <= 1024 * value_kb
     # A new leader has them all from the view.
     pages = len(inventory.pages)
     assert pages * 1024 * value_kb < 4 * 40 * MACHINES
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("machines", [400, 4000])
 def test_a_job_that_finds_no_capacity_does_not_look_at_full_machines(machines):
     # Each waiting job looked at each machine: thousands by thousands, several times a second.
-    kind = machine_types(TYPE)["box"]
+    kind = machine_types(MACHINE_TYPE)["box"]
     looks = []
 
     class Counted(FreeCapacity):
@@ -164,7 +164,7 @@
             bench.now, MachineRoute(name, "box", "a", True, 0, bench.token, recorded=True)
         )
         bench.scheduler.machines[name].reconciled = True
-    bench.add(1, tasks=2)
+    bench.add_job(1, tasks=2)
     bench.scheduler.dispatch_round(bench.now)
     for _ in range(3):
         bench.worker_heartbeat([])
@@ -203,5 +203,5 @@
     simulation.run(1.0)
     simulation.cancel("req-000081")
     simulation.finish(240.0)
-    simulation.check_served()
+    simulation.check_service_levels()
     assert len(simulation.acknowledged) == 90 and not simulation.violations
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -15,7 +15,7 @@
 from copperpass.protocol.json_codec import decode
 from copperpass.protocol.records import JobRecord
 from copperpass.settings import Objective
-from tests.deployments import TYPE, machine_types
+from tests.deployments import MACHINE_TYPE, machine_types
 from tests.request_bodies import job
 
 OBJECTIVES = [
@@ -54,7 +54,9 @@
 
 
 def types(*shapes):
-    return machine_types(*({**TYPE, "name": n, "cpus": c, "memory_gb": 4 * c} for n, c in shapes))
+    return machine_types(
+        *({**MACHINE_TYPE, "name": n, "cpus": c, "memory_gb": 4 * c} for n, c in shapes)
+    )
 
 
 def test_types_that_large_tasks_need_are_kept_from_small_ones_while_large_ones_are_about():
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -68,6 +68,6 @@
     # Batches of up to 16 never fit into 5 a second: the pace finds what does, without a storm.
     assert harness.state.too_fast < 0.2 * sent + 60
     slow = transactions.budget.rate
-    harness.state.drop(write_rps=60.0)
+    harness.state.set_limits(write_rps=60.0)
     transactions.budget.take(harness.now + 120.0, 0.0)
     assert slow < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -21,7 +21,7 @@
 
 def answer(simulation, raw):
     """Submit a body; an exception in the core would end the test here."""
-    user = simulation.ask(lambda user_api, u: user_api.submit(simulation.now, u, raw))
+    user = simulation.request(lambda user_api, u: user_api.submit(simulation.now, u, raw))
     simulation.run(2)
     return user
 
@@ -161,12 +161,12 @@
 
 
 def test_no_state_no_decision(simulation):
-    simulation.state.down = True
+    simulation.kvstore.down = True
     users = [
         simulation.submit(job(60)),
         simulation.poll("req-000050"),
         simulation.cancel("req-000050"),
     ]
     simulation.run(3)
-    simulation.state.down = False
+    simulation.kvstore.down = False
     assert [(u.status, u.retry_after) for u in users] == [(503, 1)] * 3
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -11,21 +11,21 @@
 
 
 def test_coming_limits_are_checked_and_the_lower_of_both_holds():
-    state = settings_module.parse(raw_settings(coming=COMING)).cluster.state
+    state = settings_module.parse(raw_settings(next_limits=COMING)).cluster.state
     assert (state.least_write_rps, state.least_value_bytes, state.least_txn_ops) == (15, 2048, 5)
     plain = settings_module.parse(raw_settings()).cluster.state
     assert (plain.least_write_rps, plain.least_value_bytes, plain.least_txn_ops) == (60, 32768, 16)
-    higher = settings_module.parse(raw_settings(coming={**COMING, "value_kb": 64.0}))
+    higher = settings_module.parse(raw_settings(next_limits={**COMING, "value_kb": 64.0}))
     assert higher.cluster.state.least_value_bytes == 32768
     for field, value in (("write_rps", 0), ("value_kb", -1.0), ("txn_ops", 3), ("txn_ops", "x")):
         with pytest.raises(SettingsError, match=f"next.{field}"):
-            settings_module.parse(raw_settings(coming={**COMING, field: value}))
+            settings_module.parse(raw_settings(next_limits={**COMING, field: value}))
 
 
 def test_a_submission_that_no_value_can_hold_is_refused_for_good_and_others_are_not():
-    simulation = Simulation(coming=COMING)
+    simulation = Simulation(next_limits=COMING)
     simulation.run_until(simulation.leader)
-    simulation.state.drop(**COMING)
+    simulation.kvstore.set_limits(**COMING)
     padded = simulation.submit(
         job(1, racks=["box"] * 500 + [f"no-such-type-{n}" for n in range(90)])
     )
@@ -33,22 +33,22 @@
     large = simulation.submit(job(3, master="i" * 1500))
     simulation.run(1.0)
     assert [padded.status, endless.status, large.status] == [201, 422, 201]
-    assert simulation.state.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
-    assert simulation.state.too_large == 0
+    assert simulation.kvstore.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
+    assert simulation.kvstore.too_large == 0
     # Small enough by our count and too large by the service's own.
-    size = len(encode(simulation.state.data["c/live/req-000003"][0]))
+    size = len(encode(simulation.kvstore.data["c/live/req-000003"][0]))
     narrow = simulation.submit(job(4, master="i" * (1500 + 2048 - 10 - size)))
     simulation.run(1.0)
-    assert narrow.status == 422 and simulation.state.too_large == 1
+    assert narrow.status == 422 and simulation.kvstore.too_large == 1
     again = simulation.submit(job(1, master="i" * 3000))
     simulation.run(1.0)
     assert again.status == 200
 
 
 def test_an_offer_that_no_value_can_hold_is_not_stored():
-    simulation = Simulation(coming=COMING)
-    one = dict(simulation.cloud.offer[0])
-    simulation.cloud.offer = [{**one, "name": f"box-{n}"} for n in range(20)] + [one]
+    simulation = Simulation(next_limits=COMING)
+    one = dict(simulation.cloud.machine_types[0])
+    simulation.cloud.machine_types = [{**one, "name": f"box-{n}"} for n in range(20)] + [one]
     simulation.run_until(simulation.leader)
     simulation.submit(job(1))
     calls = []
@@ -58,5 +58,5 @@
         handle(method, path, *rest),
     )
     simulation.run(20.0)
-    assert "c/types" not in simulation.state.data and calls.count("/machine_types") <= 6
+    assert "c/types" not in simulation.kvstore.data and calls.count("/machine_types") <= 6
     assert not simulation.violations
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -6,7 +6,7 @@
 from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
 from copperpass.protocol.frames.messages import JobCancelled
 from tests.request_bodies import job
-from tests.scenarios import running
+from tests.scenarios import present_task_count
 from tests.simulation import Simulation
 
 
@@ -16,7 +16,7 @@
     simulation.run(3.0)
     for n in range(1, 5):
         simulation.submit(job(n, run_s=400.0, team="red" if n % 2 else "blue", **more))
-    simulation.run_until(lambda: running(simulation) == 8, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 8, 60)
     simulation.run(2.0)
     return simulation
 
@@ -35,17 +35,17 @@
 def test_cancelled_while_the_leader_is_refused_alone_and_then_everybody(partitioned, gap):
     simulation = started_simulation(partitioned)
     old = simulation.leader()
-    simulation.refused.add(old)
-    others = [n for n in simulation.names if n != old]
+    simulation.kvstore_refuses.add(old)
+    others = [n for n in simulation.node_names if n != old]
     asked = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in range(1, 5)]
     simulation.run(gap)
     assert [a.status for a in asked] == [200] * 4
-    simulation.state.down = True
+    simulation.kvstore.down = True
     simulation.run(0.5)
-    simulation.refused.discard(old)
+    simulation.kvstore_refuses.discard(old)
     check_cancelled_for(simulation, 1.6 * simulation.cancel_s)
-    assert running(simulation) == 0 and not simulation.violations
-    simulation.outage_over()
+    assert present_task_count(simulation) == 0 and not simulation.violations
+    simulation.end_outage()
     check_cancelled_for(simulation, 20.0)
     assert not simulation.violations
 
@@ -56,16 +56,20 @@
     shares = simulation.nodes[leader].cluster_manager.shards.values()
     shard = next(p for p in shares if p.owner != leader)
     owner, starts = shard.owner, simulation.starts
-    simulation.refused.add(owner)
+    simulation.kvstore_refuses.add(owner)
     simulation.run_until(
         lambda: shard.owner not in ("", owner),
         3 * simulation.nodes[leader].timings.leader_ttl_s + 2.0,
     )
-    other = next(n for n in simulation.names if n not in (owner, leader))
+    other = next(n for n in simulation.node_names if n not in (owner, leader))
     for n in range(1, 5):
         assert simulation.cancel(f"req-{n:06d}", other)
     check_cancelled_for(simulation, 2.0 * simulation.cancel_s)
-    assert running(simulation) == 0 and simulation.starts == starts and not simulation.violations
+    assert (
+        present_task_count(simulation) == 0
+        and simulation.starts == starts
+        and not simulation.violations
+    )
 
 
 def leader_with_hung_watch():
@@ -74,11 +78,11 @@
     leader = simulation.leader()
     simulation.watches_blocked.add(leader)
     simulation.run(3.0)
-    for name in simulation.names:
+    for name in simulation.node_names:
         if name != leader:
             # The others see nothing of it: they are cut off, and users reach the state over them.
             simulation.cut(leader, name)
-    other = next(n for n in simulation.names if n != leader)
+    other = next(n for n in simulation.node_names if n != leader)
     for n in range(1, 5):
         simulation.cancel(f"req-{n:06d}", other)
     check_cancelled_for(simulation, 1.5 * simulation.cancel_s)
@@ -87,7 +91,7 @@
 
 def test_a_leader_whose_watch_hangs_while_its_key_is_renewed_steps_down_in_time():
     simulation = leader_with_hung_watch()
-    assert running(simulation) == 0 and not simulation.violations
+    assert present_task_count(simulation) == 0 and not simulation.violations
 
 
 def test_without_the_bound_on_the_watch_cache_that_day_breaks_a_rule(monkeypatch):
@@ -105,7 +109,11 @@
     simulation.watches_blocked.add(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader), 12)
     simulation.run(15.0)
-    assert running(simulation) == 8 and simulation.starts == starts and not simulation.violations
+    assert (
+        present_task_count(simulation) == 8
+        and simulation.starts == starts
+        and not simulation.violations
+    )
 
 
 def test_a_watch_cache_is_consistent_only_once_its_list_is_complete():
@@ -132,11 +140,11 @@
     simulation.watches_blocked.add(leader)
     simulation.run(1.0)
     waiting = simulation.submit(job(9, tasks=9, cpus=7.5, run_s=100.0), "n2")
-    others = [n for n in simulation.names if n != leader]
+    others = [n for n in simulation.node_names if n != leader]
     asked = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in (1, 2, 3, 4, 9)]
     simulation.run(1.2)
     assert waiting.status == 201 and [a.status for a in asked] == [200] * 5
-    assert simulation.leader() == leader and running(simulation) == 0
+    assert simulation.leader() == leader and present_task_count(simulation) == 0
     starts = simulation.starts
     simulation.run(30.0)
     assert simulation.starts == starts and not simulation.violations
@@ -149,12 +157,12 @@
     )
     announced = []
     leader = simulation.leader()
-    one, other = [n for n in simulation.names if n != leader]
-    deliver = simulation.frame
-    simulation.frame = lambda s, m, f: (
+    one, other = [n for n in simulation.node_names if n != leader]
+    deliver = simulation.receive_frame
+    simulation.receive_frame = lambda s, m, f: (
         announced.append((s, m)) if isinstance(f, JobCancelled) else deliver(s, m, f)
     )
     simulation.nodes[one].version_registry.upgraded.discard(leader)
     simulation.cancel("req-000001", one)
     simulation.run(2.0)
-    assert announced == [(one, other)] and running(simulation) == 6
+    assert announced == [(one, other)] and present_task_count(simulation) == 6
