--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""A deployment of controllers among fakes of the outside systems, on one clock."""
+"""Discrete-event simulation of a deployment: real controllers, fake external systems."""
 
 from tests.simulation.simulation import Simulation
 from tests.simulation.users import UserRequest
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -1,4 +1,4 @@
-"""The controllers' processes: start, crash, and what goes in and out of them."""
+"""Controller processes: start, crash, and their input and output."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from tests.simulation.invariants import Invariants
 
 
-def no_answer(status, body):
-    """Nobody gets the answer."""
+def discard_answer(status, body):
+    """Drop the answer: it is lost, or its requester no longer waits for it."""
 
 
 class CurrentFrames:
-    """Frames as this version writes and reads them."""
+    """The frame codec of this version, with the interface of `EarlierVersion`."""
 
     encode_frame = staticmethod(encode_frame)
     frame_decoder = FrameDecoder
 
 
 class Controllers(Invariants):
-    """Processes of this or an earlier version, one for each member at a time."""
+    """Controller processes of this or an earlier version, at most one per member at a time."""
 
     def boot(self, name):
         self.incarnation[name] += 1
@@ -52,20 +52,26 @@
             )
         self.tick(name, self.incarnation[name])
 
-    def crash(self, name, back_after=2.0):
+    def crash(self, name, restart_after_s=2.0):
+        """Stop a controller and start it again after `restart_after_s` seconds.
+
+        A start or crash of the same controller in the meantime cancels this restart.
+        """
         self.nodes.pop(name, None)
         self.incarnation[name] += 1
-        life = self.incarnation[name]
-        self.after(back_after, lambda: self.incarnation[name] == life and self.boot(name))
+        incarnation = self.incarnation[name]
+        self.after(
+            restart_after_s, lambda: self.incarnation[name] == incarnation and self.boot(name)
+        )
 
-    def tick(self, name, life):
-        if self.incarnation[name] == life and name in self.nodes:
+    def tick(self, name, incarnation):
+        if self.incarnation[name] == incarnation and name in self.nodes:
             self.nodes[name].tick(self.now)
             self.process_outbox(name)
-            self.after(0.05, lambda: self.tick(name, life))
+            self.after(0.05, lambda: self.tick(name, incarnation))
 
     def deliver_late_heartbeat(self, name, body):
-        """A late copy of a report: nobody waits for the answer."""
+        """Deliver a late copy of a worker heartbeat; the answer is discarded."""
         if name in self.nodes:
             self.nodes[name].worker_heartbeat(
                 self.now, WorkerRequest(lambda status, body: None), body
@@ -73,7 +79,7 @@
             self.process_outbox(name)
 
     def maybe_duplicate_heartbeat(self, name, body):
-        """A copy of a report may come again, from seconds to well over a lease later."""
+        """Maybe deliver a second copy of a heartbeat, 2 s to 2.5 worker leases later."""
         if self.late_heartbeats and self.rng.random() < self.late_heartbeats:
             self.after(
                 self.rng.uniform(2.0, 2.5 * self.lease_s),
@@ -90,42 +96,43 @@
             if node is None:
                 reply(0, b"{}")
                 return
-            asker = WorkerRequest(
+            request = WorkerRequest(
                 lambda status, body: self.deliver(
-                    name, sender, lambda: reply(status, body), back=True
+                    name, sender, lambda: reply(status, body), is_answer=True
                 )
             )
-            node.worker_heartbeat(self.now, asker, body)
+            node.worker_heartbeat(self.now, request, body)
             self.process_outbox(name)
 
         self.deliver(sender, name, arrive)
 
     def inventory_records(self):
-        """The fleet's records that count: the one record while it exists, else the pages."""
+        """Return the machine inventory: the single record while it exists, otherwise the pages."""
         data = self.kvstore.data
         keys = ["c/fleet"] if "c/fleet" in data else [k for k in data if k.startswith("c/fleet/")]
         return [data[key][0] for key in keys]
 
     def process_outbox(self, name):
-        node, life = self.nodes.get(name), self.incarnation[name]
+        node, incarnation = self.nodes.get(name), self.incarnation[name]
         if node is None:
             return
         out = node.out
         out.logs.clear()
         for reply in out.replies:
             self.report_output(name, "reply", reply.status, reply.body, reply.retry_after)
-            user = reply.request
-            if isinstance(user, WorkerRequest):
-                user.answer(reply.status, reply.body)
+            request = reply.request
+            if isinstance(request, WorkerRequest):
+                request.answer(reply.status, reply.body)
                 continue
-            user.status, user.retry_after = reply.status, reply.retry_after
-            user.body = json.loads(reply.body)
-            self.check_answer(user, name)
+            request.status, request.retry_after = reply.status, reply.retry_after
+            request.body = json.loads(reply.body)
+            self.check_answer(request, name)
         out.replies.clear()
         frames, out.frames = out.frames, []
         codec = self.running_versions[name] or CurrentFrames
         for member, frame in frames:
-            # Versions meet as bytes; among equals the way there and back changes nothing.
+            # Between different versions, frames travel as bytes. If all run this version, the codec
+            # round trip changes nothing and is skipped.
             sent = codec.encode_frame(frame) if self.mixed_versions else frame
             if self.on_output:
                 self.report_output(name, "frame", member, codec.encode_frame(frame))
@@ -143,7 +150,7 @@
                 call.body,
                 call.timeout_s,
             )
-            self.send_call(name, life, call)
+            self.send_call(name, incarnation, call)
 
     def report_output(self, name, kind, *parts):
         if self.on_output:
@@ -154,18 +161,18 @@
         if node:
             codec = self.running_versions[member] or CurrentFrames
             frames = codec.frame_decoder().feed(frame) if self.mixed_versions else [frame]
-            for one in frames:
-                node.on_frame(self.now, sender, one)
+            for decoded in frames:
+                node.on_frame(self.now, sender, decoded)
             self.process_outbox(member)
 
-    def send_call(self, name, life, call):
-        over = []
+    def send_call(self, name, incarnation, call):
+        finished = []
 
         def finish(status, body):
-            if over:
+            if finished:
                 return
-            over.append(True)
-            if self.incarnation[name] == life and name in self.nodes:
+            finished.append(True)
+            if self.incarnation[name] == incarnation and name in self.nodes:
                 call.on_done(self.now, CallOutcome(status, body))
                 self.process_outbox(name)
 
@@ -179,7 +186,7 @@
                 self.cloud.handle(call.method, call.path, call.body, reply)
             elif self.late_commands and self.rng.random() < self.late_commands:
                 self.after(
-                    self.rng.uniform(2.0, 16.0), lambda: self.deliver_command(call, no_answer)
+                    self.rng.uniform(2.0, 16.0), lambda: self.deliver_command(call, discard_answer)
                 )
             else:
                 self.deliver_command(call, reply)
@@ -188,19 +195,19 @@
         self.after(call.timeout_s, lambda: finish(0, b""))
 
     def serve_kvstore_call(self, name, call, reply):
-        """Have the state service carry a request out, as the failures of the moment let it."""
+        """Execute a request of a controller in the key-value store, subject to active faults."""
         request = (call.method, call.path, call.body)
         is_transaction = call.path == "/multi"
         if name in self.kvstore_refuses:
             reply(503, b"{}")
         elif is_transaction and self.late_writes and self.rng.random() < self.late_writes:
-            # No answer, and carried out late, after newer ones.
+            # Executed late, possibly after newer transactions, and never answered.
             self.after(
-                self.rng.uniform(2.0, 12.0), lambda: self.kvstore.handle(*request, no_answer)
+                self.rng.uniform(2.0, 12.0), lambda: self.kvstore.handle(*request, discard_answer)
             )
         elif is_transaction and self.lost_answers and self.rng.random() < self.lost_answers:
-            # Carried out at once, and only the answer is lost.
-            self.kvstore.handle(*request, no_answer)
+            # Executed at once; only the answer is lost.
+            self.kvstore.handle(*request, discard_answer)
         elif self.kvstore_delay_s:
             self.after(
                 self.rng.uniform(0.0, self.kvstore_delay_s),
@@ -215,6 +222,7 @@
             machine["worker"].on_command(call.body, reply)
 
     def leader(self):
+        """Return the controller with leader authority, or None; fail if more than one has it."""
         leading = [n for n, node in self.nodes.items() if node.election.has_authority(self.now)]
         assert len(leading) <= 1, f"two authorities: {leading}"
         return leading[0] if leading else None
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Failures that a test brings about."""
+"""Faults that a test injects."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Faults(Network):
-    """Partitions and outages of the state service, and the end of all failures."""
+    """Network partitions and outages of the key-value store, and the end of all faults."""
 
     def isolate(self, name):
-        """Cut a controller from the state service and the other controllers alone."""
+        """Partition a controller from the store and the other controllers, but not from workers."""
         self.kvstore_refuses.add(name)
         for other in self.node_names:
             if other != name:
                 self.cut(name, other)
 
     def outage(self, seconds):
-        """The state service is out; afterwards every lease has its full time again."""
+        """Stop the key-value store for a time; every lease then restarts with its full TTL."""
         self.kvstore.down = True
         self.run(seconds)
         self.end_outage()
@@ -28,7 +28,7 @@
         self.kvstore.notify_watches()
 
     def end_faults(self):
-        """End all faults."""
+        """Heal all partitions and reset every fault setting to its default."""
         self.heal()
         self.inbound_blocked, self.outbound_blocked, self.kvstore_refuses = set(), set(), set()
         self.late_writes = self.late_heartbeats = self.kvstore_delay_s = 0.0
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""Rules that hold at every moment, whatever fails."""
+"""Safety invariants, which must hold at all times and under all faults."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 
 
 class Invariants(Faults):
-    """A rule that is broken adds a line to `broken`, or fails the test at once."""
+    """Records a violated invariant in `violations`, or fails the test at once."""
 
-    def check_answer(self, user, name):
-        if user.known_job_id is not None and user.status in (400, 404, 422):
-            self.violations.append(f"forgotten: {user.known_job_id} {user.status}")
-        if user.status not in (200, 201) or "id" not in user.body:
+    def check_answer(self, request, name):
+        if request.known_job_id is not None and request.status in (400, 404, 422):
+            self.violations.append(f"forgotten: {request.known_job_id} {request.status}")
+        if request.status not in (200, 201) or "id" not in request.body:
             return
-        job_id, status = user.body["id"], user.body["status"]
-        # Told by anybody before this was asked, or by the same node before this was answered. Of
-        # two questions that overlap at two nodes, the one read first may be answered last.
-        for before in (
-            user.final_states_before.get(job_id),
+        job_id, status = request.body["id"], request.body["status"]
+        # A final state is final: compare with what any controller answered before this request was
+        # sent, and with what this controller answered before. Answers of other controllers to
+        # overlapping requests don't count: of two such requests, the one that read the job first
+        # may be answered last.
+        for earlier in (
+            request.final_states_before.get(job_id),
             self.acknowledged_by[name].get(job_id),
         ):
-            if before in (JobState.DONE, JobState.CANCELLED) and status != before:
-                self.violations.append(f"went_back: {job_id} {before} -> {status}")
+            if earlier in (JobState.DONE, JobState.CANCELLED) and status != earlier:
+                self.violations.append(f"went_back: {job_id} {earlier} -> {status}")
         self.acknowledged_by[name][job_id] = status
         if status == JobState.DONE:
             spec = self.specs[job_id]
@@ -36,10 +38,11 @@
             self.acknowledged[job_id] = status
 
     def on_task_started(self, worker, task, spec):
+        """Check a task that has just started, or joined its gang, on a machine."""
         self.starts += 1
         job_id = task.split("/")[0]
         self.first_start.setdefault(job_id, self.now)
-        present = self.task_index.of(job_id)
+        present = self.task_index.tasks_of_job(job_id)
         for other, (other_task, _) in present:
             if other is not worker and other.alive and other_task == task:
                 self.violations.append(f"ran_twice: {task}")
@@ -70,46 +73,47 @@
                 self.violations.append(f"ran_cancelled: {task}")
 
     def on_writes(self, writes):
-        """A change of the state service; scenarios may look at it."""
+        """Called after each committed transaction; tests may override it to observe the writes."""
 
     def check_derived_state(self):
-        """What owners keep up as they go must equal a count from the beginning."""
+        """Check that incrementally updated sums and indexes equal a recount."""
         assert self.task_index.matches(self.cloud.workers())
         for node in self.nodes.values():
             for scheduler in node.schedulers:
                 for team in scheduler_attribute(scheduler, "teams_by_name"):
                     active = [
-                        p
-                        for m in scheduler.machines.values()
-                        for p in m.tasks.values()
-                        if p.active and p.team == team
+                        placement
+                        for machine in scheduler.machines.values()
+                        for placement in machine.tasks.values()
+                        if placement.active and placement.team == team
                     ]
                     counted = sum(p.cpus for p in active), sum(p.gpus for p in active)
-                    kept = scheduler_attribute(scheduler, "quota_usage").of(team)
-                    assert all(abs(a - b) < 1e-6 for a, b in zip(kept, counted, strict=True))
+                    tracked = scheduler_attribute(scheduler, "quota_usage").of(team)
+                    assert all(abs(a - b) < 1e-6 for a, b in zip(tracked, counted, strict=True))
                 unidentified = {
-                    m.name
-                    for m in scheduler.machines.values()
-                    for p in m.tasks.values()
-                    if p.active and p.team == UNIDENTIFIED
+                    machine.name
+                    for machine in scheduler.machines.values()
+                    for placement in machine.tasks.values()
+                    if placement.active and placement.team == UNIDENTIFIED
                 }
                 assert scheduler_attribute(scheduler, "quota_usage").unidentified == unidentified
                 assert scheduler_attribute(scheduler, "unreconciled") <= set(scheduler.machines)
 
     def check_owners(self):
-        """No shard has two members that may command its machines, whoever leads or has led."""
+        """Check that at most one member has authority over a shard, across changes of leader."""
         owned = [
-            (shard_of(o), n)
-            for n, node in self.nodes.items()
-            for o in node.schedulers
+            (shard_of(scheduler), name)
+            for name, node in self.nodes.items()
+            for scheduler in node.schedulers
             if node.grant_client.has_authority(self.now)
         ]
         assert len({shard for shard, _ in owned}) == len(owned), f"two owners: {owned}"
 
     def check_cancelled(self):
+        """Check that no task is on a machine `cancel_s` after its job was confirmed cancelled."""
         for job_id, cancelled_at in self.cancelled.items():
             if self.now - cancelled_at > self.cancel_s:
                 self.violations += [
                     f"ran_cancelled: {task} still there"
-                    for _, (task, _) in self.task_index.of(job_id)
+                    for _, (task, _) in self.task_index.tasks_of_job(job_id)
                 ]
--- a/tests/simulation/service_checks.py
+++ b/tests/simulation/service_checks.py
@@ -1,4 +1,4 @@
-"""What users may expect once the failures are over: jobs start and complete in time."""
+"""Liveness checks: once all faults have ended, jobs start and complete in time."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 
 
 class ServiceChecks(Users):
-    """No job waits beside capacity that fits it, and every accepted job is completed."""
+    """Checks that no job waiting_since while capacity fits it, and that accepted jobs complete."""
 
     def check_starvation(self, bound=90.0):
-        """To be called about once a second without faults: who waits beside room that fits?"""
-        on = set()
-        # Of the machines that take work, by what a job may ask of them: the CPUs in use on the one
-        # with the least. If a task fits on any of these, it fits on that one.
+        """Record jobs that waited longer than `bound` seconds although a machine had room.
+
+        Call it about once a second, with no fault active.
+        """
+        placed_jobs = set()
+        # For each (zone, spot, CPUs) of machines that accept tasks: the CPUs in use on the least
+        # used machine. A task that fits on any machine of that group fits on this one.
         least_used = {}
         used = dict.fromkeys(self.deployment.team_names, 0.0)
         for worker in self.cloud.workers():
             used_here = 0.0
-            for (task, _), t in worker.tasks.items():
-                if t["state"] != "exited":
-                    on.add(task.split("/")[0])
-                    used[self.specs[task.split("/")[0]]["desk"]] += t["cpus"]
-                    used_here += t["cpus"]
+            for (task, _), record in worker.tasks.items():
+                if record["state"] != "exited":
+                    placed_jobs.add(task.split("/")[0])
+                    used[self.specs[task.split("/")[0]]["desk"]] += record["cpus"]
+                    used_here += record["cpus"]
             if worker.alive and worker.reclaim_notice_s is None:
-                place = (worker.zone, worker.spot, worker.machine_type["cpus"])
-                least_used[place] = min(used_here, least_used.get(place, used_here))
+                group = (worker.zone, worker.spot, worker.machine_type["cpus"])
+                least_used[group] = min(used_here, least_used.get(group, used_here))
         for job_id in sorted(self.acknowledged):
             spec = self.specs[job_id]
             ended = all(f"{job_id}/{i}" in self.completed for i in range(spec["pages"]))
@@ -35,46 +38,50 @@
                 and spec["hall"] in (None, zone)
                 for (zone, spot, cpus), used_here in least_used.items()
             )
-            if ended or job_id in self.cancelled or job_id in on or not fits:
+            if ended or job_id in self.cancelled or job_id in placed_jobs or not fits:
                 self.waiting_since.pop(job_id, None)
             elif self.now - self.waiting_since.setdefault(job_id, self.now) > bound:
                 self.violations.append(f"starved: {job_id}")
 
     def check_accepted_jobs_known(self):
-        """Every accepted uncancelled job is answered for, and none is forgotten or called less."""
+        """Poll each accepted job that isn't cancelled: none may be unknown or go back in state."""
         accepted = sorted(j for j in self.acknowledged if j not in self.cancelled)
-        polls = {j: self.poll(j) for j in accepted}
+        polls = {job_id: self.poll(job_id) for job_id in accepted}
         self.run(3.0)
-        self.violations += [f"forgotten: {j}" for j, p in polls.items() if p.status != 200]
+        self.violations += [
+            f"forgotten: {job_id}" for job_id, poll in polls.items() if poll.status != 200
+        ]
 
-    def finish(self, seconds=300.0, known_after=75.0):
-        """End all faults, and see that every accepted job that wasn't cancelled is done."""
+    def finish(self, seconds=300.0, known_check_after_s=75.0):
+        """End all faults and check that each accepted, uncancelled job completes in time."""
         self.end_faults()
-        end, asked = self.now + seconds, self.now + known_after
+        end, known_check_at = self.now + seconds, self.now + known_check_after_s
         while self.now < end:
             self.run(1.0)
             self.leader()
             self.check_starvation()
             self.check_cancelled()
-            if asked and self.now >= asked:
+            if known_check_at and self.now >= known_check_at:
                 self.check_accepted_jobs_known()
-                asked = 0.0
-            left = [
+                known_check_at = 0.0
+            unfinished = [
                 j
                 for j in self.acknowledged
                 if j not in self.cancelled and f"d/job/{j}" not in self.kvstore.data
             ]
-            if not left:
+            if not unfinished:
                 break
         self.check_accepted_jobs_known()
         self.check_derived_state()
         assert not self.violations, self.violations
-        assert not left, [self.specs[j] for j in left]
+        assert not unfinished, [self.specs[j] for j in unfinished]
 
     def check_service_levels(self, within=240.0, age_s=None):
-        """At least half of each class and team is done, and the largest of a class start in time.
+        """Check per class and team that at least half of the jobs are done; return the shares.
 
-        Only jobs count that weren't cancelled and came longer than `age_s` ago, as a rule `within`.
+        Of each class's jobs with the most CPUs, at least half must have started within `within`
+        seconds. Counts jobs submitted more than `age_s` seconds ago (default: `within`) and not
+        cancelled.
         """
         age_s = within if age_s is None else age_s
         groups = {}
@@ -83,57 +90,68 @@
             for j in sorted(self.acknowledged)
             if j not in self.cancelled and self.now - self.submitted[j] > age_s
         ]
-        largest = {}
+        most_cpus = {}
         for spec in counted:
-            largest[spec["slot"]] = max(spec["cpus"], largest.get(spec["slot"], 0.0))
+            most_cpus[spec["slot"]] = max(spec["cpus"], most_cpus.get(spec["slot"], 0.0))
         for spec in counted:
             job_id = spec["id"]
             done = all(f"{job_id}/{i}" in self.completed for i in range(spec["pages"]))
             groups.setdefault(("class", spec["slot"]), []).append(done)
             groups.setdefault(("team", spec["desk"]), []).append(done)
-            if spec["cpus"] == largest[spec["slot"]]:
+            if spec["cpus"] == most_cpus[spec["slot"]]:
                 started_in_s = self.first_start.get(job_id, float("inf")) - self.submitted[job_id]
                 groups.setdefault(("largest of", spec["slot"]), []).append(started_in_s <= within)
-        shares = {group: sum(served) / len(served) for group, served in groups.items()}
-        poor = {group: share for group, share in shares.items() if share < 0.5}
-        if poor:
-            self.violations.append(f"unserved: {poor}")
+        shares = {group: sum(outcomes) / len(outcomes) for group, outcomes in groups.items()}
+        underserved = {group: share for group, share in shares.items() if share < 0.5}
+        if underserved:
+            self.violations.append(f"unserved: {underserved}")
         return shares
 
     def gang_fits(self, spec):
-        """Whether there is room for all tasks of a gang now, under its team's limit."""
-        used, room = 0.0, {}
+        """Whether the machines and the team's CPU limit now have room for all tasks of a gang."""
+        used, slots_by_zone = 0.0, {}
         for worker in self.cloud.workers():
-            on_it = [
-                key[0].split("/")[0] for key, t in worker.tasks.items() if t["state"] != "exited"
+            job_ids = [
+                key[0].split("/")[0]
+                for key, record in worker.tasks.items()
+                if record["state"] != "exited"
             ]
             used += sum(
-                self.specs[j]["cpus"] for j in on_it if self.specs[j]["desk"] == spec["desk"]
+                self.specs[j]["cpus"] for j in job_ids if self.specs[j]["desk"] == spec["desk"]
             )
             allowed = spec["borrowed"] or not worker.spot
             if worker.alive and allowed and spec["hall"] in (None, worker.zone):
-                free = worker.machine_type["cpus"] - sum(self.specs[j]["cpus"] for j in on_it)
+                free = worker.machine_type["cpus"] - sum(self.specs[j]["cpus"] for j in job_ids)
                 slots = int((free + 1e-6) / spec["cpus"]) if worker.reclaim_notice_s is None else 0
-                room[worker.zone] = room.get(worker.zone, 0) + slots
+                slots_by_zone[worker.zone] = slots_by_zone.get(worker.zone, 0) + slots
         if used + spec["cpus"] * spec["pages"] > self.deployment.cpu_limit(spec["desk"]):
             return False
         if spec["same_place"]:
-            return max(room.values(), default=0) >= spec["pages"]
-        most = (spec["pages"] + 1) // 2 if spec["spread"] else spec["pages"]
-        return sum(min(most, slots) for slots in room.values()) >= spec["pages"]
+            return max(slots_by_zone.values(), default=0) >= spec["pages"]
+        most_per_zone = (spec["pages"] + 1) // 2 if spec["spread"] else spec["pages"]
+        return sum(min(most_per_zone, slots) for slots in slots_by_zone.values()) >= spec["pages"]
 
-    def check_gang_starvation(self, waits, bound=90.0):
-        """As `check_starved`, for whole gangs; `waits`: since when each waits beside room."""
-        placed = {
+    def check_gang_starvation(self, waiting_since, bound=90.0):
+        """Like `check_starvation`, for whole gangs.
+
+        `waiting_since` is kept by the caller between calls: the time since which each gang has
+        waited although there was room for it.
+        """
+        placed_jobs = {
             key[0].split("/")[0]
             for worker in self.cloud.workers()
-            for key, t in worker.tasks.items()
-            if t["state"] != "exited"
+            for key, record in worker.tasks.items()
+            if record["state"] != "exited"
         }
         for job_id in sorted(self.acknowledged):
             spec = self.specs[job_id]
-            over = f"{job_id}/0" in self.completed or job_id in self.cancelled
-            if spec["form"] != "ensemble" or over or job_id in placed or not self.gang_fits(spec):
-                waits.pop(job_id, None)
-            elif self.now - waits.setdefault(job_id, self.now) > bound:
+            ended = f"{job_id}/0" in self.completed or job_id in self.cancelled
+            if (
+                spec["form"] != "ensemble"
+                or ended
+                or job_id in placed_jobs
+                or not self.gang_fits(spec)
+            ):
+                waiting_since.pop(job_id, None)
+            elif self.now - waiting_since.setdefault(job_id, self.now) > bound:
                 self.violations.append(f"starved: {job_id}")
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -1,7 +1,7 @@
-"""The controllers among fakes of the outside systems: all in memory, one clock.
+"""Controllers and fakes of the external systems, in memory, on one simulated clock.
 
-Messages take time, can be held, lost or delivered late; processes can be cut
-off, crash and come back. The rules of the protocol are checked as it runs.
+Messages have a latency and can be held, lost or delivered late; processes can be partitioned,
+crash and restart. The invariants of the protocol are checked while the simulation runs.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Simulation(ServiceChecks):
-    """A deployment among fakes, with the checks of the rules; see `SimulationState`."""
+    """A simulated deployment with all its checks; `SimulationState` lists its attributes."""
 
     def __init__(self, seed=1, **parameters):
         super().__init__(seed, **parameters)
--- a/tests/simulation/state.py
+++ b/tests/simulation/state.py
@@ -1,4 +1,4 @@
-"""What a simulation consists of: its parameters, its processes, and its record of what happened."""
+"""The state of a simulation: parameters, processes, active faults, and recorded events."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SimulationState:
-    """All attributes of a simulation; the classes above it act on them."""
+    """All attributes of a simulation, as a base for the classes that act on them."""
 
     def __init__(
         self,
@@ -34,13 +34,15 @@
         on_output=None,
     ):
         self.deployment = deployment
-        # The limits that the settings announce; the older version that a member's next process
-        # runs (`tests/earlier_versions.py`), by name; and those of the processes there are.
+        # Limits of the key-value store that the settings announce under `state.next`.
         self.next_limits = next_limits
+        # By member: the earlier version (`tests/earlier_versions.py`) that its next process runs.
         self.versions: dict[str, Any] = versions if versions is not None else {}
         self.mixed_versions = versions is not None
+        # By member: the version that its latest process runs; None stands for the current one.
         self.running_versions: dict[str, Any] = {}
-        # Below a bound on guarantees for each core all teams have one owner.
+        # Teams have shards of their own if their guaranteed CPUs exceed a bound per CPU core of a
+        # controller (`part_cpus_per_core`, by default 2500); 0.01 cores lower the bound to 25 CPUs.
         self.controller_cores = 0.01 if partitioned else 1.0
         self.rng = random.Random(seed)
         self.now = 100.0
@@ -48,60 +50,68 @@
         self.event_numbers = itertools.count()
         self.lease_s, self.cancel_s = lease_s, cancel_s
         self.gang_wait_s, self.gang_peer_s = gang_wait_s or 3.5 * lease_s, gang_peer_s
-        # Gangs by job and attempt; of their jobs the true length and the saved progress.
+        # Gangs by (job, attempt); by job the actual runtime and the checkpointed progress, both in
+        # seconds on a machine of speed 1.
         self.gangs: dict[tuple[str, int], Gang] = {}
         self.gang_runtime_s: dict[str, float] = {}
         self.saved_progress: dict[str, float] = {}
         self.gang_rng = random.Random(seed + 7777)
-        # Gangs of which a task gave up, seconds that members waited, progress thrown away,
-        # jobs whose users asked to cancel; tasks whose images come slower or whose next start
-        # is refused.
+        # (job, attempt) of gangs in which a task gave up waiting for the others; the seconds that
+        # all members together waited; progress lost that could have been saved, as (job, attempt,
+        # reason, seconds).
         self.gave_up_waiting: set[tuple[str, int]] = set()
         self.gang_wait_s_total = 0.0
         self.lost_progress: list[tuple[str, int, str, float]] = []
+        # Jobs whose users asked to cancel them, whether or not that was confirmed.
         self.cancel_requested: set[str] = set()
+        # By task: the image pull time, if it isn't the default, and the cause with which the next
+        # start is refused.
         self.image_pull_s: dict[str, float] = {}
         self.start_refusals: dict[str, str] = {}
         self.node_names = [f"n{i}" for i in range(nodes)]
         self.kvstore, self.cloud = KeyValueStore(self, deployment), Cloud(self)
         self.task_index = TaskIndex()
-        # Jobs by ID, tasks that have completed, and when cancellations were confirmed.
+        # Jobs by ID, completed tasks, and by job the time when its cancellation was confirmed.
         self.specs: dict[str, dict[str, Any]] = {}
         self.completed: set[str] = set()
         self.cancelled: dict[str, float] = {}
-        # The latest state that any user was answered for a job, and that each controller answered.
+        # By job: the latest state in any answer to a user, and in the answers of each controller.
         self.acknowledged: dict[str, str] = {}
         self.acknowledged_by: dict[str, dict[str, str]] = {name: {} for name in self.node_names}
         self.violations: list[str] = []
-        # Running controllers, and how often each has started or crashed.
+        # Running controllers; for each member the number of its starts and crashes so far.
         self.nodes: dict[str, Any] = {}
         self.incarnation = dict.fromkeys(self.node_names, 0)
-        # Pairs that are partitioned, messages held until the partition heals, and machines and
-        # controllers that get no messages from controllers.
+        # Pairs of endpoints that are partitioned, and messages held until the partition heals.
         self.cut_links: set[frozenset[str]] = set()
         self.held_messages: list[Action] = []
+        # Machines and controllers that receive nothing from controllers.
         self.inbound_blocked: set[str] = set()
-        # When the latest frame between two controllers arrives, if their order is kept.
+        # By (sender, receiver): when the latest frame between two controllers arrives, if links
+        # keep the order of frames.
         self.last_arrivals: dict[tuple[str, str], float] = {}
-        # Whom the state service refuses alone, and whose watches and lists get no answer.
+        # Controllers whose requests the key-value store rejects while it serves the others, and
+        # controllers whose watches and list requests get no answer.
         self.kvstore_refuses: set[str] = set()
         self.watches_blocked: set[str] = set()
-        # Machines that reach no controller, while direct commands reach them.
+        # Machines whose heartbeats reach no controller, while commands still reach the machine.
         self.outbound_blocked: set[str] = set()
-        # Shares of transactions carried out late without an answer, and of reports copied late.
+        # Probability, 0 to 1, that a transaction is executed late without an answer, and that a
+        # heartbeat is delivered a second time, late.
         self.late_writes = self.late_heartbeats = 0.0
-        # Shares of transactions whose answer alone is lost, and of direct commands that are carried
-        # out seconds late without an answer.
+        # Probability that a transaction is executed but its answer lost, and that a command is
+        # executed seconds late without an answer.
         self.lost_answers = self.late_commands = 0.0
-        # When jobs were first submitted and first began; how long after the confirmation of a
-        # cancellation tasks still began.
+        # By job: the time of its first submission and of its first task start. For each task that
+        # started after the cancellation of its job was confirmed: the delay between the two.
         self.submitted: dict[str, float] = {}
         self.first_start: dict[str, float] = {}
         self.starts_after_cancel_s: list[float] = []
-        # How long a message takes, and an answer of the state service beyond that.
+        # Range of the latency of a message; maximum processing time of the key-value store.
         self.latency_s, self.kvstore_delay_s = (0.001, 0.02), 0.0
-        # Since when each job has waited beside capacity that fits it.
+        # By job: the time since which it has waited although there was capacity that fits it.
         self.waiting_since: dict[str, float] = {}
+        # Number of task starts.
         self.starts = 0
-        # Called with what leaves a controller: when, its name, the kind of output and its parts.
+        # Called for each output of a controller with the time, its name, the kind and its parts.
         self.on_output = on_output
--- a/tests/simulation/task_index.py
+++ b/tests/simulation/task_index.py
@@ -1,17 +1,17 @@
-"""Which tasks are on machines: kept as they come and go, for the checks at each start."""
+"""Index of the tasks that are on machines, for the checks at each task start."""
 
 from __future__ import annotations
 
 
 class TaskIndex:
-    """The tasks of each job that are on machines, from the image to the exit.
+    """Tasks on machines by job, from the end of the image pull to the exit.
 
-    A scan of all machines at each start gives the same (`matches` compares), but took most of the
-    time of a simulation of thousands of machines.
+    A scan of all machines gives the same result (`matches` compares the two), but a scan at each
+    task start took most of the time of a simulation of thousands of machines.
     """
 
     def __init__(self):
-        # By job: (worker, (task, attempt)), in the order in which they came.
+        # By job: the keys (worker, (task, attempt)), in the order of adding.
         self.by_job = {}
 
     def add(self, worker, key):
@@ -24,11 +24,15 @@
         if not tasks:
             self.by_job.pop(job_id, None)
 
-    def of(self, job_id):
+    def tasks_of_job(self, job_id):
         return self.by_job.get(job_id, {}).keys()
 
     def matches(self, workers):
         """Whether the index equals a scan of the machines."""
-        scanned = sorted((w.name, task) for w in workers for task in w.present_tasks())
-        indexed = sorted((w.name, key[0]) for tasks in self.by_job.values() for w, key in tasks)
+        scanned = sorted(
+            (worker.name, task) for worker in workers for task in worker.present_tasks()
+        )
+        indexed = sorted(
+            (worker.name, key[0]) for tasks in self.by_job.values() for worker, key in tasks
+        )
         return indexed == scanned
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""Users of the API: what they ask and what they were answered."""
+"""Users of the HTTP API: their requests and the answers."""
 
 from __future__ import annotations
 
@@ -10,51 +10,55 @@
 
 
 class UserRequest:
-    """One request and its answer."""
+    """One request of a user, and its answer: None until answered."""
 
     def __init__(self):
         self.status, self.body, self.retry_after = None, None, None
-        # The final states that users knew when it was asked.
+        # By job: the final state that some user knew when this request was sent.
         self.final_states_before = {}
-        # The job asked about, if it had been accepted by then.
+        # The ID of the requested job, if the job had been accepted when this request was sent.
         self.known_job_id = None
 
 
 class Users(Controllers):
-    """Submit, poll and cancel jobs at any controller."""
+    """Submits, polls and cancels jobs at a given or a random controller."""
 
     def request(self, action, name=None, job_id=None):
+        """Send a request, which `action` passes to the user API, and process the output."""
         name = name or self.rng.choice(sorted(self.nodes))
-        user = UserRequest()
-        user.known_job_id = job_id if job_id in self.acknowledged else None
-        user.final_states_before = {
-            j: s for j, s in self.acknowledged.items() if s in (JobState.DONE, JobState.CANCELLED)
+        request = UserRequest()
+        request.known_job_id = job_id if job_id in self.acknowledged else None
+        request.final_states_before = {
+            known_id: state
+            for known_id, state in self.acknowledged.items()
+            if state in (JobState.DONE, JobState.CANCELLED)
         }
-        action(self.nodes[name].user_api, user)
+        action(self.nodes[name].user_api, request)
         self.process_outbox(name)
-        return user
+        return request
 
     def submit(self, spec, name=None):
         self.specs[spec["id"]] = spec
         self.submitted.setdefault(spec["id"], self.now)
         return self.request(
-            lambda user_api, user: user_api.submit(self.now, user, json.dumps(spec).encode()),
+            lambda user_api, request: user_api.submit(self.now, request, json.dumps(spec).encode()),
             name,
             spec["id"],
         )
 
     def poll(self, job_id, name=None):
         return self.request(
-            lambda user_api, user: user_api.poll(self.now, user, job_id), name, job_id
+            lambda user_api, request: user_api.poll(self.now, request, job_id), name, job_id
         )
 
     def cancel(self, job_id, name=None):
         self.cancel_requested.add(job_id)
         return self.request(
-            lambda user_api, user: user_api.cancel(self.now, user, job_id), name, job_id
+            lambda user_api, request: user_api.cancel(self.now, request, job_id), name, job_id
         )
 
     def gang(self, job_id, attempt):
+        """Return the gang of an attempt, creating it on first use."""
         if (job_id, attempt) not in self.gangs:
             self.gangs[job_id, attempt] = Gang(self, job_id, attempt)
         return self.gangs[job_id, attempt]
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -66,7 +66,7 @@
         lambda: sum(len(w.present_tasks()) for w in simulation.cloud.workers()) == 8, 60
     )
     old, starts = simulation.leader(), simulation.starts
-    simulation.crash(old, back_after=5.0)
+    simulation.crash(old, restart_after_s=5.0)
     simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
     simulation.run_until(finished(simulation, 1, 2, 3, 4), 90)
     assert simulation.starts == starts and not simulation.violations
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -60,7 +60,7 @@
     simulation = partitioned()
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[0]
-    simulation.crash(owner, back_after=8.0)
+    simulation.crash(owner, restart_after_s=8.0)
     crashed_at = simulation.now
     simulation.run_until(lambda: owners(simulation).get(0) not in (None, owner), 6)
     simulation.submit(job(3, tasks=1, run_s=5.0))
@@ -77,7 +77,7 @@
     started(simulation)
     simulation.run(6 * 10.0)
     before = {worker.name for worker in simulation.cloud.workers() if worker.present_tasks()}
-    simulation.crash(owners(simulation)[0], back_after=8.0)
+    simulation.crash(owners(simulation)[0], restart_after_s=8.0)
     simulation.run(12.0)
     assert before <= {worker.name for worker in simulation.cloud.workers()}
 
@@ -111,7 +111,7 @@
     simulation = partitioned()
     started(simulation)
     starts, old = simulation.starts, simulation.leader()
-    simulation.crash(old, back_after=8.0)
+    simulation.crash(old, restart_after_s=8.0)
     simulation.run_until(
         lambda: simulation.leader() not in (None, old) and len(owners(simulation)) == 2, 12
     )
@@ -123,7 +123,7 @@
     simulation = partitioned()
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[0]
-    simulation.crash(owner, back_after=0.2)
+    simulation.crash(owner, restart_after_s=0.2)
     simulation.run(0.3)
     assert not simulation.nodes[owner].schedulers
     simulation.run_until(lambda: len(owners(simulation)) == 2, 10)
@@ -170,7 +170,7 @@
     simulation = partitioned()
     started(simulation)
     starts, owner = simulation.starts, owners(simulation)[1]
-    simulation.crash(owner, back_after=6.0)
+    simulation.crash(owner, restart_after_s=6.0)
     simulation.run_until(lambda: owners(simulation).get(1) == simulation.leader(), 8)
     simulation.run_until(lambda: owners(simulation).get(1) == owner, 4 * simulation.lease_s)
     simulation.submit(job(3, team="blue", tasks=1, run_s=5.0))
