--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of the outside systems, written from the protocol."""
+"""Fakes of the external systems, written from the protocol specification."""
--- a/tests/fakes/gang.py
+++ b/tests/fakes/gang.py
@@ -1,4 +1,4 @@
-"""An attempt of a gang on the workers: what its tasks exchange."""
+"""A fake gang: the tasks of one attempt on their workers, and what they exchange."""
 
 from __future__ import annotations
 
@@ -6,32 +6,39 @@
 
 
 class Gang:
-    """The tasks of one attempt of a gang, and what they know of each other.
+    """One attempt of a gang.
 
-    A task is a member from the moment it has its image until it is gone.
+    A task is a member from the end of its image pull until it exits or its machine drops it.
+    Progress is counted in seconds of runtime on a machine of speed 1.
     """
 
     def __init__(self, simulation, job_id, attempt):
         self.simulation, self.job_id, self.attempt = simulation, job_id, attempt
         self.spec = simulation.specs[job_id]
-        self.members = {}  # (worker, key of the task) -> what the worker notes of it
+        # By worker and (task, attempt): the worker's record of the task.
+        self.members = {}
+        # `broken`: a member was lost while running, or stopped too late, so that the attempt can't
+        # complete. `progress_saved`: all progress up to the stop is checkpointed.
         self.started = self.broken = self.progress_saved = self.completed = (
             self.stop_deadline_passed
         ) = False
+        # `progressing_since` is None while the gang isn't running; `progress_timer` numbers the
+        # scheduled completions, so that only the latest takes effect.
         self.progress, self.progressing_since, self.speed, self.progress_timer = 0.0, None, 1.0, 0
         self.first_stop_at, self.stop_requested = None, set()
 
     # -- waiting
 
-    def join(self, worker, key, mark):
-        mark.update(state="gathering", at=self.simulation.now)
-        self.members[worker, key] = mark
+    def join(self, worker, key, record):
+        """Let a task with its image wait for the others; it gives up after `gang_wait_s`."""
+        record.update(state="gathering", at=self.simulation.now)
+        self.members[worker, key] = record
         self.simulation.task_index.add(worker, key)
         self.simulation.on_task_started(worker, key[0], self.spec)
         others = [
-            g
-            for (j, a), g in self.simulation.gangs.items()
-            if j == self.job_id and a != self.attempt and g.members
+            gang
+            for (job_id, attempt), gang in self.simulation.gangs.items()
+            if job_id == self.job_id and attempt != self.attempt and gang.members
         ]
         if others:
             self.simulation.violations.append(f"two_attempts: {key} beside {others[0].attempt}")
@@ -39,48 +46,53 @@
             worker.end_task(key, "done")
             return
         if worker.fails_tasks or self.spec.get("broken"):
-            self.simulation.after(0.2, lambda: self.leave(worker, key, mark, "error"))
+            self.simulation.after(0.2, lambda: self.leave(worker, key, record, "error"))
         self.simulation.after(
-            self.simulation.gang_wait_s, lambda: self.leave(worker, key, mark, "alone", "gathering")
+            self.simulation.gang_wait_s,
+            lambda: self.leave(worker, key, record, "alone", "gathering"),
         )
         self.begin()
 
     def begin(self):
-        """Start together, once every task has its image and executes."""
+        """Start all tasks once each has its image and none of their machines hangs."""
         ready = {
             key[0] for (worker, key), _ in self.members.items() if not worker.remaining_hang_s()
         }
         if self.started or len(ready) < self.spec["pages"]:
             return
         self.started = True
-        for mark in self.members.values():
-            self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
-            mark["state"] = "running"
+        for record in self.members.values():
+            self.simulation.gang_wait_s_total += self.simulation.now - record.pop("at")
+            record["state"] = "running"
         self.speed = min(worker.speed for worker, _ in self.members)
         self.progress = self.simulation.saved_progress.get(self.job_id, 0.0)
         self.resume_progress()
 
-    def leave(self, worker, key, mark, exit_cause, only=None, **more):
-        """Exit by itself, once its machine executes it."""
+    def leave(self, worker, key, record, exit_cause, only_in_state=None, **exit_details):
+        """Let a task exit of its own accord, as soon as its machine doesn't hang.
+
+        `only_in_state`: skip it unless the task is in this state.
+        """
         if (
-            worker.tasks.get(key) is not mark
-            or mark["state"] == "exited"
-            or (only and mark["state"] != only)
+            worker.tasks.get(key) is not record
+            or record["state"] == "exited"
+            or (only_in_state and record["state"] != only_in_state)
         ):
             return
         if worker.remaining_hang_s():
             self.simulation.after(
                 worker.remaining_hang_s() + 0.01,
-                lambda: self.leave(worker, key, mark, exit_cause, only, **more),
+                lambda: self.leave(worker, key, record, exit_cause, only_in_state, **exit_details),
             )
             return
         if exit_cause == "alone":
             self.simulation.gave_up_waiting.add((self.job_id, self.attempt))
-        worker.end_task(key, exit_cause, **more)
+        worker.end_task(key, exit_cause, **exit_details)
 
     # -- running
 
     def runtime_s(self):
+        """Return the actual runtime, 0.5 to 1.5 times the declared one, equal for all attempts."""
         if self.job_id not in self.simulation.gang_runtime_s:
             self.simulation.gang_runtime_s[self.job_id] = (
                 self.simulation.gang_rng.uniform(0.5, 1.5) * self.spec["runtime_s"]
@@ -90,11 +102,11 @@
     def resume_progress(self):
         self.progressing_since = self.simulation.now
         self.progress_timer += 1
-        turn, left = self.progress_timer, max(0.0, self.runtime_s() - self.progress) / self.speed
-        self.simulation.after(left, lambda: turn == self.progress_timer and self.finish())
+        timer, left_s = self.progress_timer, max(0.0, self.runtime_s() - self.progress) / self.speed
+        self.simulation.after(left_s, lambda: timer == self.progress_timer and self.finish())
 
     def stop_progress(self):
-        """Progress stops."""
+        """Add the progress made so far and cancel the scheduled completion."""
         if self.progressing_since is not None:
             self.progress += (self.simulation.now - self.progressing_since) * self.speed
         self.progressing_since = None
@@ -108,54 +120,64 @@
             worker.end_task(key, "done")
 
     def checkpoint(self):
-        every, kept = self.spec["proof_s"], self.simulation.saved_progress.get(self.job_id, 0.0)
-        return max(kept, int(self.progress / every + 1e-9) * every) if every > 0 else 0.0
+        """Return the progress of the latest periodic checkpoint, or the saved one if greater.
+
+        It is 0 if the job writes no checkpoints (`proof_s` of 0).
+        """
+        interval, saved = self.spec["proof_s"], self.simulation.saved_progress.get(self.job_id, 0.0)
+        return max(saved, int(self.progress / interval + 1e-9) * interval) if interval > 0 else 0.0
 
-    def on_member_gone(self, worker, key, mark):
-        """A member has exited, or its machine is gone."""
+    def on_member_gone(self, worker, key, record):
+        """Handle the exit of a member or the loss of its machine."""
         if self.members.pop((worker, key), None) is None:
-            return  # it never had its image
-        if "at" in mark:
-            self.simulation.gang_wait_s_total += self.simulation.now - mark.pop("at")
+            return  # It was still pulling its image.
+        if "at" in record:
+            self.simulation.gang_wait_s_total += self.simulation.now - record.pop("at")
         elif self.started and not self.completed and not self.progress_saved:
             self.fail()
 
     def fail(self, within=None):
-        """A running gang has lost a task: the others notice in time and exit."""
+        """Break a running gang that lost a task.
+
+        The others notice at random times within `within` seconds (default: `gang_peer_s`) and exit.
+        """
         if self.broken:
             return
         self.roll_back()
         within = self.simulation.gang_peer_s if within is None else within
-        for (worker, key), mark in self.members.items():
-            wait = self.simulation.gang_rng.uniform(0.3, 1.0) * within
+        for (worker, key), record in self.members.items():
+            delay = self.simulation.gang_rng.uniform(0.3, 1.0) * within
             self.simulation.after(
-                wait, functools.partial(self.leave, worker, key, mark, "mates_gone")
+                delay, functools.partial(self.leave, worker, key, record, "mates_gone")
             )
 
     def roll_back(self):
+        """Break the attempt; its job falls back to the latest checkpoint."""
         self.stop_progress()
         self.broken = True
         self.simulation.saved_progress[self.job_id] = self.checkpoint()
 
     def on_hang(self, worker):
+        """Pause the progress; the others notice a machine that hangs too long and exit."""
         if not self.started or self.broken or self.progress_saved or self.completed:
             return
         self.stop_progress()
-        until, within = worker.hung_until, self.simulation.gang_peer_s
-        wait = self.simulation.gang_rng.uniform(0.3, 0.7) * within
+        hung_until, within = worker.hung_until, self.simulation.gang_peer_s
+        delay = self.simulation.gang_rng.uniform(0.3, 0.7) * within
 
-        def notice():
+        def fail_if_still_hung():
             if (
                 worker.remaining_hang_s()
-                and worker.hung_until == until
+                and worker.hung_until == hung_until
                 and not self.progress_saved
                 and any(w is worker for w, _ in self.members)
             ):
-                self.fail(within - wait)
+                self.fail(within - delay)
 
-        self.simulation.after(wait, notice)
+        self.simulation.after(delay, fail_if_still_hung)
 
     def on_resume(self):
+        """Continue after a hang: start, exit after a stop, or progress, as the state allows."""
         self.begin()
         if self.started and not self.broken and not self.completed:
             if self.first_stop_at is not None:
@@ -167,10 +189,14 @@
 
     # -- stopping
 
-    def on_stop_command(self, worker, key, mark, grace):
-        if mark["state"] == "gathering" or self.broken:
+    def on_stop_command(self, worker, key, record, grace):
+        """Stop a task, with `grace` seconds to write a checkpoint.
+
+        All tasks must get their stop within `gang_peer_s` of the first one to save the progress.
+        """
+        if record["state"] == "gathering" or self.broken:
             worker.end_task(key, "halted")
-        elif mark["state"] == "flushing":
+        elif record["state"] == "flushing":
             if grace <= 0:
                 self.lose_progress("ended while it saved")
                 worker.end_task(key, "halted")
@@ -184,28 +210,31 @@
                 worker.end_task(key, "halted")
                 return
             self.stop_requested.add(key[0])
-            mark["state"] = "flushing"
+            record["state"] = "flushing"
             self.simulation.after(
-                self.spec["flush_s"], lambda: self.on_checkpoint_written(worker, key, mark)
+                self.spec["flush_s"], lambda: self.on_checkpoint_written(worker, key, record)
             )
 
-    def on_checkpoint_written(self, worker, key, mark):
-        if worker.tasks.get(key) is not mark or mark["state"] != "flushing":
+    def on_checkpoint_written(self, worker, key, record):
+        if worker.tasks.get(key) is not record or record["state"] != "flushing":
             return
         if worker.remaining_hang_s():
             self.simulation.after(
                 worker.remaining_hang_s() + 0.01,
-                lambda: self.on_checkpoint_written(worker, key, mark),
+                lambda: self.on_checkpoint_written(worker, key, record),
             )
             return
-        mark["kept"] = True
+        record["kept"] = True
         if self.broken:
             worker.end_task(key, "halted")
         else:
             self.exit_saved()
 
     def on_stop_deadline(self):
-        """No task waits longer than this for the stop commands of the others."""
+        """End the wait for the stop commands of all tasks, `gang_peer_s` after the first one.
+
+        If some task got none, the attempt breaks and its unsaved progress is lost.
+        """
         self.stop_deadline_passed = True
         if self.broken or self.progress_saved or self.completed:
             return
@@ -214,28 +243,32 @@
             return
         self.lose_progress("not all told in time")
         self.roll_back()
-        for (worker, key), mark in list(self.members.items()):
-            if mark["state"] == "running":
-                self.leave(worker, key, mark, "mates_gone")
-            elif mark.get("kept"):
-                self.leave(worker, key, mark, "halted")
+        for (worker, key), record in list(self.members.items()):
+            if record["state"] == "running":
+                self.leave(worker, key, record, "mates_gone")
+            elif record.get("kept"):
+                self.leave(worker, key, record, "halted")
 
     def exit_saved(self):
-        """Exit with the progress safe, when all have saved after their stop or no time is left."""
+        """Save the progress and let the tasks that wrote their checkpoint exit.
+
+        Requires that all tasks got a stop, and that either all members have written their
+        checkpoint, the stop deadline has passed, or the progress is already saved.
+        """
         if len(self.stop_requested) < self.spec["pages"]:
             return
-        ready = [m for m in self.members.items() if m[1].get("kept")]
+        ready = [member for member in self.members.items() if member[1].get("kept")]
         if ready and (
             self.stop_deadline_passed or self.progress_saved or len(ready) == len(self.members)
         ):
             if not self.progress_saved:
                 self.progress_saved = True
                 self.simulation.saved_progress[self.job_id] = self.progress
-            for (worker, key), mark in ready:
-                self.leave(worker, key, mark, "halted", saved=True)
+            for (worker, key), record in ready:
+                self.leave(worker, key, record, "halted", saved=True)
 
     def lose_progress(self, reason):
-        """The service has thrown progress away that it could have kept."""
+        """Record progress that the service throws away though it could have been checkpointed."""
         loss = self.progress - self.checkpoint()
         if (
             self.started
