--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of several test modules."""
+"""Fixtures and collection hooks shared by the test modules."""
 
 import threading
 from typing import Any
@@ -7,19 +7,21 @@
 
 
 def pytest_collection_modifyitems(items):
-    """The longest tests first, so that no core is left alone with one at the end."""
+    """Start the longest tests first, so that no core is still busy with one at the end."""
     items.sort(key=lambda item: item.get_closest_marker("longest") is None)
 
 
 @pytest.fixture(scope="session")
 def reactor():
-    """A running twisted reactor: one a process, since it can't be started again."""
+    """Run a twisted reactor; one per process, since a reactor can't be restarted."""
     from twisted.internet import reactor
 
-    # Twisted's module is typed as the interfaces of what it holds.
-    running: Any = reactor
-    thread = threading.Thread(target=lambda: running.run(installSignalHandlers=False), daemon=True)
+    # Twisted types the module by interfaces that lack some of the methods used here.
+    running_reactor: Any = reactor
+    thread = threading.Thread(
+        target=lambda: running_reactor.run(installSignalHandlers=False), daemon=True
+    )
     thread.start()
-    yield running
-    running.callFromThread(running.stop)
+    yield running_reactor
+    running_reactor.callFromThread(running_reactor.stop)
     thread.join(10)
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments that the simulation can play: teams, aims, limits of the services, machines."""
+"""Deployments for the simulation: teams, objectives, service limits and machine types."""
 
 from __future__ import annotations
 
@@ -23,47 +23,47 @@
     "halls": ["a", "b", "c"],
 }
 
-# Limits of the state service: changes a second, KiB a value, changes a transaction.
+# Limits of the key-value store: writes per second, KiB per value, writes per transaction.
 KVSTORE_LIMITS = {"write_rps": 60.0, "value_kb": 32.0, "txn_ops": 16}
 
 
-def machine_types(*offer: dict[str, Any]) -> dict[str, MachineType]:
-    """An offer as the code reads it, by name."""
-    read = decode(json.dumps({"racks": offer}).encode(), MachineTypes)
-    assert read is not None
-    return {kind.name: kind for kind in read.types}
+def machine_types(*raw_types: dict[str, Any]) -> dict[str, MachineType]:
+    """Decode machine types as the cloud lists them; return them by name."""
+    decoded = decode(json.dumps({"racks": raw_types}).encode(), MachineTypes)
+    assert decoded is not None
+    return {machine_type.name: machine_type for machine_type in decoded.types}
 
 
 def team(name: str, cpus: float, cpus_max: float) -> dict[str, Any]:
-    """A team as the settings have it."""
+    """Return a team's entry in the settings, with its guaranteed and maximum CPUs."""
     return {"name": name, "cpus": cpus, "cpus_max": cpus_max, "gpus": 0.0, "gpus_max": 0.0}
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """What the settings of one deployment say, and the machines that its cloud has."""
+    """The settings of one deployment, and the machines that its cloud can provide."""
 
     teams: tuple[dict[str, Any], ...]
     objectives: tuple[dict[str, Any], ...]
     machine_types: tuple[dict[str, Any], ...]
-    # Machines by (zone, spot), or by (type, zone, spot) where types differ in it.
+    # Number of machines by (zone, spot), or by (type, zone, spot) where types differ in capacity.
     capacity: dict[tuple[Any, ...], int]
     kvstore: dict[str, float] = field(default_factory=lambda: {"rps": 200.0, **KVSTORE_LIMITS})
     cloud_rps: float = 8.0
     max_connections: int = 1000
     heartbeat_interval_s: float = 1.0
-    # Whether frames between two controllers keep their order, as on one connection; where they
-    # don't, each burst of frames also plays what a broken connection loses.
+    # Whether frames between two controllers keep their order, as on one connection. If they don't,
+    # each burst of frames also stands in for the losses of a broken connection.
     ordered_links: bool = False
 
-    def cpu_limit(self, name: str) -> float:
-        """The most CPUs that a team may use: as the page has it, 0 stands for none."""
-        written = next(entry["cpus_max"] for entry in self.teams if entry["name"] == name)
-        return written or math.inf
+    def cpu_limit(self, team_name: str) -> float:
+        """Return a team's CPU limit; 0 in the settings means no limit, returned as infinity."""
+        cpus_max = next(entry["cpus_max"] for entry in self.teams if entry["name"] == team_name)
+        return cpus_max or math.inf
 
     @property
     def team_names(self) -> list[str]:
-        """All teams."""
+        """The names of all teams, in the order of the settings."""
         return [entry["name"] for entry in self.teams]
 
 
@@ -80,8 +80,8 @@
 
 _CRATE = {**MACHINE_TYPE, "name": "crate", "cpus": 64.0, "memory_gb": 128.0, "local_gb": 60.0}
 
-# One team without guarantee or limit, a small state service, a slow cloud, and two types of
-# machines, the larger of which one zone doesn't have.
+# One team without guarantee or limit, low limits of the key-value store and of requests to the
+# cloud, and two machine types, the larger of which isn't available in zone b.
 ONE_TEAM = Deployment(
     teams=(team("solo", 0.0, 0.0),),
     objectives=(
@@ -101,7 +101,7 @@
     max_connections=900,
 )
 
-# Some 4,000 machines, with the limits of the services and of the controllers grown alike.
+# About 4,000 machines, with the limits of the services and of the controllers in proportion.
 LARGE = Deployment(
     teams=(team("red", 20_000.0, 0.0), team("blue", 20_000.0, 0.0)),
     objectives=TWO_TEAMS.objectives,
--- a/tests/request_bodies.py
+++ b/tests/request_bodies.py
@@ -1,4 +1,4 @@
-"""What users and the platform hand over: settings and submissions."""
+"""Inputs of a controller: raw settings and job submissions."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     gang_peer_s=4.0,
     deployment: Deployment = TWO_TEAMS,
 ):
-    names = [f"n{i}" for i in range(nodes)]
+    node_names = [f"n{i}" for i in range(nodes)]
     zones = ["a", "b", "c"]
     return {
-        "member": names[index],
+        "member": node_names[index],
         "domain": zones[index % 3],
         "serve_on": f"127.0.0.1:{9000 + index}",
         "internal_addr": f"127.0.0.1:{9100 + index}",
         "members": [
-            {"member": n, "domain": zones[i % 3], "addr": f"127.0.0.1:{9100 + i}"}
-            for i, n in enumerate(names)
+            {"member": name, "domain": zones[i % 3], "addr": f"127.0.0.1:{9100 + i}"}
+            for i, name in enumerate(node_names)
             if i != index
         ],
         "external": {"cloud": "127.0.0.1:9200", "state": "127.0.0.1:9201"},
@@ -48,7 +48,7 @@
     }
 
 
-def job(number, team="red", tasks=2, cpus=4.0, run_s=10.0, **more):
+def job(number, team="red", tasks=2, cpus=4.0, run_s=10.0, **fields):
     body = {
         "id": f"req-{number:06d}",
         "slot": "quick",
@@ -71,15 +71,15 @@
         "flush_s": 0.0,
         "edition_s": None,
     }
-    body.update(more)
+    body.update(fields)
     return body
 
 
-def gang(number, tasks=4, cpus=8.0, **more):
-    """A job whose tasks run together: by default on two machines of one zone."""
+def gang(number, tasks=4, cpus=8.0, **fields):
+    """Return a gang submission; by default its tasks need two machines in one zone."""
     return job(
         number,
         tasks=tasks,
         cpus=cpus,
-        **{"form": "ensemble", "same_place": True, "proof_s": 5.0, "flush_s": 1.0, **more},
+        **{"form": "ensemble", "same_place": True, "proof_s": 5.0, "flush_s": 1.0, **fields},
     )
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,14 +1,18 @@
-"""How scenarios begin and go on: jobs that run, machines out of contact, time that passes."""
+"""Steps shared by scenarios: start jobs, break contact with machines, advance time."""
 
 from tests.simulation import Simulation
 
 
 def present_task_count(simulation):
-    return sum(len(w.present_tasks()) for w in simulation.cloud.workers())
+    return sum(len(worker.present_tasks()) for worker in simulation.cloud.workers())
 
 
 def make_unreachable(simulation, worker, fault, hang_s):
-    """Break contact with a machine as `fault` says; any other name cuts it off."""
+    """Break contact with a machine as `fault` says.
+
+    Other names than "inbound_blocked", "outbound_blocked" and "hung" cut its links to all
+    controllers. `hang_s` matters to "hung" only.
+    """
     if fault == "inbound_blocked":
         simulation.inbound_blocked.add(worker.name)
     elif fault == "outbound_blocked":
@@ -20,9 +24,9 @@
             simulation.cut(name, worker.name)
 
 
-def started_simulation(jobs, count, seed=1, **more):
-    """A simulation with jobs that run."""
-    simulation = Simulation(seed=seed, **more)
+def started_simulation(jobs, count, seed=1, **parameters):
+    """Return a simulation of these jobs in which at least `count` tasks are on machines."""
+    simulation = Simulation(seed=seed, **parameters)
     simulation.run_until(simulation.leader)
     for spec in jobs:
         simulation.submit(spec)
@@ -31,7 +35,7 @@
 
 
 def run_checked(simulation, seconds):
-    """Let time pass, with the rules that are checked as it goes."""
+    """Advance the simulation by `seconds` and check the invariants every second."""
     end = simulation.now + seconds
     while simulation.now < end:
         simulation.run(min(1.0, end - simulation.now))
@@ -46,5 +50,6 @@
 
 
 def wait_for_new_leader(simulation, old, seconds=60.0):
+    """Run until a controller other than `old` leads; return its name."""
     simulation.run_until(lambda: simulation.leader() not in (None, old), seconds)
     return simulation.leader()
--- a/tests/scheduler_bench.py
+++ b/tests/scheduler_bench.py
@@ -1,4 +1,4 @@
-"""A shard's scheduler with one machine, driven by hand."""
+"""A shard's scheduler under direct control of a test, without a simulation."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 class SchedulerBench:
-    """A leader with one machine, driven by hand."""
+    """The scheduler of shard 0 with one machine, m-1; the test plays its worker and the store."""
 
     def __init__(self):
         cluster = settings_module.parse(raw_settings()).cluster
@@ -33,7 +33,7 @@
             types,
             {},
             shard=0,
-            shards={t.name: 0 for t in cluster.teams},
+            shards={team.name: 0 for team in cluster.teams},
             epoch=1,
             generation=1,
             token_version=lambda: 50,
@@ -48,8 +48,8 @@
         self.worker_heartbeat([], token=0)
         self.worker_heartbeat([])
 
-    def adopt_machine(self, name, **more):
-        """Learn of a machine that an earlier commander may have used."""
+    def adopt_machine(self, name, **route_fields):
+        """Add a machine on which an earlier shard owner may have started tasks."""
         self.scheduler.on_route(
             self.now,
             MachineRoute(
@@ -61,12 +61,16 @@
                 base_token(1, 9),
                 Occupancy.ANY_SHARD,
                 recorded=True,
-                **more,
+                **route_fields,
             ),
         )
         return self.scheduler.machines[name]
 
     def worker_heartbeat(self, tasks, token=None, agent_epoch=1, sequence=None):
+        """Pass on a heartbeat of m-1 one second later, by default with the next sequence number.
+
+        `tasks` are (task, attempt, state, exit cause).
+        """
         self.now += 1.0
         if sequence is None:
             self.sequence += 1
@@ -86,7 +90,7 @@
             sequence,
             self.token if token is None else token,
             None,
-            [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
+            [TaskStatus(task, attempt, state, cause) for task, attempt, state, cause in tasks],
         )
 
     def answer_kvstore(self, status=200):
@@ -94,21 +98,23 @@
             call.on_done(self.now, CallOutcome(status, b'{"issue":60}'))
 
     def take_calls(self, service):
-        found = [c for c in self.out.calls if c.service == service]
-        self.out.calls[:] = [c for c in self.out.calls if c.service != service]
-        return found
+        """Remove the pending calls to a service from the outbox and return them."""
+        calls = [call for call in self.out.calls if call.service == service]
+        self.out.calls[:] = [call for call in self.out.calls if call.service != service]
+        return calls
 
     def add_job(self, number=1, tasks=1, version=70):
         record = json.dumps({"spec": job(number, tasks=tasks)}).encode()
         self.jobs.on_watch_event(self.now, f"c/live/req-{number:06d}", record, version)
 
     def start_tasks(self, tasks=1):
+        """Add a job and dispatch its tasks; return the call to the worker and the attempt."""
         self.add_job(tasks=tasks)
         self.scheduler.dispatch_round(self.now)
         (call,) = self.take_calls("worker")
-        orders = json.loads(call.body)["orders"]
-        assert [o["verb"] for o in orders] == ["run"] * tasks
-        return call, orders[0]["take"]
+        commands = json.loads(call.body)["orders"]
+        assert [command["verb"] for command in commands] == ["run"] * tasks
+        return call, commands[0]["take"]
 
     @property
     def job(self):
