--- a/tests/earlier_versions.py
+++ b/tests/earlier_versions.py
@@ -1,4 +1,4 @@
-"""Earlier versions, taken from the repository's history to run beside this one."""
+"""Loads earlier versions from the git history, to run beside the current one."""
 
 import contextlib
 import functools
@@ -17,9 +17,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = "copperpass"
-# The last version that keeps the whole fleet in one record: upgrades from it move the record.
+# The last version that stores the machine inventory as one record; an upgrade from it migrates the
+# record to pages.
 VERSION_0_2_0 = "fffd8b90a2701387c2f0a7c63039604073094e15"
-# What the tests look at in a node, and what versions up to 0.3.0 call it.
+# Attributes of a node that tests use, and their names in versions up to 0.3.0.
 FORMER_NAMES = {
     "worker_heartbeat": "report",
     "schedulers": "owners",
@@ -33,14 +34,14 @@
     "is_upgraded": "proven",
 }
 
-# The same for the classes of a node's parts.
+# The same for classes of those versions that hold parts of a node.
 FORMER_PART_NAMES = {
     "Call": {"on_done": "then", "timeout_s": "timeout"},
     "Authority": {"has_authority": "entitled"},
     "Holder": {"has_authority": "entitled"},
 }
 
-# The same in a scheduler, for versions up to 0.5.0.
+# Attributes of a scheduler that tests use, and their names in versions up to 0.5.0.
 FORMER_SCHEDULER_NAMES = {
     "quota_usage": "tally",
     "unreconciled": "unsettled",
@@ -49,30 +50,32 @@
 
 
 def production_commit():
-    """The commit that `deploy/service.toml` names."""
-    found = re.search(
+    """Return the commit of the version in production, as `deploy/service.toml` names it."""
+    match = re.search(
         r'^production = "([0-9a-f]{40})"', (ROOT / "deploy/service.toml").read_text(), re.MULTILINE
     )
-    assert found, "deploy/service.toml names no version in production"
-    return found[1]
+    assert match, "deploy/service.toml names no version in production"
+    return match[1]
 
 
 def shard_of(scheduler):
-    """The shard that a scheduler owns; versions up to 0.5.0 call it a pool."""
+    """Return the shard that a scheduler owns; versions up to 0.5.0 call it a pool."""
     return scheduler.shard if hasattr(scheduler, "shard") else scheduler.pool
 
 
 def scheduler_attribute(scheduler, name):
-    """An attribute of a scheduler of any version, by today's name."""
+    """Return an attribute of a scheduler of any version by its current name."""
     return getattr(scheduler, name if hasattr(scheduler, name) else FORMER_SCHEDULER_NAMES[name])
 
 
 class EarlierVersion:
-    """Its modules, apart from ours."""
+    """The modules of an earlier version, imported separately from the current ones."""
 
     def __init__(self, source):
-        mine = {k: v for k, v in sys.modules.items() if k.split(".")[0] == PACKAGE}
-        for name in mine:
+        current_modules = {
+            name: module for name, module in sys.modules.items() if name.split(".")[0] == PACKAGE
+        }
+        for name in current_modules:
             del sys.modules[name]
         sys.path.insert(0, str(source))
         try:
@@ -85,9 +88,9 @@
             self._resolve_structs()
         finally:
             sys.path.remove(str(source))
-            for name in [k for k in sys.modules if k.split(".")[0] == PACKAGE]:
+            for name in [module for module in sys.modules if module.split(".")[0] == PACKAGE]:
                 del sys.modules[name]
-            sys.modules.update(mine)
+            sys.modules.update(current_modules)
 
         self._add_current_names(self.core.Node, FORMER_NAMES)
         for part, names in FORMER_PART_NAMES.items():
@@ -100,42 +103,45 @@
                 setattr(former_class, name, property(operator.attrgetter(former)))
 
     def _resolve_structs(self):
-        """Have msgspec look its annotations up now, while its modules are the ones by that name."""
+        """Have msgspec resolve the annotations while `sys.modules` holds the earlier modules.
+
+        Resolved later, they would refer to the current modules of the same names.
+        """
         for value in [*vars(self.wire).values(), *vars(self.settings).values()]:
             if isinstance(value, type) and issubclass(value, msgspec.Struct):
                 msgspec.json.Decoder(value)
 
     def encode_frame(self, frame):
-        """The bytes that it sends for a frame of its own."""
+        """Encode a frame of this version, as it sends it to other controllers."""
         return self.peer.pack(frame)
 
     def frame_decoder(self):
-        """What cuts a stream of bytes into its frames."""
+        """Return a decoder that splits a byte stream into frames of this version."""
         return self.peer.Unpacker()
 
     def create_node(self, raw, seed, now):
-        """A node of that version."""
+        """Create a node of this version from raw settings."""
         return self.core.Node(self.settings.parse(raw), seed, now, day=1000.0)
 
 
 def _unpack(archive, source):
-    """Unpack an archive in one step, for other test processes may look for it meanwhile."""
+    """Unpack an archive atomically, since other test processes may look for it meanwhile."""
     source.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=source.parent) as scratch:
-        made = Path(scratch) / "made"
+        unpacked = Path(scratch) / "made"
         with tarfile.open(fileobj=BytesIO(archive)) as tar:
-            tar.extractall(made, filter="data")
-        # Another process may have been first: its copy is the same.
+            tar.extractall(unpacked, filter="data")
+        # The rename fails if another process was first; its copy is the same.
         with contextlib.suppress(OSError):
-            made.rename(source)
+            unpacked.rename(source)
 
 
 @functools.cache
-def _load(name):
-    source = ROOT / "target" / "old" / name
+def _load(commit):
+    source = ROOT / "target" / "old" / commit
     if not (source / "src").is_dir():
         archive = subprocess.run(
-            ["git", "archive", name, f"src/{PACKAGE}"], cwd=ROOT, capture_output=True, check=False
+            ["git", "archive", commit, f"src/{PACKAGE}"], cwd=ROOT, capture_output=True, check=False
         )
         if archive.returncode:
             return None
@@ -143,13 +149,16 @@
     return EarlierVersion(source / "src")
 
 
-def load(name=None):
-    """The version in production or the named commit, or a skip that says why."""
-    name = name or production_commit()
-    made = _load(name)
-    if made is None:
+def load(commit=None):
+    """Return the version of a commit, by default the one in production.
+
+    Skips the test if the history doesn't contain that commit.
+    """
+    commit = commit or production_commit()
+    version = _load(commit)
+    if version is None:
         pytest.skip(
-            f"NOT RUN: the history lacks an earlier version ({name}); a shallow clone? "
+            f"NOT RUN: the history lacks an earlier version ({commit}); a shallow clone? "
             "Without it nothing shows that both serve side by side"
         )
-    return made
+    return version
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The fakes of tests/simulation.py themselves: workers with gangs, driven by hand."""
+"""The fake workers and gangs themselves, commanded directly by the tests."""
 
 import pytest
 
@@ -8,18 +8,18 @@
 
 
 class WorkerHarness:
-    """Workers without controllers; the test gives the orders."""
+    """Workers without controllers, one more than the gang of job 1 has tasks."""
 
-    def __init__(self, count=3, zones="a", **more):
+    def __init__(self, count=3, zones="a", **gang_fields):
         self.simulation = Simulation()
         for name in self.simulation.node_names:
             self.simulation.crash(name, 1e9)
-        self.spec = gang(1, tasks=count, run_s=40.0, **more)
+        self.spec = gang(1, tasks=count, run_s=40.0, **gang_fields)
         self.simulation.specs["req-000001"] = self.spec
         self.simulation.gang_runtime_s["req-000001"] = 40.0
-        self.workers = [self.worker(i, zones[i % len(zones)]) for i in range(count + 1)]
+        self.workers = [self.create_worker(i, zones[i % len(zones)]) for i in range(count + 1)]
 
-    def worker(self, index, zone):
+    def create_worker(self, index, zone):
         name = f"m-{index:06d}"
         worker = Worker(self.simulation, name, zone, True)
         worker.lease_renewed_at, worker.speed = 1e9, 1.0
@@ -30,29 +30,33 @@
         }
         return worker
 
-    def order(self, verb, index, take=1, on=None, **more):
-        worker = self.workers[index if on is None else on]
-        worker.execute([{"verb": verb, "page": f"req-000001/{index}", "take": take, **more}])
+    def send_command(self, verb, index, attempt=1, worker=None, **fields):
+        """Send a command for a task, by default to the worker with the same index."""
+        target = self.workers[index if worker is None else worker]
+        target.execute([{"verb": verb, "page": f"req-000001/{index}", "take": attempt, **fields}])
 
-    def start(self, indexes, take=1):
+    def start(self, indexes, attempt=1):
         for index in indexes:
-            self.order("run", index, take)
+            self.send_command("run", index, attempt)
 
-    def state(self, index, take=1, on=None):
-        mark = self.workers[index if on is None else on].tasks[f"req-000001/{index}", take]
-        if mark["state"] != "exited":
-            return mark["state"]
-        return mark["exit_cause"], mark["saved"]
+    def state(self, index, attempt=1, worker=None):
+        """Return the state of a task, or (exit cause, whether its progress was saved)."""
+        record = self.workers[index if worker is None else worker].tasks[
+            f"req-000001/{index}", attempt
+        ]
+        if record["state"] != "exited":
+            return record["state"]
+        return record["exit_cause"], record["saved"]
 
-    def states(self, *indexes, take=1):
-        return [self.state(i, take) for i in indexes]
+    def states(self, *indexes, attempt=1):
+        return [self.state(i, attempt) for i in indexes]
 
     @property
     def progress(self):
         return self.simulation.saved_progress.get("req-000001", 0.0)
 
 
-def test_fakes_start_together_and_complete_together():
+def test_fake_gang_starts_and_completes_together():
     harness = WorkerHarness()
     harness.start([0, 1])
     assert harness.states(0, 1) == ["pulling", "pulling"]
@@ -66,16 +70,16 @@
     assert harness.states(0, 1, 2) == ["running"] * 3
     harness.simulation.run(0.2)
     assert harness.states(0, 1, 2) == [("done", False)] * 3
-    harness.start([1], take=2)
+    harness.start([1], attempt=2)
     assert harness.state(1, 2) == ("in_use", False)
-    harness.order("clear", 1)
-    harness.order("clear", 1, take=2)
-    harness.start([1], take=2)
+    harness.send_command("clear", 1)
+    harness.send_command("clear", 1, attempt=2)
+    harness.start([1], attempt=2)
     harness.simulation.run(0.4)
     assert harness.state(1, 2) == ("done", False) and not harness.simulation.violations
 
 
-def test_fakes_give_up_alone():
+def test_fake_gang_tasks_give_up_waiting_when_one_is_missing():
     harness = WorkerHarness()
     harness.start([0, 1])
     harness.simulation.run(42.2)
@@ -88,7 +92,7 @@
     )
 
 
-def test_fakes_wait_on_for_a_replacement_of_the_same_attempt():
+def test_fake_gang_waits_for_a_replacement_task_of_the_same_attempt():
     harness = WorkerHarness()
     harness.start([0, 1])
     harness.simulation.run(2.0)
@@ -96,23 +100,23 @@
     harness.start([2])
     harness.simulation.run(5.0)
     assert harness.states(1, 2) == ["gathering"] * 2
-    harness.order("run", 0, on=3)
+    harness.send_command("run", 0, worker=3)
     harness.simulation.run(0.4)
-    assert [harness.state(0, on=3), *harness.states(1, 2)] == ["running"] * 3
+    assert [harness.state(0, worker=3), *harness.states(1, 2)] == ["running"] * 3
     assert not harness.simulation.violations
 
 
-def test_fakes_that_wait_or_fetch_stop_at_once():
+def test_fake_gang_tasks_stop_at_once_while_waiting_or_pulling_the_image():
     harness = WorkerHarness()
     harness.start([0])
     harness.simulation.run(1.0)
     harness.start([1])
-    harness.order("kill", 0, windup_s=10.0)
-    harness.order("kill", 1, windup_s=10.0)
+    harness.send_command("kill", 0, windup_s=10.0)
+    harness.send_command("kill", 1, windup_s=10.0)
     assert harness.states(0, 1) == [("halted", False)] * 2 and not harness.simulation.lost_progress
 
 
-def test_fakes_notice_a_lost_task_and_fall_back():
+def test_fake_gang_falls_back_to_its_checkpoint_when_a_task_is_lost():
     harness = WorkerHarness()
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 12.0)
@@ -120,18 +124,18 @@
     assert harness.states(1, 2) == ["running"] * 2
     harness.simulation.run(4.0)
     assert harness.states(1, 2) == [("mates_gone", False)] * 2 and harness.progress == 10.0
-    harness.order("run", 0, 2, on=3)
+    harness.send_command("run", 0, 2, worker=3)
     for index in (1, 2):
-        harness.order("clear", index)
-    harness.start([1, 2], take=2)
+        harness.send_command("clear", index)
+    harness.start([1, 2], attempt=2)
     harness.simulation.run(0.4 + 29.5)
-    assert harness.states(1, 2, take=2) == ["running"] * 2
+    assert harness.states(1, 2, attempt=2) == ["running"] * 2
     harness.simulation.run(0.5)
-    assert harness.states(1, 2, take=2) == [("done", False)] * 2
+    assert harness.states(1, 2, attempt=2) == [("done", False)] * 2
     assert not harness.simulation.violations and not harness.simulation.lost_progress
 
 
-def test_fakes_notice_a_machine_that_hangs():
+def test_fake_gang_exits_when_a_machine_hangs_too_long():
     harness = WorkerHarness()
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 12.0)
@@ -147,21 +151,22 @@
     assert harness.state(0) == ("mates_gone", False) and harness.progress == 15.0
 
 
-def test_fakes_save_in_an_orderly_stop():
+def test_fake_gang_saves_progress_when_all_tasks_are_stopped_in_time():
     harness = WorkerHarness(flush_s=2.0)
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 13.0)
-    harness.order("kill", 0, windup_s=2.0)
+    harness.send_command("kill", 0, windup_s=2.0)
     harness.simulation.run(3.0)
     assert harness.states(0, 1, 2) == ["flushing", "running", "running"]
-    harness.order("kill", 0, windup_s=2.0)
-    harness.order("kill", 1, windup_s=9.0)
+    harness.send_command("kill", 0, windup_s=2.0)
+    harness.send_command("kill", 1, windup_s=9.0)
     harness.simulation.run(0.9)
     assert harness.states(0, 1, 2) == ["flushing", "flushing", "running"]
-    harness.order("kill", 2, windup_s=5.0)
+    harness.send_command("kill", 2, windup_s=5.0)
     assert harness.progress == 0.0
     harness.simulation.run(0.2)
-    # All are told at the deadline: the first that has saved exits, and the rest when they have.
+    # All tasks got their stop by the deadline. The first that has written its checkpoint exits
+    # then, the others once they have written theirs.
     assert harness.states(0, 1, 2) == [("halted", True), "flushing", "flushing"]
     assert abs(harness.progress - 13.0) < 1e-6
     harness.simulation.run(2.0)
@@ -169,12 +174,12 @@
     assert not harness.simulation.lost_progress and not harness.simulation.violations
 
 
-def test_fakes_lose_what_a_partial_stop_does_not_save():
+def test_fake_gang_loses_progress_when_a_task_is_not_stopped_in_time():
     harness = WorkerHarness()
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 13.0)
-    harness.order("kill", 0, windup_s=2.0)
-    harness.order("kill", 1, windup_s=2.0)
+    harness.send_command("kill", 0, windup_s=2.0)
+    harness.send_command("kill", 1, windup_s=2.0)
     harness.simulation.run(3.9)
     assert harness.states(0, 1, 2) == ["flushing", "flushing", "running"]
     harness.simulation.run(0.2)
@@ -184,24 +189,24 @@
 
 
 @pytest.mark.parametrize("orders", [[(0, 0.5)], [(0, 2.0), (0, 0.0)], [(0, 2.0), (1, 0.0)]])
-def test_fakes_lose_what_too_little_grace_does_not_save(orders):
+def test_fake_gang_loses_progress_when_the_grace_is_too_short(orders):
     harness = WorkerHarness()
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 13.0)
     for index, grace in orders:
-        harness.order("kill", index, windup_s=grace)
+        harness.send_command("kill", index, windup_s=grace)
     assert harness.state(orders[-1][0]) == ("halted", False)
     harness.simulation.run(4.1)
-    assert all(isinstance(s, tuple) and s[1] is False for s in harness.states(0, 1, 2))
+    assert all(isinstance(state, tuple) and state[1] is False for state in harness.states(0, 1, 2))
     assert harness.progress == 10.0 and len(harness.simulation.lost_progress) == 1
 
 
-def test_fakes_lose_a_save_when_a_machine_goes_before_the_first_exit():
+def test_fake_gang_loses_its_save_when_a_machine_is_lost_before_the_first_exit():
     harness = WorkerHarness(flush_s=3.0)
     harness.start([0, 1, 2])
     harness.simulation.run(0.3 + 13.0)
     for index in range(3):
-        harness.order("kill", index, windup_s=3.0)
+        harness.send_command("kill", index, windup_s=3.0)
     harness.simulation.run(2.0)
     harness.simulation.cloud.reclaim(harness.workers[0].name)
     harness.simulation.run(4.0)
@@ -209,25 +214,29 @@
     assert all(s[1] is False for s in harness.states(1, 2))
 
 
-def test_the_world_sees_what_gangs_must_not_do():
+def test_simulation_records_violations_of_the_gang_invariants():
     harness = WorkerHarness(cpus=16.0, zones="ab")
     harness.start([0])
     harness.simulation.run(0.4)
-    harness.order("run", 1)
+    harness.send_command("run", 1)
     harness.simulation.run(0.4)
-    assert any(b.startswith("wrong_place") for b in harness.simulation.violations), "another zone"
+    assert any(
+        violation.startswith("wrong_place") for violation in harness.simulation.violations
+    ), "another zone"
     harness = WorkerHarness(zones="a")
     harness.start([0])
     harness.simulation.run(0.4)
-    harness.order("run", 1, 2)
+    harness.send_command("run", 1, 2)
     harness.simulation.run(0.4)
-    assert [b.split(":")[0] for b in harness.simulation.violations] == ["two_attempts"]
-    harness.order("run", 0, 1, on=3)
+    assert [violation.split(":")[0] for violation in harness.simulation.violations] == [
+        "two_attempts"
+    ]
+    harness.send_command("run", 0, 1, worker=3)
     harness.simulation.run(0.4)
-    assert any(b.startswith("ran_twice") for b in harness.simulation.violations)
+    assert any(violation.startswith("ran_twice") for violation in harness.simulation.violations)
     harness = WorkerHarness(count=5, cpus=16.0)
     harness.start([0, 1, 2, 3, 4])
     harness.simulation.run(0.4)
-    assert [b.split(":")[0] for b in harness.simulation.violations] == ["quota"], (
-        "those that wait count too"
+    assert [violation.split(":")[0] for violation in harness.simulation.violations] == ["quota"], (
+        "tasks that wait for their gang count as well"
     )
