--- a/tests/storage_harness.py
+++ b/tests/storage_harness.py
@@ -8,7 +8,7 @@
 from copperpass.core.storage.cached_inventory import CachedInventory
 from copperpass.core.storage.inventory_writer import InventoryContext
 from copperpass.core.storage.machine_inventory import MachineInventory
-from tests.fakes.state import State
+from tests.fakes.state import KeyValueStore
 
 # Lower limits that the settings announce under `state.next`.
 ANNOUNCED_LIMITS = {"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}
@@ -19,8 +19,8 @@
 
     def __init__(self, **limits):
         self.now, self.rng, self.timers = 100.0, random.Random(1), []
-        self.state = State(self)
-        self.state.drop(**limits)
+        self.state = KeyValueStore(self)
+        self.state.set_limits(**limits)
         self.out = Outbox()
         # What happens to a call: "served"; "answer lost": it is served and gets no answer; "late":
         # it gets no answer and is kept in `delayed_calls`; anything else: it is lost.
@@ -30,7 +30,7 @@
     def after(self, delay, action):
         """Ignore timers, which the fake store sets only to end watch requests."""
 
-    def wrote(self, writes):
+    def on_writes(self, writes):
         """Ignore the notification, which the fake store sends to a simulation."""
 
     def start_term(self):
--- a/tests/test_completion_store.py
+++ b/tests/test_completion_store.py
@@ -107,7 +107,7 @@
     run_store(harness, store)
     # Until then the mask is stored on a page of its own, which older versions can read.
     assert big.spec.id in str(harness.state.data["c/ends/0.0"][0]) and not big.unstored
-    harness.state.drop(**ANNOUNCED_LIMITS)
+    harness.state.set_limits(**ANNOUNCED_LIMITS)
     store = make_store(harness, table)
     big.unstored.add(99_999)
     store.record(harness.now, big)
@@ -121,12 +121,12 @@
     table = live_jobs(harness, [100_000, 40])
     store = make_store(harness, table)
     run_store(harness, store, 1.0)
-    big, writes = table.jobs["req-000001"], harness.state.writes
+    big, writes = table.jobs["req-000001"], harness.state.write_count
     big.unstored.add(50_001)
     store.record(harness.now, big)
     run_store(harness, store, 6.0)
     assert stored_completions(harness, table.jobs)[big.spec.id] == {*expected, 50_001}
-    assert harness.state.writes - writes <= len(pages) and not big.unstored
+    assert harness.state.write_count - writes <= len(pages) and not big.unstored
     # An older version ignores the segments: their entries are not ids of jobs that it knows.
     old = earlier_versions.load(earlier_versions.VERSION_0_2_0)
     old_table = old.core.JobTable()
@@ -140,7 +140,7 @@
 
     Returns the new owner's jobs after its writes, and the answers to the late writes.
     """
-    harness.state.drop(**ANNOUNCED_LIMITS)
+    harness.state.set_limits(**ANNOUNCED_LIMITS)
     tasks = [40_000, 40_000]
     before = live_jobs(harness, tasks)
     earlier = make_store(harness, before)
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -44,7 +44,7 @@
     inventory = harness.start_inventory()
     marked = set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
-    began, writes = harness.now, harness.state.writes
+    began, writes = harness.now, harness.state.write_count
     provision_machines(harness, inventory)
     state = harness.state
     assert inventory.paged and "c/fleet" not in state.data and not inventory.full()
@@ -54,17 +54,19 @@
     )
     assert marked | inventory.up == marked | inventory.stored_up == marked
     # At most a quarter of the write budget is used, and no value or transaction exceeds the limits.
-    assert state.writes - writes <= (harness.now - began) * 15.0 / 4 + 5
-    assert (state.too_large, state.too_fast) == (0, 0) and state.largest <= 2048
+    assert state.write_count - writes <= (harness.now - began) * 15.0 / 4 + 5
+    assert (state.too_large, state.too_fast) == (0, 0) and state.largest_value <= 2048
     assert len(inventory.pages) <= 8
     # Deletions are deferred, so that several share a write.
-    before = state.writes
+    before = state.write_count
     for name in sorted(inventory.machines)[:3]:
         inventory.remove(harness.now, name)
     harness.run(inventory, 1.0)
-    assert state.writes == before
+    assert state.write_count == before
     harness.run(inventory, 6.0)
-    assert 1 <= state.writes - before <= 3 and harness.successor_view()[1] == inventory.machines
+    assert (
+        1 <= state.write_count - before <= 3 and harness.successor_view()[1] == inventory.machines
+    )
 
 
 def test_request_stays_pending_until_its_machines_on_other_pages_are_stored():
@@ -80,7 +82,7 @@
         pending, machines, _ = harness.successor_view()
         assert "b-1-1" in pending or set(names) <= set(machines)
     assert harness.successor_view()[:2] == ({}, dict.fromkeys(names, GROUPS[0]))
-    assert harness.state.largest <= 2048
+    assert harness.state.largest_value <= 2048
 
 
 def put_single_record(harness, machines=400):
@@ -119,7 +121,7 @@
         for call in delayed_calls:
             assert harness.serve(call)[0] == 409
             assert harness.successor_view() == expected
-        harness.state.drop(**ANNOUNCED_LIMITS)
+        harness.state.set_limits(**ANNOUNCED_LIMITS)
         harness.run(successor, 12.0)
         assert "c/fleet" not in harness.state.data and successor.paged
         assert harness.successor_view() == expected
@@ -163,7 +165,7 @@
     harness = StorageHarness()
     put_single_record(harness)
     inventory = harness.start_inventory(all_upgraded=False, limits_announced=limits_announced)
-    harness.state.drop(**ANNOUNCED_LIMITS)
+    harness.state.set_limits(**ANNOUNCED_LIMITS)
     sent, marked = [], set()
     inventory.on_marks_stored = lambda now, names: marked.update(names)
     inventory.record_request(harness.now, "b-9-1", GROUPS[1], 2, lambda now, ok: sent.append(ok))
@@ -330,7 +332,7 @@
             scenario.all_upgraded = True
         if step == 300:
             # A successor splits the pages that were filled under the higher limit.
-            scenario.harness.state.drop(value_kb=1.2)
+            scenario.harness.state.set_limits(value_kb=1.2)
             scenario.start_leader()
         for _ in range(scenario.rng.randint(0, 4)):
             scenario.change_at_random()
@@ -359,8 +361,8 @@
     inventory = harness.start_inventory(limits_announced=False, least_value_bytes=32768.0)
     provision_machines(harness, inventory, 400)
     harness.run(inventory, 8.0)
-    assert harness.state.largest > 4096
-    harness.state.drop(value_kb=2.0, txn_ops=5)
+    assert harness.state.largest_value > 4096
+    harness.state.set_limits(value_kb=2.0, txn_ops=5)
     refused, sent, marked = harness.state.too_large, [], set()
     inventory.writer.max_writes = 16
     inventory.on_marks_stored = lambda now, names: marked.update(names)
@@ -395,7 +397,7 @@
 def test_request_that_no_value_can_hold_fails_and_is_not_moved_repeatedly():
     harness = StorageHarness()
     inventory = harness.start_inventory(limits_announced=False, least_value_bytes=32768.0)
-    harness.state.drop(value_kb=0.5)
+    harness.state.set_limits(value_kb=0.5)
     sent, pages, request = [], len(inventory.pages), "b" * 600
 
     def on_done(now, ok):
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -69,6 +69,6 @@
     # the store accepts without many refused requests.
     assert harness.state.too_fast < 0.2 * sent + 60
     reduced_rate = transactions.budget.rate
-    harness.state.drop(write_rps=60.0)
+    harness.state.set_limits(write_rps=60.0)
     transactions.budget.take(harness.now + 120.0, 0.0)
     assert reduced_rate < 20.0 and transactions.budget.rate == transactions.budget.configured_rate
--- a/tests/test_value_limits.py
+++ b/tests/test_value_limits.py
@@ -11,7 +11,7 @@
 
 
 def test_announced_limits_are_validated_and_the_lower_limit_applies():
-    state = settings_module.parse(raw_settings(coming=ANNOUNCED_LIMITS)).cluster.state
+    state = settings_module.parse(raw_settings(next_limits=ANNOUNCED_LIMITS)).cluster.state
     assert (state.least_write_rps, state.least_value_bytes, state.least_txn_ops) == (15, 2048, 5)
     unannounced = settings_module.parse(raw_settings()).cluster.state
     assert (
@@ -19,17 +19,17 @@
         unannounced.least_value_bytes,
         unannounced.least_txn_ops,
     ) == (60, 32768, 16)
-    higher = settings_module.parse(raw_settings(coming={**ANNOUNCED_LIMITS, "value_kb": 64.0}))
+    higher = settings_module.parse(raw_settings(next_limits={**ANNOUNCED_LIMITS, "value_kb": 64.0}))
     assert higher.cluster.state.least_value_bytes == 32768
     for field, value in (("write_rps", 0), ("value_kb", -1.0), ("txn_ops", 3), ("txn_ops", "x")):
         with pytest.raises(SettingsError, match=f"next.{field}"):
-            settings_module.parse(raw_settings(coming={**ANNOUNCED_LIMITS, field: value}))
+            settings_module.parse(raw_settings(next_limits={**ANNOUNCED_LIMITS, field: value}))
 
 
 def test_only_submissions_that_no_value_can_hold_are_refused_permanently():
-    simulation = Simulation(coming=ANNOUNCED_LIMITS)
+    simulation = Simulation(next_limits=ANNOUNCED_LIMITS)
     simulation.run_until(simulation.leader)
-    simulation.state.drop(**ANNOUNCED_LIMITS)
+    simulation.kvstore.set_limits(**ANNOUNCED_LIMITS)
     padded = simulation.submit(
         job(1, racks=["box"] * 500 + [f"no-such-type-{n}" for n in range(90)])
     )
@@ -37,22 +37,22 @@
     large = simulation.submit(job(3, master="i" * 1500))
     simulation.run(1.0)
     assert [padded.status, too_large.status, large.status] == [201, 422, 201]
-    assert simulation.state.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
-    assert simulation.state.too_large == 0
+    assert simulation.kvstore.data["c/live/req-000001"][0]["spec"]["racks"] == ["box"]
+    assert simulation.kvstore.too_large == 0
     # This record is within the limit in our encoding and exceeds it in that of the store.
-    size = len(encode(simulation.state.data["c/live/req-000003"][0]))
+    size = len(encode(simulation.kvstore.data["c/live/req-000003"][0]))
     near_limit = simulation.submit(job(4, master="i" * (1500 + 2048 - 10 - size)))
     simulation.run(1.0)
-    assert near_limit.status == 422 and simulation.state.too_large == 1
+    assert near_limit.status == 422 and simulation.kvstore.too_large == 1
     repeated = simulation.submit(job(1, master="i" * 3000))
     simulation.run(1.0)
     assert repeated.status == 200
 
 
 def test_machine_types_that_no_value_can_hold_are_not_stored():
-    simulation = Simulation(coming=ANNOUNCED_LIMITS)
-    machine_type = dict(simulation.cloud.offer[0])
-    simulation.cloud.offer = [{**machine_type, "name": f"box-{n}"} for n in range(20)] + [
+    simulation = Simulation(next_limits=ANNOUNCED_LIMITS)
+    machine_type = dict(simulation.cloud.machine_types[0])
+    simulation.cloud.machine_types = [{**machine_type, "name": f"box-{n}"} for n in range(20)] + [
         machine_type
     ]
     simulation.run_until(simulation.leader)
@@ -64,5 +64,5 @@
         handle(method, path, *rest),
     )
     simulation.run(20.0)
-    assert "c/types" not in simulation.state.data and calls.count("/machine_types") <= 6
+    assert "c/types" not in simulation.kvstore.data and calls.count("/machine_types") <= 6
     assert not simulation.violations
--- a/tests/test_watch_cache_age.py
+++ b/tests/test_watch_cache_age.py
@@ -6,7 +6,7 @@
 from copperpass.core.membership.peer_heartbeats import PeerHeartbeats
 from copperpass.protocol.frames.messages import JobCancelled
 from tests.request_bodies import job
-from tests.scenarios import running
+from tests.scenarios import present_task_count
 from tests.simulation import Simulation
 
 
@@ -16,7 +16,7 @@
     simulation.run(3.0)
     for n in range(1, 5):
         simulation.submit(job(n, run_s=400.0, team="red" if n % 2 else "blue", **more))
-    simulation.run_until(lambda: running(simulation) == 8, 60)
+    simulation.run_until(lambda: present_task_count(simulation) == 8, 60)
     simulation.run(2.0)
     return simulation
 
@@ -35,17 +35,17 @@
 def test_cancellation_stops_tasks_when_store_refuses_leader_and_then_all(partitioned, gap):
     simulation = started_simulation(partitioned)
     old_leader = simulation.leader()
-    simulation.refused.add(old_leader)
-    others = [n for n in simulation.names if n != old_leader]
+    simulation.kvstore_refuses.add(old_leader)
+    others = [n for n in simulation.node_names if n != old_leader]
     answers = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in range(1, 5)]
     simulation.run(gap)
     assert [a.status for a in answers] == [200] * 4
-    simulation.state.down = True
+    simulation.kvstore.down = True
     simulation.run(0.5)
-    simulation.refused.discard(old_leader)
+    simulation.kvstore_refuses.discard(old_leader)
     check_cancelled_for(simulation, 1.6 * simulation.cancel_s)
-    assert running(simulation) == 0 and not simulation.violations
-    simulation.outage_over()
+    assert present_task_count(simulation) == 0 and not simulation.violations
+    simulation.end_outage()
     check_cancelled_for(simulation, 20.0)
     assert not simulation.violations
 
@@ -56,16 +56,20 @@
     shards = simulation.nodes[leader].cluster_manager.shards.values()
     shard = next(s for s in shards if s.owner != leader)
     owner, starts = shard.owner, simulation.starts
-    simulation.refused.add(owner)
+    simulation.kvstore_refuses.add(owner)
     simulation.run_until(
         lambda: shard.owner not in ("", owner),
         3 * simulation.nodes[leader].timings.leader_ttl_s + 2.0,
     )
-    other = next(n for n in simulation.names if n not in (owner, leader))
+    other = next(n for n in simulation.node_names if n not in (owner, leader))
     for n in range(1, 5):
         assert simulation.cancel(f"req-{n:06d}", other)
     check_cancelled_for(simulation, 2.0 * simulation.cancel_s)
-    assert running(simulation) == 0 and simulation.starts == starts and not simulation.violations
+    assert (
+        present_task_count(simulation) == 0
+        and simulation.starts == starts
+        and not simulation.violations
+    )
 
 
 def leader_with_hung_watch():
@@ -74,12 +78,12 @@
     leader = simulation.leader()
     simulation.watches_blocked.add(leader)
     simulation.run(3.0)
-    for name in simulation.names:
+    for name in simulation.node_names:
         if name != leader:
             # The others can't inform the leader, from which they are cut off. Users cancel the jobs
             # through them, since they still reach the store.
             simulation.cut(leader, name)
-    other = next(n for n in simulation.names if n != leader)
+    other = next(n for n in simulation.node_names if n != leader)
     for n in range(1, 5):
         simulation.cancel(f"req-{n:06d}", other)
     check_cancelled_for(simulation, 1.5 * simulation.cancel_s)
@@ -88,7 +92,7 @@
 
 def test_leader_steps_down_in_time_when_its_watch_hangs_while_its_key_is_renewed():
     simulation = leader_with_hung_watch()
-    assert running(simulation) == 0 and not simulation.violations
+    assert present_task_count(simulation) == 0 and not simulation.violations
 
 
 def test_hung_watch_breaks_a_rule_without_the_watch_cache_age_limit(monkeypatch):
@@ -106,7 +110,11 @@
     simulation.watches_blocked.add(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader), 12)
     simulation.run(15.0)
-    assert running(simulation) == 8 and simulation.starts == starts and not simulation.violations
+    assert (
+        present_task_count(simulation) == 8
+        and simulation.starts == starts
+        and not simulation.violations
+    )
 
 
 def test_a_watch_cache_is_consistent_only_once_its_list_is_complete():
@@ -133,11 +141,11 @@
     simulation.watches_blocked.add(leader)
     simulation.run(1.0)
     submission = simulation.submit(job(9, tasks=9, cpus=7.5, run_s=100.0), "n2")
-    others = [n for n in simulation.names if n != leader]
+    others = [n for n in simulation.node_names if n != leader]
     answers = [simulation.cancel(f"req-{n:06d}", others[n % 2]) for n in (1, 2, 3, 4, 9)]
     simulation.run(1.2)
     assert submission.status == 201 and [a.status for a in answers] == [200] * 5
-    assert simulation.leader() == leader and running(simulation) == 0
+    assert simulation.leader() == leader and present_task_count(simulation) == 0
     starts = simulation.starts
     simulation.run(30.0)
     assert simulation.starts == starts and not simulation.violations
@@ -150,9 +158,9 @@
     )
     announced = []
     leader = simulation.leader()
-    canceller, other = [n for n in simulation.names if n != leader]
-    deliver = simulation.frame
-    simulation.frame = lambda sender, member, frame: (
+    canceller, other = [n for n in simulation.node_names if n != leader]
+    deliver = simulation.receive_frame
+    simulation.receive_frame = lambda sender, member, frame: (
         announced.append((sender, member))
         if isinstance(frame, JobCancelled)
         else deliver(sender, member, frame)
@@ -160,4 +168,4 @@
     simulation.nodes[canceller].version_registry.upgraded.discard(leader)
     simulation.cancel("req-000001", canceller)
     simulation.run(2.0)
-    assert announced == [(canceller, other)] and running(simulation) == 6
+    assert announced == [(canceller, other)] and present_task_count(simulation) == 6
