--- a/src/copperpass/core/membership/peer_heartbeats.py
+++ b/src/copperpass/core/membership/peer_heartbeats.py
@@ -6,7 +6,7 @@
 
 from copperpass.core.election.timings import ElectionTimings
 from copperpass.core.ports import Outbox
-from copperpass.protocol.frames.messages import NEVER_ANSWERED, MemberHeartbeat
+from copperpass.protocol.frames.messages import NEVER_CONSISTENT, MemberHeartbeat
 
 
 class PeerHeartbeats:
@@ -26,8 +26,8 @@
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: MemberHeartbeat) -> None:
         """Record up to which time, on this member's clock, a peer's watch cache is consistent."""
-        if heartbeat.state_age_ms != NEVER_ANSWERED:
-            self._peer_consistent_at[sender] = now - heartbeat.state_age_ms / 1000
+        if heartbeat.cache_age_ms != NEVER_CONSISTENT:
+            self._peer_consistent_at[sender] = now - heartbeat.cache_age_ms / 1000
 
     def is_connected(self, now: float, member: str) -> bool:
         """Whether a frame of a peer arrived within `vote_s`, which is four heartbeat intervals."""
@@ -60,7 +60,7 @@
 
 
 def _age_ms(now: float, consistent_at: float) -> int:
-    """The age of the watch cache in ms, or `NEVER_ANSWERED` if it was never consistent."""
+    """The age of the watch cache in ms, or `NEVER_CONSISTENT` if it was never consistent."""
     if consistent_at <= 0:
-        return NEVER_ANSWERED
-    return min(NEVER_ANSWERED - 1, int((now - consistent_at) * 1000))
+        return NEVER_CONSISTENT
+    return min(NEVER_CONSISTENT - 1, int((now - consistent_at) * 1000))
--- a/src/copperpass/protocol/__init__.py
+++ b/src/copperpass/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between programs: HTTP bodies by counterpart, stored records, frames between members.
+"""Wire formats: HTTP bodies by external system, stored records, and frames between members.
 
-The only place that knows the field names of the protocol; everything else uses the standard terms.
+Only this package knows the field names of the protocol; other code uses the standard terms.
 """
--- a/src/copperpass/protocol/cloud.py
+++ b/src/copperpass/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the cloud, with the field names of the protocol mapped here."""
+"""Messages between controllers and the cloud; `rename` maps attributes to the protocol's names."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
         "zones": "halls",
     },
 ):
-    """A machine type of the cloud: capacity of one, price an hour, boot time in seconds."""
+    """A machine type: the capacity of one machine, its price per hour, its boot time in seconds.
+
+    `spot_price`: price per hour of a spot machine; None if the type has no spot machines.
+    `cache_gb`: local disk for images, which are fetched at `fetch_gb_per_s`.
+    """
 
     name: str
     cpus: float
@@ -36,7 +40,7 @@
 
 
 class MachineTypes(msgspec.Struct, rename={"types": "racks"}):
-    """All machine types of the cloud."""
+    """All machine types that the cloud offers."""
 
     types: list[MachineType]
 
@@ -51,7 +55,7 @@
         "age_s": "held_s",
     },
 ):
-    """A machine in the cloud's list."""
+    """A machine as the cloud lists it; `address` is None while it has none."""
 
     id: str
     type: str
@@ -63,14 +67,14 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "presses", "more": "truncated"}):
-    """A page of the cloud's list."""
+    """A page of the cloud's list of machines; with `more`, further pages follow."""
 
     machines: list[ListedMachine]
     more: bool = False
 
 
 class InstanceAnswer(msgspec.Struct, rename={"machines": "presses"}):
-    """The machines that an instance request was granted."""
+    """The answer to an instance request: the names of the machines granted."""
 
     machines: list[str]
 
@@ -78,17 +82,17 @@
 def instance_request_body(
     request: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> bytes:
-    """The body of an instance request; a repeated `request` id is idempotent."""
+    """Encode an instance request; repeating it with the same `request` id is idempotent."""
     return encode(
         {"booking": request, "rack": machine_type, "hall": zone, "borrowed": spot, "count": count}
     )
 
 
 def release_body(names: list[str]) -> bytes:
-    """The body of a request to delete machines."""
+    """Encode a request to delete machines."""
     return encode({"presses": names})
 
 
 def machines_path(after: str) -> str:
-    """Where machines are listed."""
+    """Return the path of the page of machines after the name `after`; "" for the first page."""
     return "/rentals?most=500" + (f"&since={after}" if after else "")
--- a/src/copperpass/protocol/frames/__init__.py
+++ b/src/copperpass/protocol/frames/__init__.py
@@ -1,6 +1,6 @@
-"""Frames between controllers: the messages, their bytes, and how a stream is cut into them.
+"""Frames between controllers: the messages, their encoding, and the splitting of a byte stream.
 
-A frame is a header (magic, version, kind, length) and a payload, packed by hand with `struct`. The
-first frame on a connection is `Hello` with the sender's name; connections carry frames one way,
-from the member that opened them.
+A frame is a header (magic, version, kind, payload length) and a payload, both packed with `struct`.
+A connection carries frames in one direction, from the member that opened it. Its first frame is
+`Hello` with the name of that member.
 """
--- a/src/copperpass/protocol/frames/codec.py
+++ b/src/copperpass/protocol/frames/codec.py
@@ -1,4 +1,4 @@
-"""The bytes of frames: one codec a kind, in one table."""
+"""Encodes and decodes frames with one codec per kind."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """The bytes of a frame, header included."""
+    """Encode a frame, including its header."""
     codec = _BY_TYPE[type(frame)]
     payload = codec.encode(frame)
     return HEADER.pack(MAGIC, FRAME_VERSION, codec.kind, len(payload)) + payload
 
 
 def decode_payload(kind: int, payload: bytes) -> Frame:
-    """The frame of a kind with that payload; raises `FrameError` or `NewerFrameError`."""
+    """Decode the payload of a frame.
+
+    Raises `FrameError` if it is malformed, `NewerFrameError` if only a later version knows it.
+    """
     codec = _BY_KIND.get(kind)
     if codec is None:
         raise NewerFrameError("unknown kind")
@@ -34,5 +37,5 @@
         frame: Frame = codec.decode(reader)
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(str(error)) from error
-    reader.finish()
+    reader.require_end()
     return frame
--- a/src/copperpass/protocol/frames/format.py
+++ b/src/copperpass/protocol/frames/format.py
@@ -7,16 +7,16 @@
 
 MAGIC, FRAME_VERSION = b"cp", 3
 HEADER = struct.Struct("!2sBBI")
-# A heartbeat or its answer may have 64 KiB, a batch of routes some 20 KiB as a rule.
+# A worker's heartbeat or its answer has up to 64 KiB, a batch of routes usually about 20 KiB.
 MAX_PAYLOAD_BYTES = 1 << 18
-# Capacity requests in one frame, the most urgent first: with names of up to 55 bytes they stay
-# within a payload. The rest is asked for when these have been served.
+# The most capacity requests in one frame. With job ids of up to 55 bytes they fit a payload. The
+# most urgent are sent first; the others are sent once these have been served.
 MAX_REQUESTS_PER_FRAME = 1 << 12
 MAX_TEXT_BYTES = 255
 
 
 class FrameKind(IntEnum):
-    """The kinds of frames, as the header has them."""
+    """The kinds of frames, as numbered in the header."""
 
     HELLO = 1
     MEMBER_HEARTBEAT = 2
@@ -30,7 +30,7 @@
     ROUTE_UPDATES = 10
     MACHINE_STATUS_UPDATES = 11
     CAPACITY_REQUESTS = 12
-    # Members up to 0.3.0 close the link on a kind that they don't know: these go only to members
-    # that are proven to know them. Later ones skip what they don't know.
+    # Versions up to 0.3.0 close the link on a kind that they do not know, so the kinds from here on
+    # are sent only to members that are proven to know them. Later versions skip unknown kinds.
     JOB_CANCELLED = 13
     ZONE_AFFINITIES = 14
--- a/src/copperpass/protocol/frames/member_codecs.py
+++ b/src/copperpass/protocol/frames/member_codecs.py
@@ -1,4 +1,4 @@
-"""The payloads of what members exchange as such: election, display, relayed heartbeats."""
+"""Codecs of the frames between any two members: election, running counts, relayed heartbeats."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def _encode_member_heartbeat(frame: MemberHeartbeat) -> bytes:
-    return _MEMBER_HEARTBEAT.pack(frame.token, frame.state_age_ms)
+    return _MEMBER_HEARTBEAT.pack(frame.token, frame.cache_age_ms)
 
 
 def _encode_lease_extension_request(frame: LeaseExtensionRequest) -> bytes:
@@ -44,14 +44,14 @@
 
 def _decode_lease_extension_vote(reader: PayloadReader) -> LeaseExtensionVote:
     token, number, granted = reader.unpack(_LEASE_EXTENSION_VOTE)
-    reader.finish()
+    reader.require_end()
     if granted > 1:
-        raise FrameError("a vote is neither 0 nor 1")
+        raise FrameError(f"lease extension vote: granted must be 0 or 1, got {granted}")
     return LeaseExtensionVote(token, number, bool(granted))
 
 
 def _encode_running_counts(frame: RunningCounts) -> bytes:
-    """As many counts as one payload holds: they only serve display."""
+    """Encode as many counts as one payload holds; they only serve display, so drop the rest."""
     parts: list[bytes] = []
     size = 0
     for job_id, count in frame.running.items():
@@ -67,7 +67,7 @@
     running: dict[str, int] = {}
     while not reader.at_end():
         size, count = reader.unpack(_RUNNING_COUNT)
-        running[reader.take(size).decode()] = count
+        running[reader.read_bytes(size).decode()] = count
     return RunningCounts(running)
 
 
@@ -77,7 +77,7 @@
 
 def _decode_relayed_heartbeat(reader: PayloadReader) -> RelayedHeartbeat:
     (number,) = reader.unpack(_RELAYED_HEARTBEAT)
-    return RelayedHeartbeat(number, reader.rest())
+    return RelayedHeartbeat(number, reader.read_remaining())
 
 
 def _encode_relayed_answer(frame: RelayedAnswer) -> bytes:
@@ -86,7 +86,7 @@
 
 def _decode_relayed_answer(reader: PayloadReader) -> RelayedAnswer:
     number, status = reader.unpack(_RELAYED_ANSWER)
-    return RelayedAnswer(number, status, reader.rest())
+    return RelayedAnswer(number, status, reader.read_remaining())
 
 
 MEMBER_CODECS: tuple[FrameCodec[Any], ...] = (
@@ -94,7 +94,7 @@
         FrameKind.HELLO,
         Hello,
         lambda frame: frame.member.encode(),
-        lambda reader: Hello(reader.rest().decode()),
+        lambda reader: Hello(reader.read_remaining().decode()),
     ),
     FrameCodec(
         FrameKind.MEMBER_HEARTBEAT,
@@ -130,6 +130,6 @@
         FrameKind.JOB_CANCELLED,
         JobCancelled,
         lambda frame: frame.job.encode(),
-        lambda reader: JobCancelled(reader.rest().decode()),
+        lambda reader: JobCancelled(reader.read_remaining().decode()),
     ),
 )
--- a/src/copperpass/protocol/frames/messages.py
+++ b/src/copperpass/protocol/frames/messages.py
@@ -1,4 +1,8 @@
-"""The messages that controllers exchange, as plain values."""
+"""The messages between controllers, as plain values.
+
+`epoch` is the fencing token of the leader's term, `incarnation` a random number that identifies a
+member's process. `number` matches an answer to its request.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +10,15 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-# A shard's number has one byte in frames; the highest stands for none.
+# Frames carry a shard's number in one byte; the highest value stands for no shard.
 NO_SHARD = 255
 MAX_SHARDS = NO_SHARD
-# In `MemberHeartbeat.state_age_ms`: the key-value store has never answered.
-NEVER_ANSWERED = 0xFFFFFFFF
+# In `MemberHeartbeat.cache_age_ms`: the watch cache has never been consistent.
+NEVER_CONSISTENT = 0xFFFFFFFF
 
 
 class Occupancy(IntEnum):
-    """Which shards' tasks may run on a machine, beside those that its owner knows."""
+    """Which shards' tasks may run on a machine beside those that its owner knows of."""
 
     EMPTY = 0
     ANY_SHARD = 1
@@ -23,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineContact:
-    """Where a machine's agent answers, and the last sequence number it has accepted."""
+    """The address and epoch of a machine's agent, and its last accepted sequence number."""
 
     address: str
     agent_epoch: int
@@ -34,10 +38,11 @@
 class MachineRoute:
     """A machine in the leader's replication log: its shard, and the base token of its owner.
 
-    `recorded`: the inventory has stored that it has been up. `reclaim_requested`: its owner is to
-    release it if it is idle, with `drain` in any case, to be used elsewhere or deleted.
-    `proven_empty`: released empty a moment ago under the same leader, so that the contact is
-    certain and nothing runs there.
+    `recorded`: the inventory has stored that the machine has been up.
+    `reclaim_requested`: the owner should release the machine if it is idle, so that it can serve
+    another shard or be deleted; with `drain`, even if tasks run on it.
+    `proven_empty`: the last owner has just released the machine empty under the same leader, so
+    nothing runs on it and `contact` is valid.
     """
 
     name: str
@@ -58,11 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """A machine in its owner's replication log: what its heartbeats have shown.
+    """A machine in its owner's replication log, as known from the machine's heartbeats.
 
-    `registered`: it has sent one. `reconciled`: the owner knows all that runs there. `released`:
-    the owner commands it no more; `shard` then says whose tasks are on it, if another shard's.
-    `deletion_requested`: the owner wants it deleted.
+    `registered`: the machine has sent a heartbeat.
+    `reconciled`: the owner knows all tasks on the machine.
+    `released`: the owner no longer commands the machine. If tasks of another shard run on it,
+    `shard` is that shard.
+    `deletion_requested`: the owner wants the machine to be deleted.
     """
 
     name: str
@@ -78,32 +85,32 @@
 
 
 class PendingTasks(NamedTuple):
-    """Tasks of a job that the machines of their shard have no capacity for in time."""
+    """Tasks of a job for which the machines of its shard will not have capacity in time."""
 
     job: str
     tasks: int
-    # Seconds until they should start.
-    horizon: float
+    # Seconds until the tasks should start.
+    horizon_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Who opened the connection."""
+    """The name of the member that opened the connection."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class MemberHeartbeat:
-    """The highest fencing token seen, and the age of the key-value store's last answer."""
+    """The highest fencing token that a member has seen, and the age of its watch cache."""
 
     token: int
-    state_age_ms: int
+    cache_age_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtensionRequest:
-    """A leader asks a member to vote for the extension of its lease."""
+    """A leader's request to a member to vote for the extension of its lease."""
 
     token: int
     number: int
@@ -144,7 +151,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A member asks its leader to extend its grants; acknowledges the routes it has applied."""
+    """A member's request to the leader to extend its grants.
+
+    `acknowledged_sequence`: the last of the leader's routes that the member has applied.
+    """
 
     epoch: int
     incarnation: int
@@ -154,10 +164,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardAssignment:
-    """Which member owns a shard; the generation tells one assignment from the next.
+    """The owner of a shard; `generation` differs for each assignment of a term.
 
-    The owner starts nothing before its watch cache has reached `required_revision` and its routes
-    `required_sequence`.
+    The owner starts no task before its watch cache has reached `required_revision` and its routes
+    have reached `required_sequence`.
     """
 
     shard: int
@@ -169,9 +179,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The answer to `GrantRequest`: the assignments, valid for a length counted from the request.
+    """The answer to `GrantRequest`: the assignments, valid for `length_ms` from the request on.
 
-    Acknowledges the statuses that the leader has applied.
+    `token_version`: the version of the fencing token's key, which guards writes of the term.
+    `on_demand_excess`: some on-demand capacity could be scaled in, so work that can wait gets only
+    spot capacity.
+    `acknowledged_sequence`: the last of the member's statuses that the leader has applied.
     """
 
     epoch: int
@@ -208,9 +221,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityRequests:
-    """Tasks that a shard's machines have no capacity for in time, the most urgent first.
+    """The pending tasks for which a shard needs more machines, the most urgent first.
 
-    `acknowledged_sequence`: the routes that the owner knew of; the leader skips older requests.
+    `acknowledged_sequence`: the last route that the owner knew of; the leader ignores requests that
+    do not take its latest routes to the shard into account.
     """
 
     epoch: int
@@ -221,14 +235,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """A job's cancellation is stored; the receiver's watch cache may be late to show it."""
+    """A job's cancellation is stored; sent because the receiver's watch cache may lag behind."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneAffinities:
-    """The jobs of `CapacityRequests` whose other tasks tie them to a zone, with the zone."""
+    """Zones of jobs in `CapacityRequests` whose other tasks tie them to a zone, by job id."""
 
     epoch: int
     shard: int
@@ -237,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownFrame:
-    """A frame of a later version that this one can't read: to be skipped."""
+    """A frame of a later version that this version cannot decode, so the receiver skips it."""
 
     kind: int
     reason: str
--- a/src/copperpass/protocol/frames/payload.py
+++ b/src/copperpass/protocol/frames/payload.py
@@ -1,4 +1,4 @@
-"""How payloads are read and written, apart from what each kind of frame holds."""
+"""Reading and writing of payloads, common to all kinds of frames."""
 
 from __future__ import annotations
 
@@ -11,72 +11,75 @@
 from copperpass.protocol.frames.format import MAX_TEXT_BYTES, FrameKind
 from copperpass.protocol.frames.messages import Frame
 
-M = TypeVar("M", bound=Frame)
+FrameT = TypeVar("FrameT", bound=Frame)
 TEXT_LENGTH = struct.Struct("!B")
 
 
 class PayloadReader:
-    """Reads a payload from front to back; raises `FrameError` where it is too short."""
+    """Reads a payload from front to back; `offset` is the next byte to read.
+
+    A payload that is too short raises `FrameError`, or `struct.error` in `unpack`.
+    """
 
     def __init__(self, payload: bytes) -> None:
         self.payload, self.offset = payload, 0
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The values of a fixed layout; raises `struct.error` where the payload is too short."""
+        """Read the values of a fixed layout; raises `struct.error` if the payload is too short."""
         values = layout.unpack_from(self.payload, self.offset)
         self.offset += layout.size
         return values
 
-    def text(self) -> str:
-        """A text, which follows one byte with its length."""
+    def read_text(self) -> str:
+        """Read a text that is preceded by its length in bytes, in one byte."""
         if self.at_end():
-            raise FrameError("payload too short")
-        return self.take(self.unpack(TEXT_LENGTH)[0]).decode()
+            raise FrameError(f"payload too short: no text at byte {self.offset}")
+        return self.read_bytes(self.unpack(TEXT_LENGTH)[0]).decode()
 
-    def take(self, size: int) -> bytes:
-        """The next `size` bytes."""
+    def read_bytes(self, size: int) -> bytes:
+        """Read the next `size` bytes."""
         end = self.offset + size
         if end > len(self.payload):
-            raise FrameError("payload too short")
+            raise FrameError(f"payload too short: {end} bytes expected, got {len(self.payload)}")
         raw = self.payload[self.offset : end]
         self.offset = end
         return raw
 
-    def rest(self) -> bytes:
-        """All bytes that are left."""
-        return self.take(len(self.payload) - self.offset)
+    def read_remaining(self) -> bytes:
+        """Read all remaining bytes."""
+        return self.read_bytes(len(self.payload) - self.offset)
 
     def at_end(self) -> bool:
-        """Whether nothing is left."""
+        """Whether all bytes have been read."""
         return self.offset >= len(self.payload)
 
-    def finish(self) -> None:
-        """Raise `NewerFrameError` if something is left."""
+    def require_end(self) -> None:
+        """Raise `NewerFrameError` if bytes remain: a later version may have added fields."""
         if not self.at_end():
             raise NewerFrameError("longer than known")
 
 
 @dataclass(frozen=True, slots=True)
-class FrameCodec(Generic[M]):
-    """How the payload of one kind of frame is written and read."""
+class FrameCodec(Generic[FrameT]):
+    """Encodes and decodes the payload of one kind of frame."""
 
     kind: FrameKind
-    message_type: type[M]
-    encode: Callable[[M], bytes]
-    decode: Callable[[PayloadReader], M]
+    message_type: type[FrameT]
+    encode: Callable[[FrameT], bytes]
+    decode: Callable[[PayloadReader], FrameT]
 
 
 def encode_text(value: str) -> bytes:
-    """A text of up to `MAX_TEXT_BYTES`, behind one byte with its length."""
+    """Encode a text, cut off at `MAX_TEXT_BYTES`, preceded by its length in one byte."""
     raw = value.encode()[:MAX_TEXT_BYTES]
     return TEXT_LENGTH.pack(len(raw)) + raw
 
 
 def pack_flags(*values: bool) -> int:
-    """Flags as the bits of one number, the first in the lowest bit."""
+    """Pack flags into the bits of one number, the first into the lowest bit."""
     return sum(1 << bit for bit, value in enumerate(values) if value)
 
 
 def unpack_flags(flags: int, count: int) -> tuple[bool, ...]:
-    """The lowest `count` bits of a number, the lowest first."""
+    """Unpack the lowest `count` bits of a number, the lowest first."""
     return tuple(bool(flags >> bit & 1) for bit in range(count))
--- a/src/copperpass/protocol/frames/shard_codecs.py
+++ b/src/copperpass/protocol/frames/shard_codecs.py
@@ -1,4 +1,4 @@
-"""The payloads of what a leader and the owners of shards exchange: grants, machines, demand."""
+"""Codecs of the frames between the leader and shard owners: grants, machines, demand."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def _decode_contact(reader: PayloadReader, present: bool) -> MachineContact | None:
-    return MachineContact(reader.text(), *reader.unpack(_CONTACT)) if present else None
+    return MachineContact(reader.read_text(), *reader.unpack(_CONTACT)) if present else None
 
 
 def _encode_route(route: MachineRoute) -> bytes:
@@ -70,10 +70,10 @@
 
 
 def _decode_route(reader: PayloadReader) -> MachineRoute:
-    name, machine_type, zone = reader.text(), reader.text(), reader.text()
+    name, machine_type, zone = reader.read_text(), reader.read_text(), reader.read_text()
     shard, base_token, occupancy, flags = reader.unpack(_ROUTE)
-    spot, recorded, reclaim_requested, drain, failed, deleted, proven_empty, reached = unpack_flags(
-        flags, 8
+    spot, recorded, reclaim_requested, drain, failed, deleted, proven_empty, has_contact = (
+        unpack_flags(flags, 8)
     )
     return MachineRoute(
         name=name,
@@ -88,7 +88,7 @@
         drain=drain,
         failed=failed,
         deleted=deleted,
-        contact=_decode_contact(reader, reached),
+        contact=_decode_contact(reader, has_contact),
         proven_empty=proven_empty,
     )
 
@@ -110,9 +110,9 @@
 
 
 def _decode_status(reader: PayloadReader) -> MachineStatus:
-    name = reader.text()
+    name = reader.read_text()
     base_token, flags, shard, used_cpus = reader.unpack(_STATUS)
-    registered, reconciled, idle, released, deletion_requested, reached = unpack_flags(flags, 6)
+    registered, reconciled, idle, released, deletion_requested, has_contact = unpack_flags(flags, 6)
     return MachineStatus(
         name=name,
         base_token=base_token,
@@ -123,7 +123,7 @@
         shard=shard,
         deletion_requested=deletion_requested,
         used_cpus=used_cpus,
-        contact=_decode_contact(reader, reached),
+        contact=_decode_contact(reader, has_contact),
     )
 
 
@@ -137,18 +137,18 @@
 
 
 def _decode_assignment(reader: PayloadReader) -> ShardAssignment:
-    member = reader.text()
+    member = reader.read_text()
     shard, generation, required_revision, required_sequence = reader.unpack(_ASSIGNMENT)
     return ShardAssignment(shard, member, generation, required_revision, required_sequence)
 
 
 def _encode_pending_tasks(request: PendingTasks) -> bytes:
-    job_id, tasks, horizon = request
-    return encode_text(job_id) + _PENDING_TASKS.pack(tasks, horizon)
+    job_id, tasks, horizon_s = request
+    return encode_text(job_id) + _PENDING_TASKS.pack(tasks, horizon_s)
 
 
 def _decode_pending_tasks(reader: PayloadReader) -> PendingTasks:
-    job_id = reader.text()
+    job_id = reader.read_text()
     return PendingTasks(job_id, *reader.unpack(_PENDING_TASKS))
 
 
@@ -245,7 +245,7 @@
 
 def _decode_zone_affinities(reader: PayloadReader) -> ZoneAffinities:
     epoch, shard, count = reader.unpack(_ZONE_AFFINITIES)
-    zones = tuple((reader.text(), reader.text()) for _ in range(count))
+    zones = tuple((reader.read_text(), reader.read_text()) for _ in range(count))
     return ZoneAffinities(epoch, shard, zones)
 
 
--- a/src/copperpass/protocol/frames/stream.py
+++ b/src/copperpass/protocol/frames/stream.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of bytes into frames."""
+"""Splits a byte stream into frames."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class FrameDecoder:
-    """Holds the bytes of frames that are not complete yet."""
+    """Decodes the frames of one connection; buffers the bytes of an incomplete frame."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[Frame | UnknownFrame]:
-        """Take bytes; returns the frames that are complete, also those that can't be read.
+        """Add bytes and return the complete frames; those of later versions as `UnknownFrame`.
 
-        Raises `FrameError` on bytes that no controller would send.
+        Raises `FrameError` on malformed bytes.
         """
         self.buffer += data
         frames: list[Frame | UnknownFrame] = []
@@ -30,14 +30,16 @@
             return None
         magic, version, kind, length = HEADER.unpack_from(self.buffer)
         if magic != MAGIC or version != FRAME_VERSION:
-            raise FrameError("not a frame of this version")
+            raise FrameError(
+                f"magic and version must be {MAGIC!r} {FRAME_VERSION}, got {magic!r} {version}"
+            )
         if length > MAX_PAYLOAD_BYTES:
-            raise FrameError("too long")
+            raise FrameError(f"payload length must be at most {MAX_PAYLOAD_BYTES}, got {length}")
         end = HEADER.size + length
         if len(self.buffer) < end:
             return None
         payload, self.buffer = self.buffer[HEADER.size : end], self.buffer[end:]
         try:
             return decode_payload(kind, payload)
-        except NewerFrameError as newer:
-            return UnknownFrame(kind, str(newer))
+        except NewerFrameError as error:
+            return UnknownFrame(kind, str(error))
--- a/src/copperpass/protocol/json_codec.py
+++ b/src/copperpass/protocol/json_codec.py
@@ -1,4 +1,4 @@
-"""JSON bodies: how they are written and read, and what reading them raises."""
+"""Encoding and decoding of JSON bodies."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 T = TypeVar("T")
 
-# What decoding a body raises. Deep nesting, also in fields that are ignored, exhausts the stack.
+# What decoding a malformed body raises. Deep nesting, even in ignored fields, exhausts the stack.
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 encode = msgspec.json.encode
 
 
 def decode(body: bytes, message_type: type[T]) -> T | None:
-    """Decode a body, or None when it is not what the protocol says."""
+    """Decode a body; returns None if it is malformed or does not match `message_type`."""
     try:
         return msgspec.json.decode(body, type=message_type)
     except DECODE_ERRORS:
@@ -23,5 +23,5 @@
 
 
 def error_body(text: str) -> bytes:
-    """The body of a refusal."""
+    """Encode the body of an error response."""
     return encode({"error": text})
--- a/src/copperpass/protocol/kvstore.py
+++ b/src/copperpass/protocol/kvstore.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the key-value store, with its field names mapped here."""
+"""Messages between controllers and the key-value store; `rename` maps to the store's names."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class KeyPage(msgspec.Struct, rename={"more": "truncated", "revision": "issue"}):
-    """Part of a listing, at a revision; `more` keys follow."""
+    """A page of a listing at a revision; with `more`, further pages follow."""
 
     items: list[KeyValue]
     revision: int
@@ -29,7 +29,7 @@
 
 
 class WatchEvent(msgspec.Struct, rename={"delete": "remove", "version": "stamp"}):
-    """A change of one key: either its new value or its deletion."""
+    """A change of one key: either `put` names it, with its new `value`, or `delete` does."""
 
     version: int
     put: str | None = None
@@ -38,7 +38,7 @@
 
 
 class WatchAnswer(msgspec.Struct, rename={"events": "news", "revision": "issue"}):
-    """The changes that ended a wait, up to a revision."""
+    """The answer to a watch: the changes up to a revision."""
 
     events: list[WatchEvent]
     revision: int
@@ -51,7 +51,7 @@
 
 
 class TransactionConflict(msgspec.Struct, rename={"revision": "issue"}):
-    """A transaction of which these guarded keys had other versions."""
+    """A transaction that was not applied: the keys in `failed` have other versions than guarded."""
 
     failed: list[str]
     revision: int = 0
@@ -66,7 +66,7 @@
 class PutKey(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"key": "put", "lease": "permit"}
 ):
-    """The write of a key; with a lease, the key is deleted when the lease ends."""
+    """A write of a key; with a lease, the store deletes the key when the lease ends."""
 
     key: str
     value: object
@@ -83,7 +83,7 @@
 
 
 def transaction_body(guards: dict[str, int], writes: Sequence[Write]) -> bytes:
-    """The body of a transaction that is applied only if each key has the version of its guard."""
+    """Encode a transaction, which is applied only if each key has the version of its guard."""
     return encode(
         {
             "guards": [{"path": key, "stamp": version} for key, version in guards.items()],
@@ -93,25 +93,25 @@
 
 
 def key_path(key: str) -> str:
-    """Where a key is read."""
+    """Return the path that reads a key."""
     return f"/kv/{key}"
 
 
 def list_path(prefix: str, after: str) -> str:
-    """Where keys are listed."""
+    """Return the path of the page of keys after the key `after`; "" for the first page."""
     return f"/kv?under={prefix}&most=200" + (f"&since={after}" if after else "")
 
 
 def watch_path(prefix: str, revision: int, wait_ms: int) -> str:
-    """Where changes are watched."""
+    """Return the path that waits up to `wait_ms` for changes after a revision."""
     return f"/follow?under={prefix}&since={revision}&block_ms={wait_ms}"
 
 
 def renew_lease_path(lease: int) -> str:
-    """Where a lease is renewed."""
+    """Return the path that renews a lease."""
     return f"/leases/{lease}/extend"
 
 
 def lease_path(lease: int) -> str:
-    """Where a lease is ended."""
+    """Return the path that ends a lease."""
     return f"/leases/{lease}"
--- a/src/copperpass/protocol/records.py
+++ b/src/copperpass/protocol/records.py
@@ -1,6 +1,6 @@
 """Records that controllers keep in the key-value store.
 
-Their field names are stored data: earlier versions read and write them too.
+Their field names are part of the stored data, which earlier versions read and write too.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 ):
     """The one record of a job: its spec while it is live, its final state afterwards.
 
-    `submitted_at`: the time of day in seconds when it was submitted; 0 if that isn't known.
-    `done_tasks`: the tasks that are done, as a bitmap in base64 without its trailing zeros.
-    `completed_count`: how many were done when it reached its final state.
+    `submitted_at`: the wall-clock time of the submission in seconds; 0 if unknown.
+    `done_tasks`: the completed tasks, as a base64 bitmap without its trailing zeros.
+    `completed_count`: how many tasks were completed when the job reached its final state.
     """
 
     spec: JobSpec | None = None
@@ -35,17 +35,17 @@
 
 
 def submitted_job_value(spec: JobSpec, submitted_at: float) -> dict[str, object]:
-    """What is stored of a job when it is submitted."""
+    """Return the value to store for a submitted job: the fields of `JobRecord` by outer name."""
     return {"spec": msgspec.to_builtins(spec), "at": submitted_at}
 
 
 def completed_job_value(final_state: str, completed_count: int) -> dict[str, object]:
-    """What is stored of a job when it reaches its final state."""
+    """Return the value to store for a job in its final state, by outer names of `JobRecord`."""
     return {"final": final_state, "count": completed_count}
 
 
 class LeaderRecord(msgspec.Struct):
-    """Who leads, under which token and lease."""
+    """The leader, its fencing token, and the lease that its key is attached to."""
 
     member: str
     token: int
@@ -53,7 +53,7 @@
 
 
 class FencingTokenRecord(msgspec.Struct):
-    """The token counter, and who won the last token."""
+    """The counter of fencing tokens, and the member that won the last one."""
 
     token: int
     member: str = ""
@@ -64,10 +64,11 @@
     omit_defaults=True,
     rename={"pending_requests": "booked", "starting": "fresh"},
 ):
-    """The machines of one group, and the instance requests for it whose answers are not stored.
+    """The machines of one group, and its instance requests whose answers are not stored yet.
 
-    `pending_requests`: how many machines each asks for; `starting`: machines that were never seen
-    up; `up`: machines that were, on which tasks may run.
+    `pending_requests`: the number of machines requested, by request id.
+    `starting`: machines that have not been seen up yet.
+    `up`: machines that have been seen up, so tasks may run on them.
     """
 
     type: str
@@ -79,15 +80,15 @@
 
 
 class InventoryRecord(msgspec.Struct, rename={"groups": "places"}):
-    """Every machine that was provisioned, and the pending instance requests; or a page of them."""
+    """All provisioned machines and pending instance requests, or one page of them."""
 
     groups: list[MachineGroupRecord]
 
 
 class VersionRecord(msgspec.Struct):
-    """What a member's newest process says of itself; versions without it never write one.
+    """The version of a member's latest process; versions before 0.3.0 write no such record.
 
-    `format`: the highest form of records and frames that it reads.
+    `format`: the highest format of records and frames that the process reads.
     """
 
     version: str
--- a/src/copperpass/protocol/users.py
+++ b/src/copperpass/protocol/users.py
@@ -1,4 +1,4 @@
-"""Messages between users and controllers, with the field names of the protocol mapped here."""
+"""Messages between users and controllers; `rename` maps attributes to the protocol's names."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class JobState(StrEnum):
-    """The states of a job that users see; the last two are final."""
+    """The states of a job that users see; `DONE` and `CANCELLED` are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -74,18 +74,18 @@
 
     @property
     def gang(self) -> bool:
-        """Whether all tasks run together or none does."""
+        """Whether the tasks are gang-scheduled: all run at the same time, or none does."""
         return self.kind == "ensemble"
 
 
 class JobReference(msgspec.Struct):
-    """The one field that identifies a repeated submission, whatever else its body holds."""
+    """The field that identifies a repeated submission; the other fields of its body are ignored."""
 
     id: str
 
 
 class JobAnswer(msgspec.Struct, rename={"state": "status"}, omit_defaults=True):
-    """The state of a job as its user sees it: how many tasks are done, and how many run."""
+    """The state of a job as its user sees it, with its numbers of done and of running tasks."""
 
     id: str
     state: str
@@ -94,7 +94,7 @@
 
 
 def decode_spec(body: bytes) -> JobSpec:
-    """Decode a submission; raises one of `DECODE_ERRORS` when it is malformed."""
-    # msgspec doesn't look at the bytes of strings in fields that it ignores.
+    """Decode a submission; raises one of `DECODE_ERRORS` if it is malformed."""
+    # msgspec does not validate the UTF-8 of strings in fields that it ignores.
     body.decode("utf-8")
     return msgspec.json.decode(body, type=JobSpec)
--- a/src/copperpass/protocol/workers.py
+++ b/src/copperpass/protocol/workers.py
@@ -1,7 +1,7 @@
-"""Messages between workers and controllers, with the field names of the protocol mapped here.
+"""Messages between workers and controllers; `rename` maps attributes to the protocol's names.
 
-A worker sends heartbeats to any controller and gets commands in the answers; urgent commands are
-sent to it directly, and it answers them with a heartbeat. Durations are in seconds.
+A worker sends heartbeats to any controller and receives commands in the answers. Urgent commands
+are sent to it directly, and it answers them with a heartbeat. Durations are in seconds.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 
 HEARTBEAT_PATH = "/v1/report"
 COMMANDS_PATH = "/do"
-# How long a worker waits for an answer, and then before it tries the next controller.
+# A worker waits `HEARTBEAT_ANSWER_S` for the answer to a heartbeat. If none arrives, it waits
+# `NEXT_CONTROLLER_S` and then tries the next controller.
 HEARTBEAT_ANSWER_S, NEXT_CONTROLLER_S = 4.0, 1.0
 
 
 class CommandKind(StrEnum):
-    """What a command has a worker do with a task."""
+    """What a command tells a worker to do with a task."""
 
     START = "run"
     STOP = "kill"
@@ -30,7 +31,7 @@
     """The states of a task on a machine."""
 
     FETCHING = "pulling"
-    # A gang's task that waits for the other tasks of its attempt.
+    # A task of a gang waits for the other tasks of its attempt to start.
     GATHERING = "gathering"
     RUNNING = "running"
     SAVING = "flushing"
@@ -38,15 +39,15 @@
 
 
 class ExitCause(StrEnum):
-    """Why a task has exited."""
+    """Why a task exited."""
 
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
-    # Of a gang's task: another task is gone; not all tasks were there in time.
+    # Tasks of gangs only: another task of the gang is gone; not all tasks had started in time.
     GANG_LOST = "mates_gone"
     ALONE = "alone"
-    # The machine has refused to start it, or doesn't know it.
+    # The machine refused to start the task (the first two), or does not know it.
     NO_CAPACITY = "no_room"
     BUSY = "in_use"
     UNKNOWN = "unknown"
@@ -56,7 +57,7 @@
     msgspec.Struct,
     rename={"task": "page", "attempt": "take", "state": "status", "exit_cause": "cause"},
 ):
-    """A task on a machine."""
+    """The status of a task on a machine; `exit_cause` is None until the task has exited."""
 
     task: str
     attempt: int
@@ -81,10 +82,10 @@
 ):
     """The status of a machine and its tasks.
 
-    `agent_epoch`: rises with each start of the agent and each expiry of its lease, which end all
-    tasks. `sequence`: rises with each heartbeat of an epoch. `token`: the highest fencing token
-    that the agent has accepted. `notice_s`: in how long a spot machine will be interrupted, once
-    that is known.
+    `agent_epoch`: increases with each start of the agent and each expiry of its lease; both end
+    all tasks. `sequence`: increases with each heartbeat of an epoch. `token`: the highest fencing
+    token that the agent has accepted. `notice_s`: seconds until a spot machine is interrupted;
+    None if no interruption is announced.
     """
 
     machine: str
@@ -104,7 +105,7 @@
     rename={"kind": "verb", "task": "page", "attempt": "take", "grace_s": "windup_s"},
     omit_defaults=True,
 ):
-    """A command to a worker; `grace_s` is how long a stopped task may save its progress."""
+    """A command to a worker; `grace_s` is how long a stopped task may take to save a checkpoint."""
 
     kind: str
     task: str
@@ -130,5 +131,5 @@
 
 
 def redirect_body(member: str | None) -> bytes:
-    """The body of a 421: the controller that a worker should send its heartbeats to."""
+    """Encode a 421 response, which names the controller to send heartbeats to if it is known."""
     return encode({"editor": member} if member else {})
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -11,7 +11,7 @@
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.format import FRAME_VERSION, HEADER, MAGIC, FrameKind
 from copperpass.protocol.frames.messages import (
-    NEVER_ANSWERED,
+    NEVER_CONSISTENT,
     CapacityRequests,
     Frame,
     Grant,
@@ -39,7 +39,7 @@
 FRAMES: list[Frame] = [
     JobCancelled("req-000412"),
     Hello("n1"),
-    MemberHeartbeat(7, NEVER_ANSWERED),
+    MemberHeartbeat(7, NEVER_CONSISTENT),
     LeaseExtensionRequest(7, 9),
     LeaseExtensionVote(7, 9, True),
     LeaseExtensionVote(7, 9, False),
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -15,7 +15,7 @@
 from copperpass.protocol.cloud import MachineTypes
 from copperpass.protocol.frames.codec import encode_frame
 from copperpass.protocol.frames.messages import (
-    NEVER_ANSWERED,
+    NEVER_CONSISTENT,
     CapacityRequests,
     Grant,
     GrantRequest,
@@ -50,7 +50,7 @@
 # Frames as all earlier versions pack them.
 FRAMES = [
     (Hello("n1"), "63700301000000026e31"),
-    (MemberHeartbeat(7, NEVER_ANSWERED), "637003020000000c0000000000000007ffffffff"),
+    (MemberHeartbeat(7, NEVER_CONSISTENT), "637003020000000c0000000000000007ffffffff"),
     (LeaseExtensionRequest(7, 9), "637003030000001000000000000000070000000000000009"),
     (LeaseExtensionVote(7, 9, True), "63700304000000110000000000000007000000000000000901"),
     (RunningCounts({"req-000001": 3}), "637003050000000f0a000000037265712d303030303031"),
