--- a/src/copperpass/__init__.py
+++ b/src/copperpass/__init__.py
@@ -1,3 +1,3 @@
-"""copperpass: a cluster scheduler whose controllers keep every rule whatever fails."""
+"""copperpass: a cluster scheduler with replicated, fault-tolerant controllers."""
 
 __version__ = "0.5.0"
--- a/src/copperpass/__main__.py
+++ b/src/copperpass/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m copperpass` is the same program as `run.py`."""
+"""Entry point of `python -m copperpass`; runs the same program as `run.py`."""
 
 import sys
 
--- a/src/copperpass/cli.py
+++ b/src/copperpass/cli.py
@@ -1,4 +1,4 @@
-"""The command line: reads and checks the settings, then runs a controller."""
+"""The command line: validates the settings, then runs a controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def argument_parser() -> argparse.ArgumentParser:
-    """The parser of the command line's arguments."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="copperpass",
         description="A cluster scheduler: one controller of a copperpass service.",
@@ -35,13 +35,13 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a controller until it is stopped; returns the exit code.
 
-    0 after a stop or a successful `--check`; 2 for settings that can't be used, with a line on
-    standard error that says why. `argv` defaults to the process's arguments.
+    0 after a normal stop or a successful `--check`; 2 for invalid settings, after one line on
+    standard error with the reason. `argv` defaults to the process's arguments.
     """
     arguments = argument_parser().parse_args(argv)
     try:
         settings = load(arguments.config)
-        # Raises SettingsError for timings with which elections would not be safe.
+        # Raises `SettingsError` if elections would not be safe with these timings.
         election_timings(settings.cluster)
         tuning = Tuning()
         if arguments.operator:
@@ -52,7 +52,7 @@
     if arguments.check:
         print(f"copperpass: settings of {settings.name} are fine")
         return 0
-    # Imported here, so that a check of the settings needs no reactor.
+    # Imported here because `--check` must work without a reactor.
     from copperpass.log import configure
     from copperpass.net.service import run
 
--- a/src/copperpass/errors.py
+++ b/src/copperpass/errors.py
@@ -1,28 +1,28 @@
-"""The exceptions of the project in one hierarchy: a caller may catch all or one kind."""
+"""The exceptions of this project; all derive from `CopperpassError`."""
 
 from __future__ import annotations
 
 
 class CopperpassError(Exception):
-    """The base of every exception that this project raises."""
+    """The base class of all exceptions that this project raises."""
 
 
 class SettingsError(CopperpassError):
-    """A settings file that can't be used; the message names the field."""
+    """A settings file is invalid or can't be read; the message names the field or the file."""
 
 
 class FrameError(CopperpassError):
-    """Bytes that no controller of this version or a later one would send."""
+    """Received bytes are malformed: no controller of this or a later version would send them."""
 
 
 class NewerFrameError(CopperpassError):
-    """A frame that is whole, but of a kind or with fields that this version doesn't know."""
+    """A complete frame is of a kind, or has fields, that this version does not know."""
 
 
 class RejectedJobError(CopperpassError):
-    """A submission that is refused: the HTTP status of the answer, and the reason that it gives.
+    """A submission is rejected; holds the HTTP status and the reason for the response.
 
-    503 means that it can't be decided now; the other statuses are final.
+    503 means that no decision is possible now; the other statuses are final.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/src/copperpass/log.py
+++ b/src/copperpass/log.py
@@ -1,4 +1,4 @@
-"""Writes each log record as one line of JSON to standard error."""
+"""Writes log records to standard error, each as one line of JSON."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class JsonLineFormatter(logging.Formatter):
-    """Formats a record as one JSON object."""
+    """Formats a record as one JSON object; `member` is the name of this controller."""
 
     def __init__(self, member: str) -> None:
         super().__init__()
         self.member = member
 
     def format(self, record: logging.LogRecord) -> str:
-        """Put the message and its fields on one line."""
+        """Return the event, its fields and any traceback as one line of JSON."""
         line: dict[str, object] = {
             "time": time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
             + f".{int(record.msecs):03d}Z",
@@ -42,12 +42,12 @@
 
 
 def write(record: LogRecord) -> None:
-    """Log one event."""
+    """Log one event with its fields."""
     logger.log(LEVELS[record.level], record.event, extra={"fields": record.fields})
 
 
 def configure(member: str) -> None:
-    """Configure the logger: standard error, from the level that `LOG_LEVEL` names."""
+    """Log to standard error from the level in `LOG_LEVEL` on; an unknown level stands for info."""
     level = os.environ.get("LOG_LEVEL", "info") or "info"
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonLineFormatter(member))
--- a/src/copperpass/log_events.py
+++ b/src/copperpass/log_events.py
@@ -1,7 +1,7 @@
-"""Every event that a controller logs, with its level, and the reasons that the events carry.
+"""Log levels, the texts of all events that a controller logs, and the reasons in their fields.
 
-The texts are an interface: operators' alerts match them (docs/operations.md lists them). An event's
-fields are its own; their names are whole words in standard terms.
+The texts are an interface: operators' alerts match them (docs/operations.md lists them). Each event
+has its own set of fields, whose names are whole words in standard terms.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 class LogEvent(StrEnum):
     """The texts of log events."""
 
-    # The process and its inputs; the failures carry a traceback.
+    # The process and its inputs; events of failures include a traceback.
     STARTED = "started"
     UNKNOWN_LOG_LEVEL = "unknown LOG_LEVEL, using info"
     TICK_FAILED = "tick failed"
@@ -54,19 +54,19 @@
 
 
 class DeletionReason(StrEnum):
-    """Why a shard's scheduler has a machine deleted; a field of `MACHINE_DELETION_REQUESTED`."""
+    """Why a shard's scheduler requests a machine's deletion: in `MACHINE_DELETION_REQUESTED`."""
 
-    # Known by its record alone, and it never sent a heartbeat.
+    # The machine is known only from its stored record and has never sent a heartbeat.
     NEVER_REGISTERED = "never registered"
     HEARTBEAT_TIMEOUT = "heartbeat timeout"
-    # Its heartbeats arrive, but the answers to them don't reach it.
+    # The machine's heartbeats arrive, but the answers do not reach it.
     ANSWERS_UNDELIVERED = "answers undelivered"
-    # Quarantined, and empty now.
+    # The machine is quarantined and has no tasks any more.
     QUARANTINED = "quarantined"
 
 
 class StepDownReason(StrEnum):
-    """Why a leader steps down; a field of `LEADERSHIP_LOST`."""
+    """Why a leader steps down: the reason in `LEADERSHIP_LOST`."""
 
     AUTHORITY_EXPIRED = "authority expired"
     ANOTHER_LEADER = "another leader elected"
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One event to be logged."""
+    """One event to log; `fields` are its own fields, which `log.write` adds to the line."""
 
     level: LogLevel
     event: LogEvent
--- a/src/copperpass/net/__init__.py
+++ b/src/copperpass/net/__init__.py
@@ -1,1 +1,1 @@
-"""The reactor side: sockets, clocks and the HTTP of the outside systems."""
+"""The I/O around the core: sockets, clocks, and HTTP to and from external systems."""
--- a/src/copperpass/net/client.py
+++ b/src/copperpass/net/client.py
@@ -1,4 +1,4 @@
-"""HTTP calls with deadlines, over connections that stay open."""
+"""An HTTP client with a deadline per request and persistent connections."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 from copperpass.core.ports import NO_ANSWER, NOT_SENT
 from copperpass.net.reactor import Reactor
 
-# Called with an HTTP status, `NO_ANSWER` or `NOT_SENT`, and the body.
+# Called with the body and its HTTP status, or with `NO_ANSWER` or `NOT_SENT`.
 OnResponse = Callable[[int, bytes], None]
 CONNECT_TIMEOUT_S = 5.0
 JSON_HEADERS = Headers({b"content-type": [b"application/json"]})
 
 
 class BoundedConnectionPool(HTTPConnectionPool):
-    """Holds at most `max_connections`: the idle one least recently used is closed for a new one.
+    """Limits the connections to `max_connections` by closing the least recently used idle ones.
 
-    Connections in use count too, but none of them is closed: with more requests in flight than
-    `max_connections` there are more connections.
+    Connections in use count towards the limit but are never closed, so there are more connections
+    than `max_connections` while more requests than that are in flight.
 
-    The pool of the library is bounded for each host only. With a thousand workers, one idle
-    connection to each would take the sockets that workers, users and the load balancer come in on.
+    Twisted's pool has a limit per host only. With a thousand workers, one idle connection to each
+    would use up the sockets needed for incoming connections of workers, users and the load
+    balancer.
     """
 
     def __init__(
@@ -41,19 +42,20 @@
         super().__init__(reactor, persistent=True)
         self.maxPersistentPerHost = per_host
         self.cachedConnectionTimeout = int(idle_timeout_s)
-        # The core decides whether a request is sent again: it may have been carried out.
+        # The core decides about retries, since the server may have carried the request out.
         self.retryAutomatically = False
         self.max_connections = max_connections
         self.in_use = 0
+        # Twisted's pool key (scheme, host, port) by connection.
         self._keys: dict[Any, Hashable] = {}
 
     @property
     def idle(self) -> int:
-        """How many connections are open without a request."""
+        """The number of open connections without a request."""
         return len(self._timeouts)
 
     def getConnection(self, key: Any, endpoint: Any) -> Any:
-        """An idle connection, or a new one after closing those that are too many."""
+        """Return an idle connection, or a new one after closing idle ones over the limit."""
         if not self._connections.get(key):
             while self._timeouts and self.in_use + self.idle > self.max_connections:
                 oldest = next(iter(self._timeouts))
@@ -64,30 +66,32 @@
     def _putConnection(self, key: Any, connection: Any) -> None:
         super()._putConnection(key, connection)
         if len(self._keys) > 2 * self.max_connections:
-            # The library closes connections on its own too: drop the keys of these.
+            # Twisted closes idle connections on its own too: drop the keys of those.
             self._keys = {
-                idle: its_key for idle, its_key in self._keys.items() if idle in self._timeouts
+                known: known_key
+                for known, known_key in self._keys.items()
+                if known in self._timeouts
             }
         self._keys[connection] = key
 
 
 @implementer(IAgentEndpointFactory)
 class EndpointFactory:
-    """Makes endpoints of IP addresses, which need no name resolution."""
+    """Makes endpoints for IP addresses, which need no name resolution."""
 
     def __init__(self, reactor: Reactor, connect_timeout_s: float) -> None:
         self.reactor = reactor
         self.connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
-        """The endpoint of an address."""
+        """Return the TCP endpoint of a URI whose host is an IPv4 address."""
         return TCP4ClientEndpoint(
             self.reactor, uri.host.decode("ascii"), uri.port, timeout=self.connect_timeout_s
         )
 
 
 class ResponseBody(Protocol):
-    """Collects the body of a response, then passes it on with the status."""
+    """Collects the body of a response and passes it to `on_response` with the status."""
 
     def __init__(self, status: int, on_response: OnResponse) -> None:
         self.status = status
@@ -95,11 +99,11 @@
         self.parts: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
-        """Add a part."""
+        """Store a part of the body."""
         self.parts.append(data)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The body is complete, or the connection was lost before its end."""
+        """Report the complete body, or `NO_ANSWER` if the connection was lost before its end."""
         if reason is not None and reason.check(ResponseDone):
             self.on_response(self.status, b"".join(self.parts))
         else:
@@ -109,7 +113,8 @@
 class HttpClient:
     """Sends requests to other systems; every request ends by its deadline.
 
-    Its status is `NO_ANSWER` if it may have been carried out, `NOT_SENT` if it can't have been.
+    A request without a response ends with the status `NO_ANSWER` if the server may have carried it
+    out, and with `NOT_SENT` if it can't have.
     """
 
     def __init__(
@@ -130,11 +135,11 @@
         timeout_s: float,
         on_response: OnResponse,
     ) -> None:
-        """Send a request; `on_response` is called exactly once, with its status and body."""
+        """Send a request; `on_response` is called exactly once, after `timeout_s` at the latest."""
         uri = f"http://{address}{path}".encode()
         producer: Any = FileBodyProducer(BytesIO(body)) if method != "GET" else None
         ended = False
-        reading: list[ResponseBody] = []
+        response_bodies: list[ResponseBody] = []
 
         def finish(status: int, data: bytes) -> None:
             nonlocal ended
@@ -146,7 +151,7 @@
                 on_response(status, data)
 
         def expire() -> None:
-            transport: Any = reading[0].transport if reading else None
+            transport: Any = response_bodies[0].transport if response_bodies else None
             if transport is not None:
                 transport.loseConnection()
             else:
@@ -154,11 +159,11 @@
             finish(NO_ANSWER, b"")
 
         def on_headers(response: Any) -> None:
-            reading.append(ResponseBody(response.code, finish))
-            response.deliverBody(reading[0])
+            response_bodies.append(ResponseBody(response.code, finish))
+            response.deliverBody(response_bodies[0])
 
         def on_failure(failure: Failure) -> None:
-            # A connection that was never made, or was abandoned before, carries nothing later.
+            # No connection was made, or the attempt was cancelled: the request can't arrive later.
             unsent = failure.check(ConnectError, ConnectingCancelledError) is not None
             finish(NOT_SENT if unsent else NO_ANSWER, b"")
 
--- a/src/copperpass/net/peers.py
+++ b/src/copperpass/net/peers.py
@@ -1,4 +1,4 @@
-"""The links between controllers: one outgoing connection to each, many incoming."""
+"""The links between controllers: one outgoing connection to each, and the incoming ones."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from copperpass.settings import split_address
 
 OnFrame = Callable[[str, Frame], None]
-# A blocked link is closed after as many times the interval between two attempts to connect.
+# A blocked link is closed after this many intervals between two attempts to connect.
 BLOCKED_RETRY_INTERVALS = 12
 
 
 class IncomingLink(Protocol):
     """The receiving end of a link: decodes frames and passes them on with the sender's name.
 
-    Invariant: no frame is passed on before the sender has named itself as a known member.
+    Invariant: no frame is passed on before a `Hello` has named a known member as the sender.
     """
 
     def __init__(self, members: set[str], on_frame: OnFrame) -> None:
@@ -37,19 +37,22 @@
         self.unknown_logged = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes; anything malformed closes the link and changes nothing.
+        """Pass on the complete frames; malformed bytes close the link and have no other effect.
 
-        What a member of a later version sends beyond this one's knowledge is skipped: a closed link
-        would be opened again, and closed again at the next such frame.
+        Frames that only a later version knows are skipped. If they closed the link, the sender
+        would reconnect, and the next such frame would close it again.
         """
         try:
             for frame in self.decoder.feed(data):
                 if isinstance(frame, Hello):
                     if self.sender or frame.member not in self.members:
-                        raise FrameError(f"wrong sender {frame.member!r}")
+                        raise FrameError(
+                            f"hello: must be sent once, by one of {sorted(self.members)};"
+                            f" got {frame.member!r}"
+                        )
                     self.sender = frame.member
                 elif not self.sender:
-                    raise FrameError("no hello")
+                    raise FrameError(f"first frame must be Hello, got {type(frame).__name__}")
                 elif isinstance(frame, UnknownFrame):
                     self._skip(frame)
                 else:
@@ -61,7 +64,7 @@
                 self.transport.abortConnection()
 
     def _skip(self, frame: UnknownFrame) -> None:
-        """Log, once a link, a frame of a later version that this one doesn't know."""
+        """Log the first frame of this link that only a later version knows."""
         if not self.unknown_logged:
             self.unknown_logged = True
             fields: dict[str, object] = {
@@ -73,7 +76,7 @@
 
 
 class IncomingLinkFactory(ServerFactory):
-    """Makes the receiving ends."""
+    """Makes the receiving end of each incoming connection."""
 
     noisy = False
 
@@ -82,20 +85,24 @@
         self.on_frame = on_frame
 
     def buildProtocol(self, addr: Any) -> IncomingLink:
-        """Make one receiving end."""
+        """Return the receiving end of a new connection."""
         return IncomingLink(self.members, self.on_frame)
 
 
 @implementer(IPushProducer)
 class OutgoingLink(Protocol):
-    """A connection to another controller; says whether bytes pile up on it."""
+    """A connection to another controller, with back-pressure.
+
+    `blocked_since`: the reactor time in seconds since when the transport's buffer is full; None
+    while it is not.
+    """
 
     def __init__(self, factory: OutgoingLinkFactory) -> None:
         self.factory = factory
         self.blocked_since: float | None = None
 
     def connectionMade(self) -> None:
-        """Introduce this member: the first frame names the sender."""
+        """Send `Hello`: the first frame names the sender."""
         transport: Any = self.transport
         self.factory.link = self
         transport.setTcpNoDelay(True)
@@ -103,23 +110,24 @@
         transport.write(encode_frame(Hello(self.factory.own_name)))
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full."""
+        """Mark the link as blocked: the transport's buffer is full."""
         self.blocked_since = self.factory.reactor.seconds()
 
     def resumeProducing(self) -> None:
-        """The transport's buffer has been sent."""
+        """Mark the link as unblocked: the transport's buffer has been sent."""
         self.blocked_since = None
 
     def stopProducing(self) -> None:
-        """The connection is lost."""
+        """Do nothing: `clientConnectionLost` of the factory handles a lost connection."""
 
 
 class OutgoingLinkFactory(ClientFactory):
-    """The sending end to one controller; frames are dropped while there is no connection.
+    """Keeps a connection to one controller; drops frames while there is none.
 
-    They are dropped as well while what was sent before can't leave: every frame is sent again in
-    a newer form, and a cut that holds packets back for minutes must not fill the memory. A link
-    that stays blocked for longer than the other side would wait is closed and made anew.
+    Frames are also dropped while the transport's buffer is full. A network partition that holds
+    packets back for minutes must not fill the memory, and the sender repeats each frame with newer
+    content. A link that stays blocked for longer than the receiver would wait is closed and
+    reopened.
     """
 
     noisy = False
@@ -129,14 +137,15 @@
         self.own_name = own_name
         self.retry_s = retry_s
         self.host, self.port = split_address(address, "members.addr")
+        # None while there is no connection.
         self.link: OutgoingLink | None = None
 
     def connect(self) -> None:
-        """Open the connection."""
+        """Start to connect, with a timeout of three retry intervals."""
         self.reactor.connectTCP(self.host, self.port, self, timeout=3 * self.retry_s)
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        """Make the sending end of a new connection."""
+        """Return the sending end of a new connection."""
         return OutgoingLink(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
@@ -152,7 +161,10 @@
         self.reactor.callLater(self.retry_s, self.connect)
 
     def send(self, data: bytes) -> None:
-        """Send bytes if there is a connection that takes them."""
+        """Send an encoded frame, or drop it while the link is down or blocked.
+
+        Aborts the connection once it has been blocked for `BLOCKED_RETRY_INTERVALS`.
+        """
         if self.link is None:
             return
         transport: Any = self.link.transport
@@ -166,7 +178,7 @@
 
 
 class PeerLinks:
-    """All links of this controller: one outgoing to each other member, and those that come in.
+    """All links of this controller: one outgoing to each other member, and the incoming ones.
 
     `members` maps the other members' names to their addresses (`host:port`). `retry_s` is the time
     in seconds between two attempts to connect.
@@ -190,11 +202,11 @@
         }
 
     def start(self) -> None:
-        """Listen and connect."""
+        """Accept incoming links and connect to all other members."""
         self.reactor.listenTCP(self.port, self.incoming, interface=self.host)
         for link in self.outgoing.values():
             link.connect()
 
     def send(self, member: str, frame: Frame) -> None:
-        """Send a frame to one member, or drop it if its link takes none."""
+        """Send a frame to one member, or drop it while its link is down or blocked."""
         self.outgoing[member].send(encode_frame(frame))
--- a/src/copperpass/net/reactor.py
+++ b/src/copperpass/net/reactor.py
@@ -1,4 +1,4 @@
-"""The part of twisted's reactor that this package uses, as a type: twisted's own has none."""
+"""The type of the parts of Twisted's reactor that this package uses; Twisted's own is untyped."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Whether it is still to be made."""
+        """Whether the call is pending: neither made nor cancelled."""
 
     def cancel(self) -> None:
-        """Never make it."""
+        """Cancel the call."""
 
 
 class Reactor(Protocol):
-    """Clock, timers and TCP. Times are in seconds of the monotonic clock."""
+    """Clock, timers and TCP; times and durations are in seconds of the monotonic clock."""
 
     def seconds(self) -> float:
-        """The time now."""
+        """Return the current time."""
 
     def callLater(self, delay: float, function: Callable[..., object]) -> Timer:
-        """Call a function after a delay."""
+        """Schedule a call of a function after a delay."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> object:
-        """Accept connections."""
+        """Accept connections on a port, on all interfaces if `interface` is empty."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30) -> object:
-        """Open a connection."""
+        """Open a connection; `factory` learns of its success or failure."""
--- a/src/copperpass/net/server.py
+++ b/src/copperpass/net/server.py
@@ -16,46 +16,46 @@
 
 
 class BoundedBody(BytesIO):
-    """A request body in memory, cut off one byte beyond the longest that is allowed."""
+    """A request body in memory, truncated one byte after the limit so that an excess shows."""
 
     def write(self, data: Any) -> int:
-        """Keep what is within the bound; the rest of an oversized body is dropped."""
+        """Store the part of `data` within the limit, drop the rest; returns the size of `data`."""
         super().write(data[: max(0, MAX_BODY_BYTES + 1 - self.tell())])
         return len(data)
 
 
 class ApiService(Protocol):
-    """What answers the requests: each through `reply` of its request, now or later."""
+    """Handles requests; answers each with the request's `reply`, at once or later."""
 
     def worker_heartbeat(self, request: ApiRequest, body: bytes) -> None:
-        """A worker's heartbeat."""
+        """Handle a worker's heartbeat."""
 
     def health(self) -> tuple[int, bytes]:
-        """Status and body for the load balancer's probe."""
+        """Return status and body for the load balancer's health check."""
 
     def submit(self, request: ApiRequest, body: bytes) -> None:
-        """A user's submission."""
+        """Handle a user's submission of a job."""
 
     def poll(self, request: ApiRequest, job_id: str) -> None:
-        """A user's poll of a job."""
+        """Handle a user's query of a job's state."""
 
     def cancel(self, request: ApiRequest, job_id: str) -> None:
-        """A user's cancellation of a job."""
+        """Handle a user's cancellation of a job."""
 
 
 class ApiRequest(Request):
-    """One request; the service decides the answer, now or later, through `reply`."""
+    """One request; the service answers it with `reply`, at once or later."""
 
-    # Set by `ApiFactory` on a class of its own.
+    # Set by `ApiFactory` on a subclass per factory, as Twisted makes the requests.
     service: ApiService
     disconnected = False
 
     def gotLength(self, length: int | None) -> None:
-        """Begin a body: twisted would put one of unknown or large size into a temporary file."""
+        """Start a body in memory; Twisted would write one of unknown or large size to a file."""
         self.content = BoundedBody()
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Take a whole request, without the library's parsing of forms, which costs the most."""
+        """Handle a complete request without Twisted's parsing of forms, its most expensive step."""
         content: Any = self.content
         content.seek(0)
         self.method, self.uri, self.clientproto = command, path, version
@@ -63,7 +63,7 @@
         self.process()
 
     def process(self) -> None:
-        """Route the request."""
+        """Route the request by path and method."""
         path = self.path.decode("latin-1")
         method = self.method.decode("latin-1")
         service = self.service
@@ -78,14 +78,14 @@
             if self._is_allowed(method, "POST"):
                 service.submit(self, content.read(MAX_BODY_BYTES + 1))
         elif path.startswith(JOBS_PATH + "/"):
-            rest = path[len(JOBS_PATH) + 1 :]
-            if rest.endswith(CANCEL_SUFFIX) and rest.count("/") == 1:
+            subpath = path[len(JOBS_PATH) + 1 :]
+            if subpath.endswith(CANCEL_SUFFIX) and subpath.count("/") == 1:
                 if self._is_allowed(method, "POST"):
-                    service.cancel(self, rest[: -len(CANCEL_SUFFIX)])
-            elif "/" in rest or not rest:
+                    service.cancel(self, subpath[: -len(CANCEL_SUFFIX)])
+            elif "/" in subpath or not subpath:
                 self.reply(404, error_body("no such path"))
             elif self._is_allowed(method, "GET"):
-                service.poll(self, rest)
+                service.poll(self, subpath)
         else:
             self.reply(404, error_body("no such path"))
 
@@ -97,12 +97,12 @@
         return False
 
     def connectionLost(self, reason: Any) -> None:
-        """The client has disconnected."""
+        """Record that the client has disconnected, so that no reply is written."""
         self.disconnected = True
         super().connectionLost(reason)
 
     def reply(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Answer, unless the client has disconnected or was answered; `retry_after` in seconds."""
+        """Send the answer unless the client has one or is gone; `retry_after` is in seconds."""
         if self.disconnected or self.finished:
             return
         self.setResponseCode(status)
@@ -115,18 +115,18 @@
 
 
 class ApiFactory(HTTPFactory):
-    """Makes channels whose requests know the service; closes those idle for `idle_timeout_s`."""
+    """Makes channels that pass requests to `service`; closes channels idle for `idle_timeout_s`."""
 
     def __init__(self, service: ApiService, reactor: Reactor, idle_timeout_s: float) -> None:
         super().__init__(timeout=int(idle_timeout_s), reactor=cast(Any, reactor))
         self.request_class = type("BoundRequest", (ApiRequest,), {"service": service})
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Make the channel of a new connection."""
+        """Return the channel of a new connection."""
         channel = super().buildProtocol(addr)
         if channel is not None:
             channel.requestFactory = self.request_class
         return channel
 
     def log(self, request: Request) -> None:
-        """No access log: the service logs what matters."""
+        """Write no access log: the service logs the relevant events."""
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -1,7 +1,7 @@
-"""Binds the pure core to the reactor: clocks, sockets and the log.
+"""Connects the core, which does no I/O, to the reactor: clocks, sockets and the log.
 
-Each input is passed to the node, and then all that the node has left in its outbox is carried out.
-A fault in the node is logged and ends that input alone.
+Each input is passed to the node; then the contents of the node's outbox are sent and logged. An
+exception of the node is logged and ends only the handling of that input.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
         self.settings = settings
         self.reactor = reactor
         self.now = time.monotonic
-        # The time of day wanders, so only its distance at the start is used, and only to know how
-        # long a job has waited already.
+        # The wall clock can jump, so only its offset from the monotonic clock at the start is used,
+        # and only to tell how long a job has waited already.
         self.node = Node(
             settings,
             int.from_bytes(os.urandom(8), "big"),
@@ -57,7 +57,7 @@
         )
         max_connections = settings.cluster.resources.max_connections
         self.client = HttpClient(reactor, per_host=8, max_connections=32)
-        # A quarter of the connections for commands to workers; the rest is for incoming ones.
+        # Commands to workers get a quarter of the connections; the rest is for incoming ones.
         self.worker_client = HttpClient(
             reactor,
             per_host=1,
@@ -68,16 +68,16 @@
             ExternalService.STATE: settings.services.state,
             ExternalService.CLOUD: settings.services.cloud,
         }
-        self.tick_s = min(0.1, settings.cluster.workers.heartbeat_interval_s / 20)
+        self.tick_interval_s = min(0.1, settings.cluster.workers.heartbeat_interval_s / 20)
         self.round_timer: Timer | None = None
 
     def start(self) -> None:
-        """Listen and begin to tick."""
+        """Listen, connect to the other members, and start the periodic tick."""
         host, port = split_address(self.settings.listen, "serve_on")
         cluster = self.settings.cluster
-        # A client without a request for two leases is gone: its connection is needed for others.
+        # A client without a request for two lease durations is gone; others need its connection.
         factory = ApiFactory(self, self.reactor, max(30.0, 2 * cluster.workers.lease_s))
-        # After a crash of controllers all workers connect at once.
+        # After controllers have crashed, all workers connect to the others at once.
         backlog = max(200, cluster.resources.max_connections)
         self.reactor.listenTCP(port, factory, backlog=backlog, interface=host)
         self.peers.start()
@@ -85,14 +85,14 @@
         write(LogRecord(LogLevel.INFO, LogEvent.STARTED, fields))
         gc.collect()
         gc.freeze()
-        # Most objects are freed by their counts; the collector only looks for the few cycles.
+        # Reference counting frees most objects; the collector only has to find the few cycles.
         gc.set_threshold(20_000, 10, 20)
         self._tick()
 
     # -- inputs ------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        self.reactor.callLater(self.tick_s, self._tick)
+        self.reactor.callLater(self.tick_interval_s, self._tick)
         self._run()
 
     def _run(self) -> None:
@@ -110,7 +110,7 @@
         self._flush_outbox()
 
     def _schedule_round(self) -> None:
-        """Have a scheduling round soon, so that inputs close together share one."""
+        """Schedule a round of the schedulers, so that inputs in quick succession share one."""
         if self.round_timer is not None:
             return
         due_at = [owner.next_round_at for owner in self.node.schedulers if owner.dirty]
@@ -123,7 +123,7 @@
         self._run()
 
     def worker_heartbeat(self, request: ApiRequest, body: bytes) -> None:
-        """A worker's heartbeat; 503 after a fault, so that the worker tries the next controller."""
+        """Handle a heartbeat; answers 503 on a fault: the worker then tries the next controller."""
         try:
             self.node.worker_heartbeat(self.now(), request, body)
         except Exception:
@@ -132,23 +132,23 @@
         self._flush_outbox()
 
     def health(self) -> tuple[int, bytes]:
-        """Status and body for the load balancer's probe."""
+        """Return status and body for the load balancer's health check."""
         if self.node.healthy(self.now()):
             return 200, b'{"ok":true}'
         return 503, b'{"ok":false}'
 
     def submit(self, request: ApiRequest, body: bytes) -> None:
-        """A user's submission."""
+        """Handle a user's submission of a job."""
         self.node.user_api.submit(self.now(), request, body)
         self._flush_outbox()
 
     def poll(self, request: ApiRequest, job_id: str) -> None:
-        """A user's poll."""
+        """Handle a user's query of a job's state."""
         self.node.user_api.poll(self.now(), request, job_id)
         self._flush_outbox()
 
     def cancel(self, request: ApiRequest, job_id: str) -> None:
-        """A user's cancellation."""
+        """Handle a user's cancellation of a job."""
         self.node.user_api.cancel(self.now(), request, job_id)
         self._flush_outbox()
 
@@ -188,12 +188,12 @@
 
 
 def run(settings: Settings, tuning: Tuning) -> None:
-    """Run a controller until the process is ended."""
+    """Run a controller until the process is stopped."""
     from twisted.internet import reactor
 
     service = Service(settings, tuning, reactor)
-    any_reactor: Any = reactor
-    # Timers must follow the steady clock: the time of day wanders.
-    any_reactor.seconds = time.monotonic
-    any_reactor.callWhenRunning(service.start)
-    any_reactor.run(installSignalHandlers=True)
+    untyped_reactor: Any = reactor
+    # Timers must follow the monotonic clock, as the wall clock can jump.
+    untyped_reactor.seconds = time.monotonic
+    untyped_reactor.callWhenRunning(service.start)
+    untyped_reactor.run(installSignalHandlers=True)
--- a/src/copperpass/settings.py
+++ b/src/copperpass/settings.py
@@ -1,9 +1,8 @@
-"""The platform's settings file: its types, how it is read, and what is checked.
+"""The settings file that the platform writes: types, decoding and validation.
 
-Attributes have the project's names. `rename` maps them to the file's names, which errors use too.
-Unknown fields are ignored. A missing or invalid one raises `SettingsError` with one line that names
-it. Units are in the names: `_s` seconds, `_ms` milliseconds, `_mb` and `_kb` 1024-based, `rps`
-requests a second.
+`rename` maps attributes to the names in the file, which error messages use too. Unknown fields are
+ignored. A missing or invalid field raises `SettingsError` with one line that names it. Units are in
+the names: `_s` seconds, `_ms` milliseconds, `_mb` and `_kb` 1024-based, `rps` requests per second.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 
 
 class Member(msgspec.Struct, rename={"name": "member", "zone": "domain", "address": "addr"}):
-    """Another controller: its name, its zone, and the `host:port` on which it takes frames."""
+    """Another controller: its name, its zone, and the `host:port` on which it accepts frames."""
 
     name: str
     zone: str
     address: str
 
 
-def _limit(written: float) -> float:
-    """A limit as written in the settings: 0 means that there is none."""
-    return written if written > 0 else math.inf
+def _limit(configured: float) -> float:
+    """Return the effective limit: infinite if the configured one is 0."""
+    return configured if configured > 0 else math.inf
 
 
 class ServiceAddresses(msgspec.Struct):
@@ -37,9 +36,9 @@
 
 
 class Team(msgspec.Struct):
-    """A team's quota: guaranteed amounts and limits, as written; a limit of 0 stands for no limit.
+    """A team's quota: guaranteed amounts and limits; a configured limit of 0 means no limit.
 
-    Code reads `cpus_limit` and `gpus_limit` instead of `cpus_max` and `gpus_max`.
+    Other code reads `cpus_limit` and `gpus_limit` instead of `cpus_max` and `gpus_max`.
     """
 
     name: str
@@ -50,19 +49,19 @@
 
     @property
     def cpus_limit(self) -> float:
-        """The most CPUs that the team's tasks may use at a time; infinite without a limit."""
+        """The most CPUs that the team's tasks may use concurrently; infinite without a limit."""
         return _limit(self.cpus_max)
 
     @property
     def gpus_limit(self) -> float:
-        """The most GPUs that the team's tasks may use at a time; infinite without a limit."""
+        """The most GPUs that the team's tasks may use concurrently; infinite without a limit."""
         return _limit(self.gpus_max)
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
-    """A service-level objective: `share` of the jobs of a class within a duration.
+    """A service-level objective: a `share` of the jobs of a class must meet a duration.
 
-    `kind` says what is measured (`wait`, `finished`, `guarantee`); other kinds are ignored.
+    `kind` names the measure: `wait`, `finished` or `guarantee`. Other kinds are ignored.
     """
 
     kind: str
@@ -76,13 +75,13 @@
     msgspec.Struct,
     rename={"heartbeat_interval_s": "report_s", "cancel_deadline_s": "cancel_s"},
 ):
-    """Timings of the workers' protocol.
+    """Timings of the worker protocol.
 
-    `heartbeat_interval_s`: between two heartbeats of a worker.
-    `lease_s`: how long a worker runs tasks after its lease was last renewed.
-    `cancel_deadline_s`: within what time a cancelled job's tasks have stopped.
-    `gang_wait_s`: how long a gang's task waits for the others of its gang.
-    `gang_peer_s`: how soon it notices that one of them is gone.
+    `heartbeat_interval_s`: time between two heartbeats of a worker.
+    `lease_s`: how long a worker runs tasks after the last renewal of its lease.
+    `cancel_deadline_s`: time within which the tasks of a cancelled job must have stopped.
+    `gang_wait_s`: how long a task of a gang waits for the other tasks.
+    `gang_peer_s`: time within which a task of a gang detects that another one is gone.
     """
 
     heartbeat_interval_s: float
@@ -93,12 +92,12 @@
 
     @property
     def gang_stop_deadline_s(self) -> float:
-        """Within what time every task of a gang must get its stop; by default lease_s / 3."""
+        """Time within which every task of a gang must receive its stop; by default lease_s / 3."""
         return self.gang_peer_s if self.gang_peer_s is not None else self.lease_s / 3
 
 
 class NextStateServiceLimits(msgspec.Struct):
-    """Limits that the state service will have at some time after an upgrade."""
+    """Limits that the state service will have from some time after an upgrade on."""
 
     write_rps: float
     value_kb: float
@@ -106,11 +105,11 @@
 
 
 class StateServiceLimits(msgspec.Struct):
-    """Limits of the state service, and those that follow if they are about to change.
+    """Limits of the state service; `next` holds the future ones if they are about to change.
 
-    When they change is not known, so code that must hold before and after reads `least_...`.
-    `rps` and `write_rps` are requests and writes a second, `value_kb` the size of a value,
-    `txn_ops` the writes in a transaction.
+    The time of the change is unknown, so code that must comply before and after it reads the
+    `least_...` properties. `rps` and `write_rps`: requests and writes per second. `value_kb`: size
+    of a value. `txn_ops`: writes in a transaction.
     """
 
     rps: float
@@ -121,14 +120,14 @@
 
     @property
     def least_write_rps(self) -> float:
-        """Writes a second that are allowed both now and after the change of limits."""
+        """Writes per second that are allowed both now and after the change of limits."""
         return min(self.write_rps, self.next.write_rps) if self.next else self.write_rps
 
     @property
     def least_value_bytes(self) -> float:
-        """The size of a value, in bytes, that is allowed now and after the change of limits."""
-        least = min(self.value_kb, self.next.value_kb) if self.next else self.value_kb
-        return least * 1024
+        """The size of a value in bytes that is allowed both now and after the change of limits."""
+        least_kb = min(self.value_kb, self.next.value_kb) if self.next else self.value_kb
+        return least_kb * 1024
 
     @property
     def least_txn_ops(self) -> int:
@@ -139,7 +138,7 @@
 class CloudLimits(msgspec.Struct):
     """Limits of the cloud's API.
 
-    `rps`: requests a second. `list_lag_s`: by how much a listing may be out of date.
+    `rps`: requests per second. `list_lag_s`: by how many seconds a listing may be stale.
     """
 
     rps: float
@@ -155,7 +154,7 @@
 
 
 class Cluster(msgspec.Struct):
-    """The settings that are the same on every controller."""
+    """The settings that are identical on every controller."""
 
     zones: list[str]
     teams: list[Team]
@@ -168,12 +167,12 @@
 
     @property
     def max_writes_per_cancel_deadline(self) -> int:
-        """The most writes that the state service takes within the deadline of a cancellation."""
+        """The most writes that the state service accepts within the deadline of a cancellation."""
         return int(self.state.write_rps * self.workers.cancel_deadline_s) + 1
 
     @property
     def has_gpu_quotas(self) -> bool:
-        """Whether any team has a GPU quota: then GPUs are the second resource, else memory is."""
+        """Whether any team has a GPU quota: the second resource is then GPUs, otherwise memory."""
         return any(team.gpus > 0 or team.gpus_max > 0 for team in self.teams)
 
 
@@ -204,21 +203,26 @@
 
 
 def split_address(value: str, field: str) -> tuple[str, int]:
-    """Split `host:port`; raises `SettingsError`, naming `field`, if it is something else."""
+    """Split `host:port`; raises `SettingsError` that names `field` if it is malformed."""
     host, _, port = value.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{field}: expected host:port, got {value!r}")
+        raise SettingsError(
+            f"{field}: expected host:port with a port from 1 to 65535, got {value!r}"
+        )
     return host, int(port)
 
 
 def _check(settings: Settings) -> None:
-    """Raise `SettingsError` for the first value that can't be used."""
+    """Raise `SettingsError` for the first invalid value."""
     _check_addresses(settings)
     _check_limits(settings.cluster)
     _check_teams(settings.cluster)
     workers = settings.cluster.workers
     if workers.lease_s < 3 * workers.heartbeat_interval_s:
-        raise SettingsError("settings.workers.lease_s: must be at least 3 times report_s")
+        raise SettingsError(
+            "settings.workers.lease_s: must be at least 3 times report_s"
+            f" ({workers.heartbeat_interval_s}), got {workers.lease_s}"
+        )
 
 
 def _check_addresses(settings: Settings) -> None:
@@ -245,7 +249,7 @@
         positive["settings.state.next.write_rps"] = next_limits.write_rps
         positive["settings.state.next.value_kb"] = next_limits.value_kb
     for field, number in positive.items():
-        # NaN fails this comparison too.
+        # Also rejects NaN, which a comparison with <= would accept.
         if not number > 0:
             raise SettingsError(f"{field}: must be above 0, got {number}")
     for field, duration_s in (
@@ -255,23 +259,32 @@
         if duration_s is not None and not duration_s > 0:
             raise SettingsError(f"settings.workers.{field}: must be above 0, got {duration_s}")
     if cluster.state.txn_ops < 4:
-        raise SettingsError("settings.state.txn_ops: must be at least 4")
+        raise SettingsError(
+            f"settings.state.txn_ops: must be at least 4, got {cluster.state.txn_ops}"
+        )
     if next_limits is not None and next_limits.txn_ops < 4:
-        raise SettingsError("settings.state.next.txn_ops: must be at least 4")
+        raise SettingsError(
+            f"settings.state.next.txn_ops: must be at least 4, got {next_limits.txn_ops}"
+        )
 
 
 def _check_teams(cluster: Cluster) -> None:
     if not cluster.teams:
-        raise SettingsError("settings.teams: at least one team is needed")
+        raise SettingsError("settings.teams: must have at least one team, got none")
     if len({team.name for team in cluster.teams}) != len(cluster.teams):
-        raise SettingsError("settings.teams: names must differ")
+        raise SettingsError(
+            f"settings.teams: names must differ, got {[team.name for team in cluster.teams]}"
+        )
     for team in cluster.teams:
         if min(team.cpus, team.cpus_max, team.gpus, team.gpus_max) < 0:
-            raise SettingsError(f"settings.teams.{team.name}: amounts must not be negative")
+            raise SettingsError(
+                f"settings.teams.{team.name}: amounts must not be negative, got cpus {team.cpus},"
+                f" cpus_max {team.cpus_max}, gpus {team.gpus}, gpus_max {team.gpus_max}"
+            )
 
 
 def parse(raw: dict[str, object]) -> Settings:
-    """Convert and check a settings document; raises `SettingsError`."""
+    """Decode and validate a parsed settings file; raises `SettingsError`."""
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
@@ -281,7 +294,7 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file (TOML); raises `SettingsError`, also if it can't be read."""
+    """Read and validate a settings file; raises `SettingsError`, also for I/O and TOML errors."""
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
--- a/src/copperpass/tuning.py
+++ b/src/copperpass/tuning.py
@@ -1,6 +1,6 @@
-"""The operators' settings: defaults, bounds, and reading them from protobuf text format.
+"""The operators' settings: defaults, bounds, and decoding from protobuf text format.
 
-The names are those of `operator.proto`, which operators write.
+The names are those of `operator.proto`, which operators use in their file.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """What operators may set; `operator.proto` says what each setting means.
+    """The settings that operators may change; `operator.proto` documents each.
 
     Units: `_boots` in boot times of a machine, `_reports` in heartbeat intervals, `_s` in seconds.
     """
@@ -29,7 +29,7 @@
     preemption: bool = True
 
 
-# The least and the greatest value allowed of each number.
+# Inclusive minimum and maximum of each numeric setting.
 BOUNDS = {
     "warm_window_boots": (0.1, 100.0),
     "cheap_window_boots": (0.1, 100.0),
@@ -43,11 +43,11 @@
 
 
 def load_tuning(path: str) -> Tuning:
-    """Read and check an operators' file; raises `SettingsError` naming the file and the setting.
+    """Read and validate an operators' file; settings that it does not contain keep their defaults.
 
-    What the file leaves out has its default.
+    Raises `SettingsError` that names the file, and the setting if its value is out of bounds.
     """
-    # Imported only here: a controller without such a file does without protobuf.
+    # Imported here because a controller without such a file does not need protobuf.
     from google.protobuf import text_format
 
     from copperpass.operator_pb2 import Operator  # type: ignore[attr-defined]
