--- a/run.py
+++ b/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Thin start of the service: finds the libraries that `build` laid under target/."""
+"""Entry point of the service; adds the libraries that `build` installed under target/deps."""
 
 import os
 import sys
