--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between controllers: both ways, cut anywhere, malformed, and of later versions."""
+"""Frames between controllers: round trips, split streams, malformed bytes, later versions."""
 
 import random
 import struct
@@ -50,8 +50,8 @@
 ]
 
 
-def test_frames_survive_any_cutting():
-    data = b"".join(encode_frame(f) for f in FRAMES)
+def test_frames_are_decoded_however_the_stream_is_split():
+    data = b"".join(encode_frame(frame) for frame in FRAMES)
     rng = random.Random(3)
     for _ in range(50):
         decoder, decoded, offset = FrameDecoder(), [], 0
@@ -80,7 +80,7 @@
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_HEARTBEAT, 2) + b"ab",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_ANSWER, 5) + b"abcde",
         struct.pack("!2sBBI", b"cp", 2, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
-        # The same under the version that is spoken, where it is the payload that is refused.
+        # The same with the current version in the header, so that the payload is rejected.
         _with_header(FrameKind.LEASE_EXTENSION_REQUEST, b"abc"),
         _with_header(FrameKind.LEASE_EXTENSION_VOTE, bytes(16) + b"\x07"),
         _with_header(FrameKind.RUNNING_COUNTS, b"\x09\x00\x00\x00\x01x"),
@@ -90,7 +90,7 @@
         struct.pack("!2sBBI", b"cp", FRAME_VERSION, FrameKind.RELAYED_HEARTBEAT, 1 << 19),
     ],
 )
-def test_bad_bytes_are_refused(data):
+def test_malformed_bytes_raise_frame_error(data):
     with pytest.raises(FrameError):
         FrameDecoder().feed(data)
 
@@ -127,7 +127,7 @@
 ]
 
 
-def test_frames_of_shards_survive_and_cut_ones_are_refused():
+def test_shard_frames_are_decoded_and_truncated_ones_raise_frame_error():
     for frame in SHARD_FRAMES:
         data = encode_frame(frame)
         assert FrameDecoder().feed(data) == [frame]
@@ -137,34 +137,34 @@
             FrameDecoder().feed(head + body[:-1])
 
 
-def test_what_a_later_version_knows_more_is_skipped_whole_and_nothing_else():
-    # Guards rolling upgrades to later versions: a link that closes on their frames is opened and
-    # closed in a loop. A longer frame may mean something else: none of it counts.
-    fixed: list[Frame] = [
+def test_longer_or_unknown_frames_of_later_versions_are_skipped_whole():
+    # Guards rolling upgrades to later versions: if their frames closed the link, it would reconnect
+    # and close in a loop. A longer frame may mean something else, so none of it is used.
+    election_frames: list[Frame] = [
         MemberHeartbeat(7, 5),
         LeaseExtensionRequest(7, 9),
         LeaseExtensionVote(7, 9, True),
     ]
-    for frame in [*SHARD_FRAMES, *fixed]:
+    for frame in [*SHARD_FRAMES, *election_frames]:
         data = encode_frame(frame)
         body = data[HEADER.size :] + b"\0"
         head = HEADER.pack(MAGIC, FRAME_VERSION, data[3], len(body))
-        after = encode_frame(LeaseExtensionVote(7, 9, False))
-        assert FrameDecoder().feed(head + body + after) == [
+        following_frame = encode_frame(LeaseExtensionVote(7, 9, False))
+        assert FrameDecoder().feed(head + body + following_frame) == [
             UnknownFrame(data[3], "longer than known"),
             LeaseExtensionVote(7, 9, False),
         ]
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
     decoder = FrameDecoder()
     assert decoder.feed(unknown[:-1]) == []
-    assert decoder.feed(unknown[-1:] + encode_frame(fixed[0])) == [
+    assert decoder.feed(unknown[-1:] + encode_frame(election_frames[0])) == [
         UnknownFrame(99, "unknown kind"),
-        fixed[0],
+        election_frames[0],
     ]
 
 
 class LinkHarness:
-    """The receiving end of a link, fed by hand."""
+    """The receiving end of a link; a test passes bytes to it with `feed`."""
 
     def __init__(self):
         self.frames = []
@@ -180,7 +180,7 @@
         return self.transport.disconnecting or self.transport.disconnected
 
 
-def test_a_link_skips_unknown_frames_says_so_once_and_closes_on_malformed_bytes(caplog):
+def test_link_skips_unknown_frames_with_one_log_record_and_closes_on_malformed_bytes(caplog):
     caplog.set_level("INFO", logger="copperpass")
     unknown = HEADER.pack(MAGIC, FRAME_VERSION, 99, 3) + b"abc"
     heartbeat = MemberHeartbeat(7, 5)
@@ -192,7 +192,7 @@
         assert link.frames == [heartbeat] * 3 and not link.closed
     events = [record.getMessage() for record in caplog.records]
     assert events == ["unknown frame skipped"] * 2
-    # Still closed: a known kind that is short, and any frame before the sender is known.
+    # These still close the link: a truncated frame of a known kind, and a frame before `Hello`.
     short = HEADER.pack(MAGIC, FRAME_VERSION, FrameKind.LEASE_EXTENSION_REQUEST, 3) + b"abc"
     link.feed(short)
     assert link.closed and len(link.frames) == 3
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The reactor side over real loopback sockets, and the command line in a process of its own."""
+"""The network code on real loopback sockets, and the command line in a separate process."""
 
 import contextlib
 import http.client
@@ -22,33 +22,33 @@
 from copperpass.protocol.frames.messages import Hello, LeaseExtensionRequest, RelayedHeartbeat
 from tests.request_bodies import raw_settings
 
-# Some tests look for a port that is free and then use it: one process runs them all.
+# Some tests look for a free port and then use it, so one process must run all of them.
 pytestmark = pytest.mark.xdist_group("sockets")
 
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def on_reactor(reactor, action):
+def call_on_reactor(reactor, function):
     done, result = threading.Event(), []
 
-    def run():
-        result.append(action())
+    def call():
+        result.append(function())
         done.set()
 
-    reactor.callFromThread(run)
+    reactor.callFromThread(call)
     assert done.wait(10)
     return result[0]
 
 
-def wait_for(wanted, seconds=10.0):
-    end = time.monotonic() + seconds
-    while not wanted() and time.monotonic() < end:
+def wait_for(condition, timeout_s=10.0):
+    deadline = time.monotonic() + timeout_s
+    while not condition() and time.monotonic() < deadline:
         time.sleep(0.01)
-    assert wanted()
+    assert condition()
 
 
 class FakeService:
-    """Answers in a way that shows what it was asked."""
+    """Answers each request with the arguments that it was called with."""
 
     def worker_heartbeat(self, request, body):
         request.reply(421, json.dumps({"editor": body.decode()}).encode())
@@ -68,7 +68,7 @@
 
 @pytest.fixture
 def api(reactor):
-    port = on_reactor(
+    port = call_on_reactor(
         reactor,
         lambda: reactor.listenTCP(
             0, ApiFactory(FakeService(), reactor, 30.0), interface="127.0.0.1"
@@ -83,10 +83,10 @@
 
     yield ask
     connection.close()
-    on_reactor(reactor, port.stopListening)
+    call_on_reactor(reactor, port.stopListening)
 
 
-def test_routes_on_one_kept_connection(api):
+def test_requests_are_routed_on_one_persistent_connection(api):
     assert api("GET", "/healthz")[0] == 200
     assert api("GET", "/api/jobs/req-000001")[1] == b'{"id": "req-000001"}'
     assert api("POST", "/api/jobs/req-000001/cancel", b"")[1] == b'{"cancel": "req-000001"}'
@@ -102,22 +102,22 @@
 
 @pytest.mark.parametrize("size", [70_000, 3_000_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_an_oversize_body_is_refused_from_memory(api, monkeypatch, chunked, size):
-    # Guards against temporary files (there is no disk) and against holding the whole of a body.
+def test_oversized_body_is_rejected_without_a_temporary_file(api, monkeypatch, chunked, size):
+    # Guards against temporary files (there is no disk) and against a whole body in memory.
     monkeypatch.setattr(tempfile, "TemporaryFile", None)
     body = iter([b" " * 10_000] * (size // 10_000)) if chunked else b" " * size
     assert api("POST", "/api/jobs", body)[:2] == (400, b"65537")
     assert api("GET", "/healthz")[0] == 200
 
 
-def test_no_more_of_a_body_is_kept_than_shows_that_it_is_too_large():
+def test_bounded_body_keeps_one_byte_beyond_the_limit():
     body = BoundedBody()
     for _ in range(10):
         assert body.write(b"x" * 10_000) == 10_000
     assert len(body.getvalue()) == 65_537
 
 
-def test_client_answers_once_and_by_its_deadline(reactor):
+def test_client_reports_one_outcome_per_request_by_its_deadline(reactor):
     class Handler(http.server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
@@ -151,7 +151,7 @@
                 lambda status, body: answers.setdefault(name, []).append((status, body)),
             )
 
-        on_reactor(reactor, send)
+        call_on_reactor(reactor, send)
 
     ask("good", server.server_port, 10.0)
     ask("silent", silent.getsockname()[1], 0.2)
@@ -167,7 +167,8 @@
 
 
 def test_idle_connections_to_many_workers_are_bounded(reactor):
-    # A thousand workers with one idle connection each would take the sockets of those who come in.
+    # With a thousand workers, one idle connection to each would use up the sockets needed for
+    # incoming connections.
     class Handler(http.server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
@@ -185,7 +186,7 @@
     client, answers = HttpClient(reactor, 1, 3), []
 
     def ask(server):
-        on_reactor(
+        call_on_reactor(
             reactor,
             lambda: client.call(
                 "GET",
@@ -207,28 +208,28 @@
         server.shutdown()
 
 
-def test_peers_talk_and_drop_strangers(reactor):
+def test_frames_reach_the_peer_and_links_without_known_sender_are_closed(reactor):
     ports = []
     for _ in range(2):
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             ports.append(probe.getsockname()[1])
-    got = []
-    addresses = [f"127.0.0.1:{p}" for p in ports]
+    received = []
+    addresses = [f"127.0.0.1:{port}" for port in ports]
     first = PeerLinks(reactor, "n0", addresses[0], {"n1": addresses[1]}, lambda *a: None, 0.05)
     second = PeerLinks(
         reactor,
         "n1",
         addresses[1],
         {"n0": addresses[0]},
-        lambda sender, frame: got.append((sender, frame)),
+        lambda sender, frame: received.append((sender, frame)),
         0.05,
     )
-    on_reactor(reactor, second.start)
-    on_reactor(reactor, first.start)
+    call_on_reactor(reactor, second.start)
+    call_on_reactor(reactor, first.start)
     wait_for(lambda: first.outgoing["n1"].link is not None)
-    on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 5)))
-    wait_for(lambda: got == [("n0", LeaseExtensionRequest(4, 5))])
+    call_on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 5)))
+    wait_for(lambda: received == [("n0", LeaseExtensionRequest(4, 5))])
     for data in (
         b"GET / HTTP/1.1\r\n\r\n",
         encode_frame(LeaseExtensionRequest(9, 9)),
@@ -238,77 +239,82 @@
             stranger.sendall(data)
             with contextlib.suppress(ConnectionResetError):
                 assert stranger.recv(1) == b""
-    assert got == [("n0", LeaseExtensionRequest(4, 5))]
-    # The link of the known member lives on.
-    on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 6)))
-    wait_for(lambda: len(got) == 2)
+    assert received == [("n0", LeaseExtensionRequest(4, 5))]
+    # The link of the known member stays open.
+    call_on_reactor(reactor, lambda: first.send("n1", LeaseExtensionRequest(4, 6)))
+    wait_for(lambda: len(received) == 2)
 
 
-def test_a_link_that_takes_no_bytes_drops_frames_and_is_made_anew(reactor):
-    # A cut that holds packets back for minutes must not fill the memory of the sender.
+def test_blocked_link_drops_frames_and_reconnects(reactor):
+    # Guards against a network partition that holds packets back for minutes and so fills the memory
+    # of the sender.
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
-    deaf = socket.create_server(("127.0.0.1", port))
+    unread_server = socket.create_server(("127.0.0.1", port))
     peers = PeerLinks(
         reactor, "n0", f"127.0.0.1:{port}", {"n1": f"127.0.0.1:{port}"}, lambda *a: None, 0.02
     )
-    link = peers.outgoing["n1"]
-    on_reactor(reactor, link.connect)
-    wait_for(lambda: link.link is not None)
-    first, frame = link.link, RelayedHeartbeat(1, b"x" * 60000)
+    factory = peers.outgoing["n1"]
+    call_on_reactor(reactor, factory.connect)
+    wait_for(lambda: factory.link is not None)
+    blocked_link, frame = factory.link, RelayedHeartbeat(1, b"x" * 60000)
     sent = []
 
     def send():
         sent.append(len(frame.body))
         peers.send("n1", frame)
 
-    def stuck():
-        on_reactor(reactor, send)
-        return first.blocked_since is not None
+    def blocked_after_send():
+        call_on_reactor(reactor, send)
+        return blocked_link.blocked_since is not None
 
-    wait_for(stuck)
-    held = sum(sent)
+    wait_for(blocked_after_send)
+    sent_until_blocked = sum(sent)
     for _ in range(100):
-        on_reactor(reactor, send)
-    # What waits in the process stays what it was when the link got stuck, whatever is sent.
+        call_on_reactor(reactor, send)
+    # Frames sent after the link was blocked do not add to the bytes that the process buffers.
     assert (
-        sum(sent) > held
-        and len(first.transport.dataBuffer) + sum(map(len, first.transport._tempDataBuffer))
+        sum(sent) > sent_until_blocked
+        and len(blocked_link.transport.dataBuffer)
+        + sum(map(len, blocked_link.transport._tempDataBuffer))
         < 4 * 65536
     )
-    wait_for(lambda: on_reactor(reactor, send) or link.link not in (first, None))
-    link._reconnect_later = lambda: None
-    deaf.close()
+    wait_for(lambda: call_on_reactor(reactor, send) or factory.link not in (blocked_link, None))
+    factory._reconnect_later = lambda: None
+    unread_server.close()
 
 
-def toml(raw):
-    s = raw["settings"]
+def to_toml(raw):
+    settings = raw["settings"]
     lines = [f'{k} = "{raw[k]}"' for k in ("member", "domain", "serve_on", "internal_addr")]
-    for m in raw["members"]:
-        lines += ["[[members]]"] + [f'{k} = "{v}"' for k, v in m.items()]
+    for member in raw["members"]:
+        lines += ["[[members]]"] + [f'{k} = "{v}"' for k, v in member.items()]
     lines += ["[external]"] + [f'{k} = "{v}"' for k, v in raw["external"].items()]
-    lines += ["[settings]", f"zones = {json.dumps(s['zones'])}"]
+    lines += ["[settings]", f"zones = {json.dumps(settings['zones'])}"]
     for name in ("teams", "objectives"):
-        for entry in s[name]:
+        for entry in settings[name]:
             lines += [f"[[settings.{name}]]"] + [f"{k} = {json.dumps(v)}" for k, v in entry.items()]
     for name in ("workers", "state", "cloud"):
-        lines += [f"[settings.{name}]"] + [f"{k} = {v}" for k, v in s[name].items()]
+        lines += [f"[settings.{name}]"] + [f"{k} = {v}" for k, v in settings[name].items()]
     return "\n".join(lines)
 
 
-def run(*args):
+def run_program(*args):
     return subprocess.run(
-        [sys.executable, str(ROOT / "run.py"), *args], capture_output=True, text=True, timeout=60
+        [sys.executable, str(ROOT / "run.py"), *args],
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
 
 
 def test_command_line_checks_settings(tmp_path):
-    good = toml(raw_settings())
+    good = to_toml(raw_settings())
     config, operator = tmp_path / "c.toml", tmp_path / "o.txt"
     config.write_text(good)
-    assert run("--config", str(config), "--check").returncode == 0
-    assert run("--version").stdout.startswith("copperpass ")
+    assert run_program("--config", str(config), "--check").returncode == 0
+    assert run_program("--version").stdout.startswith("copperpass ")
     for broken, word in (
         (good.replace("lease_s = 12.0", ""), "lease_s"),
         (good.replace("lease_s = 12.0", 'lease_s = "x"'), "lease_s"),
@@ -317,7 +323,7 @@
         ("member = ", "TOML"),
     ):
         config.write_text(broken)
-        result = run("--config", str(config))
+        result = run_program("--config", str(config))
         assert result.returncode == 2 and word in result.stderr
         assert result.stderr.count("\n") == 1
     config.write_text(good)
@@ -327,5 +333,5 @@
         ("silence_reports: 0.1", "silence_reports"),
     ):
         operator.write_text(text)
-        result = run("--config", str(config), "--operator", str(operator), "--check")
+        result = run_program("--config", str(config), "--operator", str(operator), "--check")
         assert result.returncode == (2 if word else 0) and word in result.stderr
--- a/tests/test_upgrade_frames.py
+++ b/tests/test_upgrade_frames.py
@@ -1,7 +1,6 @@
-"""Frames and records of earlier versions, as fixed bytes.
+"""Compatibility with the frames and records of earlier and of later versions.
 
-The bytes were written by running those versions (`tests/earlier_versions.py`). What only a
-later version knows is met here as well.
+The fixed bytes were written by running the earlier versions (`tests/earlier_versions.py`).
 """
 
 import json
@@ -47,7 +46,7 @@
 from tests import earlier_versions
 
 CONTACT = MachineContact("10.0.0.9:1", 3, 77)
-# Frames as all earlier versions pack them.
+# Frames as all earlier versions encode them.
 FRAMES = [
     (Hello("n1"), "63700301000000026e31"),
     (MemberHeartbeat(7, NEVER_CONSISTENT), "637003020000000c0000000000000007ffffffff"),
@@ -104,7 +103,7 @@
     ),
 ]
 
-# Frames that 0.3.0 has added; 0.2.0 closes the link on them.
+# Frames that 0.3.0 added; 0.2.0 closes the link on them.
 FRAMES_0_3_0 = [
     (JobCancelled("req-000412"), "6370030d0000000a7265712d303030343132"),
     (
@@ -114,7 +113,7 @@
     (ZoneAffinities(3, 0, ()), "6370030e0000000b0000000000000003000000"),
 ]
 
-# Records as 0.2.0 writes them, and what reads them here.
+# Records as 0.2.0 writes them: key, type that decodes them here, value.
 SPEC = (
     '{"id":"req-000002","slot":"quick","desk":"red","form":"batch","urgency":"high","pages":3,'
     '"cpus":4.0,"cards":0.0,"memory_gb":8.0,"master":"img-1","size_gb":0.5,"same_place":false,'
@@ -142,7 +141,7 @@
 ]
 
 
-# Records that 0.3.0 has added or filled differently.
+# Records that 0.3.0 added or whose content it changed.
 GANG_SPEC = (
     '{"id":"req-000001","slot":"quick","desk":"red","form":"ensemble","urgency":"high","pages":4,'
     '"cpus":8.0,"cards":0.0,"memory_gb":8.0,"master":"img-1","size_gb":0.5,"same_place":true,'
@@ -162,8 +161,8 @@
     ("v/n0", VersionRecord, '{"version":"0.3.0","format":1}'),
 ]
 
-# What earlier versions call the records.
-FORMER_NAMES = {
+# Names of the record types in earlier versions.
+FORMER_RECORD_NAMES = {
     "LeaderRecord": "LeadRecord",
     "FencingTokenRecord": "TokenRecord",
     "InventoryRecord": "FleetRecord",
@@ -171,18 +170,18 @@
 
 
 @pytest.mark.parametrize(("frame", "packed"), FRAMES + FRAMES_0_3_0, ids=lambda v: type(v).__name__)
-def test_frames_of_earlier_versions_go_both_ways(frame, packed):
+def test_frames_are_encoded_and_decoded_as_in_earlier_versions(frame, packed):
     assert encode_frame(frame).hex() == packed
     assert FrameDecoder().feed(bytes.fromhex(packed)) == [frame]
 
 
 @pytest.mark.parametrize("version", [earlier_versions.VERSION_0_2_0, None], ids=["0.2.0", "0.3.0"])
-def test_earlier_versions_read_these_bytes_and_write_them(version):
+def test_earlier_versions_decode_and_encode_the_same_bytes(version):
     old = earlier_versions.load(version)
     for frame, packed in FRAMES + FRAMES_0_3_0:
         unpacker = old.peer.Unpacker()
         if version and (frame, packed) in FRAMES_0_3_0:
-            # Why such frames go only to members that are proven to know them.
+            # This is why such frames are sent only to members that are proven to know them.
             with pytest.raises(old.peer.BadFrame):
                 unpacker.feed(bytes.fromhex(packed))
             continue
@@ -198,30 +197,33 @@
     ],
     ids=[f"0.2.0-{r[0]}" for r in RECORDS] + [f"0.3.0-{r[0]}" for r in RECORDS + RECORDS_0_3_0],
 )
-def test_records_of_earlier_versions_go_both_ways(version, key, kind, raw):
+def test_records_are_exchanged_with_earlier_versions_without_loss(version, key, kind, raw):
     record = decode(raw.encode(), kind)
     assert record is not None
     written = json.loads(encode(record))
-    # Whatever it wrote is written back; beside it may stand only what it reads without harm.
+    # All fields of the earlier version are written back. Additional fields must not change what the
+    # earlier version reads in its own.
     assert written == {**written, **json.loads(raw)}
     old = earlier_versions.load(version)
     name = getattr(kind, "__name__", "")
-    theirs = kind if kind == dict[str, str] else getattr(old.wire, FORMER_NAMES.get(name, name))
-    again = old.wire.decode(encode(record), theirs)
-    assert json.loads(old.wire.encode(again)) == json.loads(
-        old.wire.encode(old.wire.decode(raw.encode(), theirs))
+    former_type = (
+        kind if kind == dict[str, str] else getattr(old.wire, FORMER_RECORD_NAMES.get(name, name))
+    )
+    reencoded = old.wire.decode(encode(record), former_type)
+    assert json.loads(old.wire.encode(reencoded)) == json.loads(
+        old.wire.encode(old.wire.decode(raw.encode(), former_type))
     )
 
 
-def with_more(value):
-    """A record in which each object with named fields has one that nobody knows."""
+def with_unknown_fields(value):
+    """Return a record in which each object with named fields has an additional unknown field."""
     if isinstance(value, list):
-        return [with_more(v) for v in value]
+        return [with_unknown_fields(v) for v in value]
     if not isinstance(value, dict):
         return value
-    # Maps from names that are data have no fields.
-    more = {k: v if k == "booked" else with_more(v) for k, v in value.items()}
-    return {**more, "later": {"field": [1, None]}}
+    # The keys of `booked` are data, not field names.
+    extended = {k: v if k == "booked" else with_unknown_fields(v) for k, v in value.items()}
+    return {**extended, "later": {"field": [1, None]}}
 
 
 @pytest.mark.parametrize(
@@ -229,14 +231,15 @@
     [r[1:] for r in RECORDS + RECORDS_0_3_0 if not r[0].startswith("c/ends/")],
     ids=[r[0] for r in RECORDS + RECORDS_0_3_0 if not r[0].startswith("c/ends/")],
 )
-def test_fields_that_only_a_later_version_knows_are_ignored(kind, raw):
-    later = json.dumps(with_more(json.loads(raw)))
+def test_record_fields_of_later_versions_are_ignored(kind, raw):
+    later = json.dumps(with_unknown_fields(json.loads(raw)))
     assert later.count("later") >= 1
     assert decode(later.encode(), kind) == decode(raw.encode(), kind)
 
 
-def test_an_entry_of_ends_that_only_a_later_version_knows_hides_no_other():
-    # A page of ends is a map of text: whatever another version calls its entries, the others count.
+def test_unknown_entry_of_a_completions_page_does_not_hide_the_others():
+    # A page of completions maps text to text. An entry whose key this version can't parse must not
+    # keep it from reading the others.
     table = JobTable()
     spec = json.loads(GANG_SPEC)
     table.on_watch_event(0.0, "c/live/req-000001", json.dumps({"spec": spec}).encode(), 5)
@@ -244,8 +247,9 @@
     assert table.jobs["req-000001"].completed_count == 2
 
 
-def test_a_member_of_a_later_version_counts_as_proven():
-    # Otherwise, after a roll onwards, the fleet's records and frames would fall back for ever.
+def test_member_of_a_later_version_counts_as_upgraded():
+    # Otherwise, after a rolling upgrade to a later version, the inventory's records and the frames
+    # would fall back to an old format for good.
     out = Outbox()
     registry = VersionRegistry("n0", ["n1"], out, TransactionQueue(out, 60.0, 16, 1.0), 1.0, 1.0)
     registry.tick(0.0)
