--- a/src/copperpass/protocol/json_codec.py
+++ b/src/copperpass/protocol/json_codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-T = TypeVar("T")
+MessageT = TypeVar("MessageT")
 
 # What decoding a malformed body raises. Deep nesting, even in ignored fields, exhausts the stack.
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
@@ -14,7 +14,7 @@
 encode = msgspec.json.encode
 
 
-def decode(body: bytes, message_type: type[T]) -> T | None:
+def decode(body: bytes, message_type: type[MessageT]) -> MessageT | None:
     """Decode a body; returns None if it is malformed or does not match `message_type`."""
     try:
         return msgspec.json.decode(body, type=message_type)
