--- a/src/copperpass/core/api/context.py
+++ b/src/copperpass/core/api/context.py
@@ -35,7 +35,7 @@
     """
 
     cluster: Cluster
-    out: Outbox
+    outbox: Outbox
     transactions: TransactionQueue
     read_timeout_s: float
     wall_clock_offset: float
--- a/src/copperpass/core/api/job_lookup.py
+++ b/src/copperpass/core/api/job_lookup.py
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, context: ApiContext) -> None:
-        self.out, self.read_timeout_s = context.out, context.read_timeout_s
+        self.outbox, self.read_timeout_s = context.outbox, context.read_timeout_s
         max_writes = context.cluster.max_writes_per_cancel_deadline
         self.max_remembered = max(MIN_REMEMBERED_JOBS, max_writes)
         self.terminal_records: OrderedDict[str, JobRecord] = OrderedDict()
@@ -110,4 +110,4 @@
         call = Call(
             ExternalService.STATE, "GET", key_path(key), on_done, b"", self.read_timeout_s / 2
         )
-        self.out.calls.append(call)
+        self.outbox.calls.append(call)
--- a/src/copperpass/core/api/responses.py
+++ b/src/copperpass/core/api/responses.py
@@ -18,7 +18,7 @@
     """Queues answers in the outbox; each request must get exactly one."""
 
     def __init__(self, context: ApiContext) -> None:
-        self.out, self.task_counts = context.out, context.task_counts
+        self.outbox, self.task_counts = context.outbox, context.task_counts
 
     def created(self, request: object, job_id: str) -> None:
         """Answer a submission that has been stored."""
@@ -51,7 +51,7 @@
     def unavailable(self, request: object, reason: str) -> None:
         """Answer that the request can't be decided now and should be repeated."""
         reply = Reply(request, UNAVAILABLE, error_body(reason), RETRY_AFTER_S)
-        self.out.replies.append(reply)
+        self.outbox.replies.append(reply)
 
     def _reply(self, request: object, status: int, body: bytes) -> None:
-        self.out.replies.append(Reply(request, status, body))
+        self.outbox.replies.append(Reply(request, status, body))
--- a/src/copperpass/core/autoscaling/cloud_listing.py
+++ b/src/copperpass/core/autoscaling/cloud_listing.py
@@ -28,7 +28,7 @@
         instance_requests: InstanceRequests,
     ) -> None:
         self.state, self.records, self.instance_requests = state, records, instance_requests
-        self.out, self.cloud = context.out, context.cluster.cloud
+        self.outbox, self.cloud = context.outbox, context.cluster.cloud
         self.next_listing_at = state.elected_at
         self.listing_in_progress = False
 
@@ -60,7 +60,7 @@
         call = Call(
             ExternalService.CLOUD, "GET", machines_path(after), on_done, b"", CALL_TIMEOUT_S
         )
-        self.out.calls.append(call)
+        self.outbox.calls.append(call)
 
     def _on_listed(self, now: float, item: ListedMachine) -> None:
         """Add a machine that is not recorded; record its address; release it if it has failed."""
--- a/src/copperpass/core/autoscaling/cluster_manager.py
+++ b/src/copperpass/core/autoscaling/cluster_manager.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
-        self.out, self.election = context.out, context.election
+        self.outbox, self.election = context.outbox, context.election
         self.state = state = ClusterState(context, now)
         self.epoch, self.elected_at = state.epoch, state.elected_at
         self.replication_log, self.machines = state.replication_log, state.machines
@@ -52,8 +52,6 @@
         self.inventory.on_marks_stored = self.records.mark_recorded
         self.paged = self.inventory.paged
 
-    # -- state for other modules -------------------------------------------------------------
-
     @property
     def ready(self) -> bool:
         """Whether `begin` has been called, that is, whether the manager may act."""
@@ -81,8 +79,6 @@
         """Return the current assignment of each shard that has an owner."""
         return self.state.assignments()
 
-    # -- start of a term ---------------------------------------------------------------------
-
     def begin(self, now: float) -> None:
         """Start acting: restore machines and resume stored instance requests.
 
@@ -113,8 +109,6 @@
         """Defer assignments while a grant from this leader's previous term may still be valid."""
         self.grants.defer_until_previous_grants_end(previous.members)
 
-    # -- frames and heartbeats ---------------------------------------------------------------
-
     def on_grant_request(self, now: float, sender: str, request: GrantRequest) -> Grant | None:
         """Extend a member's grants; returns None if the request must not be answered."""
         return self.grants.on_grant_request(now, sender, request)
@@ -139,8 +133,6 @@
         """Assign a machine that has no owner to a shard, on its heartbeat."""
         self.machine_tracker.on_unowned_heartbeat(now, heartbeat)
 
-    # -- time --------------------------------------------------------------------------------
-
     def tick(self, now: float) -> None:
         """Run every component that is due; step down if this term cannot continue.
 
@@ -152,7 +144,7 @@
             # Only a new term, with a higher epoch, has base tokens for more handovers.
             self.election.step_down(now, StepDownReason.HANDOVERS_EXHAUSTED)
             return
-        if self.inventory.blocked():
+        if self.inventory.is_migration_blocked():
             self.election.step_down(now, StepDownReason.INVENTORY_WRITE_UNRESOLVED)
             return
         self.grants.expire(now)
@@ -161,7 +153,7 @@
         self.inventory.tick(now)
         self._log_migration_once()
         self.cloud_listing.tick(now)
-        if self.planner.due(now):
+        if self.planner.schedule_next_if_due(now):
             self.planner.plan(now)
             self.machine_tracker.sweep(now)
 
@@ -170,6 +162,6 @@
         if self.inventory.paged and not self.paged:
             # From now on, members of versions that read only the single record cannot lead.
             self.paged = True
-            self.out.log(
+            self.outbox.log(
                 LogLevel.INFO, LogEvent.INVENTORY_MIGRATED, pages=len(self.inventory.pages)
             )
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -47,7 +47,7 @@
         self, context: ClusterManagerContext, state: ClusterState, records: MachineRecords
     ) -> None:
         self.state, self.records, self.inventory = state, records, state.inventory
-        self.out, self.election = context.out, context.election
+        self.outbox, self.election = context.outbox, context.election
         rps = context.cluster.cloud.rps
         # Limits releases and listings; instance requests are limited by the scale-out plan.
         self.call_budget = TokenBucket(CALL_RATE_RATIO * rps, max(BURST_S * rps, 2.0))
@@ -100,7 +100,7 @@
         body = instance_request_body(
             request_id, group.type, group.zone, group.spot, request.machines
         )
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(ExternalService.CLOUD, "POST", INSTANCES_PATH, on_done, body, CALL_TIMEOUT_S)
         )
 
@@ -117,7 +117,7 @@
             state.backoff.on_exhausted(machine_group, now, state.boot_s / 2)
         else:
             state.backoff.on_fulfilled(machine_group)
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO,
             LogEvent.MACHINES_PROVISIONED,
             machine_group=str(tuple(machine_group)),
@@ -154,6 +154,6 @@
                     self.records.mark_deleted(done_at, machine)
 
         body = release_body([machine.route.name for machine in unconfirmed])
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(ExternalService.CLOUD, "POST", RELEASE_PATH, on_done, body, CALL_TIMEOUT_S)
         )
--- a/src/copperpass/core/autoscaling/machine_tracking.py
+++ b/src/copperpass/core/autoscaling/machine_tracking.py
@@ -36,8 +36,6 @@
         # How long a deleted machine is remembered. No message about it arrives later than this.
         self.deleted_retention_s = 20 * context.cluster.cloud.list_lag_s + 4 * state.lease_s
 
-    # -- statuses from owners ---------------------------------------------------------------
-
     def on_machine_statuses(
         self, now: float, sender: str, statuses: Iterable[MachineStatus]
     ) -> None:
@@ -102,8 +100,6 @@
             self.records.reassign(machine, NO_SHARD, Occupancy.EMPTY, status)
             self.instance_requests.release(now, [machine])
 
-    # -- unassigned machines ------------------------------------------------------------------
-
     def on_unowned_heartbeat(self, now: float, heartbeat: WorkerHeartbeat) -> None:
         """Assign a machine that has no shard to one, on its heartbeat."""
         state = self.state
@@ -134,8 +130,6 @@
             return max(counts, key=lambda number: counts[number])
         return self.state.shard_with_highest_demand()
 
-    # -- time -------------------------------------------------------------------------------
-
     def sweep(self, now: float) -> None:
         """Release machines that never registered or are unclaimed; repeat unconfirmed releases."""
         state = self.state
--- a/src/copperpass/core/autoscaling/machine_types.py
+++ b/src/copperpass/core/autoscaling/machine_types.py
@@ -28,7 +28,7 @@
 
     election: LeaderElection
     transactions: TransactionQueue
-    out: Outbox
+    outbox: Outbox
     rng: random.Random
     max_value_bytes: float
     on_change: Callable[[], None]
@@ -49,10 +49,10 @@
         # The types exceed the store's value limit: starting members get them from the cloud only.
         self._too_large = False
 
-    def on_watch_event(self, raw: bytes) -> None:
+    def on_watch_event(self, value: bytes) -> None:
         """Use the stored types if none are known, so that a starting member need not wait."""
-        offered_types = decode(raw, MachineTypes)
-        self._stored = bool(raw)
+        offered_types = decode(value, MachineTypes)
+        self._stored = bool(value)
         if offered_types is not None and not self.types:
             self._update_types(offered_types)
 
@@ -65,7 +65,7 @@
             self._next_fetch_at = min(self._next_fetch_at, now + context.election.leader_ttl_s)
         if not self._fetching and now >= self._next_fetch_at:
             self._fetching = True
-            context.out.calls.append(
+            context.outbox.calls.append(
                 Call(
                     ExternalService.CLOUD,
                     "GET",
--- a/src/copperpass/core/autoscaling/placement_plan.py
+++ b/src/copperpass/core/autoscaling/placement_plan.py
@@ -173,7 +173,7 @@
         job, count, horizon_s = request.job, request.tasks, request.horizon_s
         zone_affinity = supply.shard.zone_affinities.get(job.spec.id)
         spec = with_zone_affinity(job.spec, [zone_affinity] if zone_affinity else [])
-        excluded_types = self.reserved_types.reserved_from(spec)
+        excluded_types = self.reserved_types.excluded_types(spec)
         zone: str | None = None
         capacities = supply.incoming
         if spec.gang and spec.one_zone:
@@ -249,7 +249,7 @@
         """Add new machines to the plan for the tasks that are still unplaced."""
         state, spec = self.state, search.spec
         purchase_option = PurchaseOption.SPOT if search.prefers_spot else PurchaseOption.ANY
-        while search.unplaced > 0 and not plan.full and not self.inventory.full():
+        while search.unplaced > 0 and not plan.full and not self.inventory.is_full():
             query = GroupQuery(
                 spec=spec,
                 tasks=search.unplaced,
@@ -300,7 +300,7 @@
         spec, unplaced = search.job.spec, search.unplaced
         if unplaced <= 0 or not search.job.guaranteed or search.horizon_s > self.state.boot_s:
             return
-        excluded_types = self.reserved_types.reserved_from(spec)
+        excluded_types = self.reserved_types.excluded_types(spec)
         for other in self.state.shards.values():
             if other is supply.shard or unplaced <= 0:
                 continue
--- a/src/copperpass/core/autoscaling/planner.py
+++ b/src/copperpass/core/autoscaling/planner.py
@@ -47,7 +47,7 @@
         instance_requests: InstanceRequests,
     ) -> None:
         self.state, self.instance_requests = state, instance_requests
-        self.cluster, self.jobs, self.out = context.cluster, context.jobs, context.out
+        self.cluster, self.jobs, self.outbox = context.cluster, context.jobs, context.outbox
         self.tracker = DemandTracker(context, state)
         self.rebalancer = Rebalancer(state, records, self.tracker)
         self.placement = PlacementPlanner(context, state, records, self.tracker, self.rebalancer)
@@ -57,8 +57,8 @@
         self.plan_interval_s = max(state.heartbeat_interval_s / 4, 2.0 / cloud_rps)
         self.max_machines_per_plan = max_machines_per_plan(cloud_rps, self.plan_interval_s)
 
-    def due(self, now: float) -> bool:
-        """Whether the next plan is due; if so, schedules the one after it.
+    def schedule_next_if_due(self, now: float) -> bool:
+        """Schedule the following plan if a plan is due now; returns whether it is.
 
         No plan is due before the cloud's machine types are known.
         """
@@ -166,7 +166,7 @@
             totals[0] += 1
             totals[1] += machine.type.cpus
             totals[2] += status.idle
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO,
             LogEvent.CLUSTER_SUMMARY,
             warm_cpus=round(targets.total_cpus),
--- a/src/copperpass/core/autoscaling/state.py
+++ b/src/copperpass/core/autoscaling/state.py
@@ -145,19 +145,19 @@
 
     cluster: Cluster
     tuning: Tuning
-    out: Outbox
+    outbox: Outbox
     transactions: TransactionQueue
     election: LeaderElection
     jobs: JobTable
     types: dict[str, MachineType]
     cached_inventory: CachedInventory
-    # The shard of each team.
-    shards: dict[str, int]
+    # The number of each team's shard.
+    shard_by_team: dict[str, int]
     previous_routes: dict[str, MachineRoute]
     previous_owners: dict[int, str]
     incarnation: int
-    # Whether heartbeats from a member are arriving, given the time in seconds and the member.
-    heartbeats_arrive: Callable[[float, str], bool]
+    # Whether frames from a peer are arriving; called with the time in seconds and the peer's name.
+    is_connected: Callable[[float, str], bool]
     # Whether all members are certainly of this version or a later one.
     all_upgraded: Callable[[], bool] = lambda: False
 
@@ -173,6 +173,8 @@
     def __init__(self, context: ClusterManagerContext, now: float) -> None:
         self.cluster, self.types, self.election = context.cluster, context.types, context.election
         self.member = context.election.member
+        # The leader's fencing token at the start of this term, which identifies the term. A term
+        # that continues under a higher token keeps its epoch.
         self.epoch = context.election.token
         self.elected_at = now
         self.ready = False
@@ -189,9 +191,10 @@
         self.members: dict[str, MemberState] = {}
         self.members[self.member] = MemberState(context.incarnation, now, now, float("inf"))
         # The number of each team's shard.
-        self.shard_by_team = context.shards
+        self.shard_by_team = context.shard_by_team
+        # The state of each shard, by number.
         self.shards: dict[int, Shard] = {}
-        for team, number in context.shards.items():
+        for team, number in context.shard_by_team.items():
             self.shards.setdefault(number, Shard(number, [])).teams.append(team)
         self.pending_requests: dict[str, InstanceRequest] = {}
         self.backoff = CapacityBackoff()
--- a/src/copperpass/core/autoscaling/warm_capacity.py
+++ b/src/copperpass/core/autoscaling/warm_capacity.py
@@ -88,7 +88,7 @@
 
     def _is_full(self, plan: ScaleOutPlan) -> bool:
         """Whether the plan or the inventory can hold no more machines."""
-        return plan.full or self.inventory.full()
+        return plan.full or self.inventory.is_full()
 
     def _provision_on_demand(
         self,
--- a/src/copperpass/core/election/campaign.py
+++ b/src/copperpass/core/election/campaign.py
@@ -55,8 +55,6 @@
         self.next_campaign_at = now + self._stagger_s
         self._backoff_until = 0.0
 
-    # -- scheduling --------------------------------------------------------------------
-
     def is_due(self, now: float) -> bool:
         """Whether no campaign is in progress and both the schedule and the backoff allow one."""
         return not self.in_progress and now >= max(self.next_campaign_at, self._backoff_until)
@@ -81,15 +79,13 @@
         """Whether a campaign in progress or a late transaction may still make this member win."""
         return self.in_progress or bool(self.unresolved_leases)
 
-    # -- one campaign --------------------------------------------------------------------
-
     def begin(self, now: float) -> None:
         """Start a campaign by creating the lease for the leader key."""
         self.in_progress = True
         self._started_at = now
         ttl_s = self.context.timings.leader_ttl_s
         body = encode({"ttl_ms": int(ttl_s * 1000)})
-        self.context.out.calls.append(
+        self.context.outbox.calls.append(
             Call(
                 ExternalService.STATE, "POST", LEASES_PATH, self._on_lease_created, body, ttl_s / 3
             )
--- a/src/copperpass/core/election/context.py
+++ b/src/copperpass/core/election/context.py
@@ -1,4 +1,4 @@
-"""Dependencies shared by the parts of one member's election."""
+"""Dependencies shared by the components of one member's election."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     member: str
     peers: Sequence[str]
     timings: ElectionTimings
-    out: Outbox
+    outbox: Outbox
     transactions: TransactionQueue
     rng: random.Random
     on_change: OnLeadershipChange
--- a/src/copperpass/core/election/leader_election.py
+++ b/src/copperpass/core/election/leader_election.py
@@ -40,8 +40,9 @@
         self.member, self.peers = context.member, context.peers
         self.leader_ttl_s = context.timings.leader_ttl_s
         self.is_leader = False
-        # The fencing token of this member's current or last term as leader, and the store's
-        # revision at which it won that term.
+        # The leader's fencing token of this member's current or last term, and the store's revision
+        # at which it won the token. Components outside the election call the token at the start of
+        # a term the epoch of the term.
         self.token = 0
         self.election_revision = 0
         # Whether the watch cache has delivered the leader key and the token counter.
@@ -61,8 +62,6 @@
         """The name of the current leader as far as this member knows; None if there is none."""
         return self.lease.holder.member if self.lease.holder else None
 
-    # -- authority ----------------------------------------------------------------------
-
     def has_authority(self, now: float) -> bool:
         """Whether this member may act as the leader at `now`."""
         lease_or_votes = now < self.lease.valid_until or now < self.extension.valid_until()
@@ -92,8 +91,6 @@
         """Keep the leader key at least until a shard grant of this leader expires."""
         self.lease.on_grant(expires_at)
 
-    # -- timers -------------------------------------------------------------------------
-
     def tick(self, now: float) -> None:
         """Renew the lease, request votes, step down or campaign, whichever is due."""
         if self.is_leader:
@@ -112,7 +109,7 @@
     def step_down(self, now: float, reason: StepDownReason, backoff_s: float = 0.0) -> None:
         """End the authority at once; this member does not campaign for `backoff_s` seconds."""
         if self.is_leader:
-            self.context.out.log(
+            self.context.outbox.log(
                 LogLevel.INFO, LogEvent.LEADERSHIP_LOST, why=reason, token=self.token
             )
             self.is_leader = False
@@ -121,19 +118,17 @@
         self.lease.step_down(now)
         self.campaign.on_step_down(now, backoff_s)
 
-    # -- inputs -------------------------------------------------------------------------
-
-    def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        """Apply a change of the leader key or the token counter; `raw` is None for a deletion."""
+    def on_watch_event(self, now: float, key: str, value: bytes | None, version: int) -> None:
+        """Apply a change of the leader key or the token counter; `value` is None for a deletion."""
         if key == LEADER_KEY:
-            self._on_leader_key(now, raw, version)
-        elif key == FENCING_TOKEN_KEY and self.counter.on_watch_event(raw, version):
+            self._on_leader_key(now, value, version)
+        elif key == FENCING_TOKEN_KEY and self.counter.on_watch_event(value, version):
             # Every campaign is guarded by the counter's version, so no older one can still win.
             self.campaign.unresolved_leases.clear()
 
-    def _on_leader_key(self, now: float, raw: bytes | None, version: int) -> None:
+    def _on_leader_key(self, now: float, value: bytes | None, version: int) -> None:
         had_leader = self.lease.holder is not None
-        if not self.lease.on_watch_event(raw, version):
+        if not self.lease.on_watch_event(value, version):
             return
         leader = self.lease.holder
         if leader is None:
@@ -165,8 +160,6 @@
         # restart.
         return self.records_synced and not self.is_leader and not self.campaign.may_still_win()
 
-    # -- outcomes -----------------------------------------------------------------------
-
     def _on_won(self, now: float, win: CampaignWin) -> None:
         continued = self.has_authority(now)
         token = win.record.token
@@ -176,7 +169,7 @@
         self.voter.on_token(token)
         self.lease.on_won(win.record, win.revision, win.started_at)
         self.extension.begin(now, win.started_at)
-        self.context.out.log(
+        self.context.outbox.log(
             LogLevel.INFO, LogEvent.LEADER_ELECTED, token=token, continued=continued
         )
         self.context.on_change(now, True, continued)
--- a/src/copperpass/core/election/leader_lease.py
+++ b/src/copperpass/core/election/leader_lease.py
@@ -43,12 +43,12 @@
         # The lease to revoke once those grants have expired; None if there is none.
         self._lease_to_revoke: int | None = None
 
-    def on_watch_event(self, raw: bytes | None, version: int) -> bool:
+    def on_watch_event(self, value: bytes | None, version: int) -> bool:
         """Apply the stored key, None if deleted; returns False for an outdated version of it."""
-        if version < self._version and raw is not None:
+        if version < self._version and value is not None:
             return False
-        self.holder = decode(raw, LeaderRecord) if raw is not None else None
-        self._version = version if raw is not None else 0
+        self.holder = decode(value, LeaderRecord) if value is not None else None
+        self._version = version if value is not None else 0
         return True
 
     def on_won(self, record: LeaderRecord, revision: int, campaign_started_at: float) -> None:
@@ -82,7 +82,7 @@
             self._on_renewed(done_at, outcome, lease_id, now)
 
         path = renew_lease_path(lease_id)
-        self.context.out.calls.append(
+        self.context.outbox.calls.append(
             Call(ExternalService.STATE, "POST", path, on_done, b"{}", ttl_s / 3)
         )
 
@@ -132,6 +132,6 @@
                 self.on_revoked(lease_id)
 
         ttl_s = self.context.timings.leader_ttl_s
-        self.context.out.calls.append(
+        self.context.outbox.calls.append(
             Call(ExternalService.STATE, "DELETE", lease_path(lease_id), on_done, b"", ttl_s)
         )
--- a/src/copperpass/core/election/lease_extension.py
+++ b/src/copperpass/core/election/lease_extension.py
@@ -63,7 +63,7 @@
         for number in expired:
             del self._requests_sent_at[number]
         for peer in self.context.peers:
-            self.context.out.send(peer, LeaseExtensionRequest(token, self._request_number))
+            self.context.outbox.send(peer, LeaseExtensionRequest(token, self._request_number))
 
     def on_vote(self, voter: str, vote: LeaseExtensionVote) -> None:
         """Count a vote for the current token from the sending of the request that it answers."""
@@ -98,7 +98,7 @@
         if granted:
             self._vote_binds_until = now + self.context.timings.vote_s
             self.on_token(request.token)
-        self.context.out.send(leader, LeaseExtensionVote(request.token, request.number, granted))
+        self.context.outbox.send(leader, LeaseExtensionVote(request.token, request.number, granted))
 
     def may_campaign(self, now: float) -> bool:
         """Whether no vote that this member granted, in this run or an earlier one, is still valid.
--- a/src/copperpass/core/election/token_counter.py
+++ b/src/copperpass/core/election/token_counter.py
@@ -1,4 +1,4 @@
-"""The counter of fencing tokens: one key, which the winner of each election writes."""
+"""The counter of leaders' fencing tokens: one key, which the winner of each election writes."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
         self.version = 0
         self.holder = ""
 
-    def on_watch_event(self, raw: bytes | None, version: int) -> bool:
+    def on_watch_event(self, value: bytes | None, version: int) -> bool:
         """Apply the stored counter; returns whether its version is newer than the known one."""
-        if raw is None or version <= self.version:
+        if value is None or version <= self.version:
             return False
-        record = decode(raw, FencingTokenRecord)
+        record = decode(value, FencingTokenRecord)
         if record:
             self.update(record.token, version, record.member)
         return True
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -48,9 +48,9 @@
             job.cancelled = True
         return job
 
-    def on_completions_event(self, key: str, raw: bytes | None) -> None:
-        """Apply a written record of completions; `raw` is None if it was deleted."""
-        record = decode(raw, dict[str, str]) if raw is not None else None
+    def on_completions_event(self, key: str, value: bytes | None) -> None:
+        """Apply a written record of completions; `value` is None if it was deleted."""
+        record = decode(value, dict[str, str]) if value is not None else None
         if record is None:
             self.completion_records.pop(key, None)
             return
@@ -60,16 +60,16 @@
             if job is not None:
                 self._merge_entry(job, entry, text)
 
-    def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> JobChange:
-        """Apply a live job's record at `version`; `raw` is None if it was deleted."""
+    def on_watch_event(self, now: float, key: str, value: bytes | None, version: int) -> JobChange:
+        """Apply a live job's record at `version`; `value` is None if it was deleted."""
         job_id = key[len(LIVE_JOBS_PREFIX) :]
         job = self.jobs.get(job_id)
-        if raw is None:
+        if value is None:
             if job is None or version < job.version:
                 return JobChange()
             del self.jobs[job_id]
             return JobChange(job, removed=True)
-        record = decode(raw, JobRecord)
+        record = decode(value, JobRecord)
         if record is None:
             return JobChange()
         if job is None:
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -43,8 +43,8 @@
 
     MAX_IN_FLIGHT = 3
 
-    def __init__(self, out: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
-        self.out = out
+    def __init__(self, outbox: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
+        self.outbox = outbox
         self.queues: tuple[deque[Operation], ...] = tuple(deque() for _ in Priority)
         self.in_flight = 0
         self.budget = TokenBucket(
@@ -96,7 +96,7 @@
     def _send(self, batch: Batch) -> None:
         operations = batch.operations
         self.in_flight += 1
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(
                 ExternalService.STATE,
                 "POST",
@@ -107,8 +107,6 @@
             )
         )
 
-    # -- answers ---------------------------------------------------------------------
-
     def _on_answer(self, now: float, batch: list[Operation], answer: CallOutcome) -> None:
         self.in_flight -= 1
         status = answer.status
--- a/src/copperpass/core/kvstore/watch_cache.py
+++ b/src/copperpass/core/kvstore/watch_cache.py
@@ -19,8 +19,8 @@
 class OnWatchEvent(Protocol):
     """Called with each change of a watched key."""
 
-    def __call__(self, now: float, key: str, raw: bytes | None, version: int, /) -> None:
-        """Apply the value of `key` at `version`; `raw` is None if the key was deleted."""
+    def __call__(self, now: float, key: str, value: bytes | None, version: int, /) -> None:
+        """Apply the value of `key` at `version`; `value` is None if the key was deleted."""
 
 
 class WatchCache:
@@ -30,9 +30,9 @@
     """
 
     def __init__(
-        self, out: Outbox, on_event: OnWatchEvent, wait_s: float, timeout_s: float
+        self, outbox: Outbox, on_event: OnWatchEvent, wait_s: float, timeout_s: float
     ) -> None:
-        self.out, self.on_event = out, on_event
+        self.outbox, self.on_event = outbox, on_event
         # How long the store holds a watch request open for a change, and the timeout of a request;
         # that of a watch is the sum of both.
         self.wait_s, self.timeout_s = wait_s, timeout_s
@@ -64,11 +64,9 @@
             self.list_revision, self.listed_keys = 0, set()
             self._list("")
 
-    # -- listing ---------------------------------------------------------------------
-
     def _list(self, after: str) -> None:
         path = list_path(WATCHED_PREFIX, after)
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(ExternalService.STATE, "GET", path, self._on_list_page, b"", self.timeout_s)
         )
 
@@ -97,11 +95,9 @@
             if key not in self.listed_keys and version <= self.list_revision:
                 self._apply(now, key, None, self.list_revision)
 
-    # -- watching --------------------------------------------------------------------
-
     def _watch(self) -> None:
         path = watch_path(WATCHED_PREFIX, self.revision, int(self.wait_s * 1000))
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(
                 ExternalService.STATE,
                 "GET",
@@ -129,8 +125,6 @@
                 self._apply(now, event.delete, None, event.version)
         self._on_complete(now, answer.revision)
 
-    # -- common ----------------------------------------------------------------------
-
     def _on_complete(self, now: float, revision: int) -> None:
         """Record that a request was answered in full, and send the next one at once."""
         self.revision = max(self.revision, revision)
@@ -138,17 +132,17 @@
         self.request_in_flight = False
         self.tick(now)
 
-    def _apply(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+    def _apply(self, now: float, key: str, value: bytes | None, version: int) -> None:
         known = self.key_versions.get(key, 0)
-        if version < known or (version == known and raw is not None):
+        if version < known or (version == known and value is not None):
             # After a listing the store may replay older events: a deletion must not delete a newer
             # key.
             return
-        if raw is None:
+        if value is None:
             self.key_versions.pop(key, None)
         else:
             self.key_versions[key] = version
-        self.on_event(now, key, raw, version)
+        self.on_event(now, key, value, version)
 
     def _retry_later(self, now: float) -> None:
         self.request_in_flight = False
--- a/src/copperpass/core/membership/peer_heartbeats.py
+++ b/src/copperpass/core/membership/peer_heartbeats.py
@@ -13,9 +13,9 @@
     """Sends heartbeats; tracks when each peer last sent a frame and the age of its watch cache."""
 
     def __init__(
-        self, peers: Sequence[str], timings: ElectionTimings, out: Outbox, now: float
+        self, peers: Sequence[str], timings: ElectionTimings, outbox: Outbox, now: float
     ) -> None:
-        self.peers, self.timings, self.out = peers, timings, out
+        self.peers, self.timings, self.outbox = peers, timings, outbox
         self._last_frame_at: dict[str, float] = {}
         self._peer_consistent_at: dict[str, float] = {}
         self._next_send_at = now
@@ -55,7 +55,7 @@
         self._next_send_at = now + self.timings.vote_s / 4
         heartbeat = MemberHeartbeat(token, _age_ms(now, consistent_at))
         for peer in self.peers:
-            self.out.send(peer, heartbeat)
+            self.outbox.send(peer, heartbeat)
         return True
 
 
--- a/src/copperpass/core/membership/running_counts.py
+++ b/src/copperpass/core/membership/running_counts.py
@@ -19,12 +19,12 @@
         self,
         peers: Sequence[str],
         jobs: JobTable,
-        shards: dict[str, int],
+        shard_by_team: dict[str, int],
         grant_client: GrantClient,
-        out: Outbox,
+        outbox: Outbox,
         now: float,
     ) -> None:
-        self.peers, self.jobs, self.shards, self.out = peers, jobs, shards, out
+        self.peers, self.jobs, self.shard_by_team, self.outbox = peers, jobs, shard_by_team, outbox
         self.grant_client = grant_client
         self._counts_by_peer: dict[str, dict[str, int]] = {}
         self._next_send_at = now
@@ -58,7 +58,7 @@
             if job.displayed_running() and self._is_own(job.spec.team)
         }
         for peer in self.peers:
-            self.out.send(peer, RunningCounts(counts))
+            self.outbox.send(peer, RunningCounts(counts))
 
     def _is_own(self, team: str) -> bool:
-        return self.shards.get(team, 0) in self.grant_client.schedulers
+        return self.shard_by_team.get(team, 0) in self.grant_client.schedulers
--- a/src/copperpass/core/membership/version_registry.py
+++ b/src/copperpass/core/membership/version_registry.py
@@ -31,13 +31,13 @@
         self,
         member: str,
         peers: Sequence[str],
-        out: Outbox,
+        outbox: Outbox,
         transactions: TransactionQueue,
         retry_s: float,
         timeout_s: float,
     ) -> None:
         self.member, self.members = member, [member, *peers]
-        self.out, self.transactions = out, transactions
+        self.outbox, self.transactions = outbox, transactions
         self.retry_s, self.timeout_s = retry_s, timeout_s
         self.upgraded: set[str] = set()
         self._in_flight: set[str] = set()
@@ -72,7 +72,7 @@
             self._on_read(now, member, outcome)
 
         path = key_path(MEMBER_VERSIONS_PREFIX + member)
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(ExternalService.STATE, "GET", path, on_done, b"", self.timeout_s)
         )
 
--- a/src/copperpass/core/node/cancellations.py
+++ b/src/copperpass/core/node/cancellations.py
@@ -22,10 +22,10 @@
         jobs: JobTable,
         grant_client: GrantClient,
         version_registry: VersionRegistry,
-        out: Outbox,
+        outbox: Outbox,
     ) -> None:
         self.jobs, self.grant_client = jobs, grant_client
-        self.version_registry, self.out = version_registry, out
+        self.version_registry, self.outbox = version_registry, outbox
 
     def announce(self, now: float, job_id: str) -> None:
         """Apply a cancellation that this member has stored, and notify the peers."""
@@ -33,7 +33,7 @@
         registry = self.version_registry
         for member in registry.members:
             if member != registry.member and registry.is_upgraded(member):
-                self.out.send(member, JobCancelled(job_id))
+                self.outbox.send(member, JobCancelled(job_id))
 
     def on_cancelled(self, now: float, job_id: str) -> None:
         """Apply a stored cancellation: stop the job's running tasks and start no more."""
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -41,7 +41,7 @@
 class FrameTargets:
     """The components that handle frames."""
 
-    out: Outbox
+    outbox: Outbox
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
@@ -92,7 +92,7 @@
     # -- frames to the leader -------------------------------------------------------------
 
     def _manager_of_term(self, epoch: int) -> ClusterManager | None:
-        """The cluster manager if this member leads the term `epoch`; None if the frame is stale."""
+        """The cluster manager if it belongs to the term `epoch` of a frame; None otherwise."""
         cluster_manager = self.targets.leadership.cluster_manager
         if cluster_manager is None or cluster_manager.epoch != epoch:
             return None
@@ -102,7 +102,7 @@
         cluster_manager = self.targets.leadership.cluster_manager
         grant = cluster_manager.on_grant_request(now, sender, frame) if cluster_manager else None
         if grant is not None:
-            self.targets.out.send(sender, grant)
+            self.targets.outbox.send(sender, grant)
 
     def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
         cluster_manager = self._manager_of_term(frame.epoch)
--- a/src/copperpass/core/node/leadership.py
+++ b/src/copperpass/core/node/leadership.py
@@ -19,10 +19,10 @@
         self,
         election: LeaderElection,
         grant_client: GrantClient,
-        out: Outbox,
+        outbox: Outbox,
         make_context: Callable[[], ClusterManagerContext],
     ) -> None:
-        self.election, self.grant_client, self.out = election, grant_client, out
+        self.election, self.grant_client, self.outbox = election, grant_client, outbox
         self.make_context = make_context
         self.cluster_manager: ClusterManager | None = None
 
@@ -76,4 +76,4 @@
                     last_sequence=batch.last_sequence,
                     routes=tuple(batch.entries),
                 )
-                self.out.send(name, frame)
+                self.outbox.send(name, frame)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -44,7 +44,7 @@
     """The deterministic state machine of a controller, driven by the reactor side.
 
     Inputs come with the monotonic time in seconds. Calls, frames, replies and log records are left
-    in the outbox `out`. `wall_clock_offset` is the wall clock minus the monotonic clock, in
+    in the `outbox`. `wall_clock_offset` is the wall clock minus the monotonic clock, in
     seconds.
     """
 
@@ -58,27 +58,25 @@
     ) -> None:
         cluster = settings.cluster
         self.settings, self.cluster, self.tuning = settings, cluster, tuning or Tuning()
-        self.rng, self.out = random.Random(seed), Outbox()
+        self.rng, self.outbox = random.Random(seed), Outbox()
         # The monotonic time of the last tick, in seconds.
         self.now = now
         self.timings = election_timings(cluster)
-        self.shards = shards_by_team(cluster, self.tuning)
+        self.shard_by_team = shards_by_team(cluster, self.tuning)
         self._call_timeout_s = self.timings.leader_ttl_s / 3
         self._create_storage(wall_clock_offset)
         self._create_election(now)
         self._create_term_components(now)
         self._create_routers()
 
-    # -- construction -------------------------------------------------------------------
-
     def _create_storage(self, wall_clock_offset: float) -> None:
         """Create the transaction queue, the watch cache and the records that the cache updates."""
         limits = self.cluster.state
         self.transactions = TransactionQueue(
-            self.out, limits.least_write_rps, limits.least_txn_ops, self._call_timeout_s
+            self.outbox, limits.least_write_rps, limits.least_txn_ops, self._call_timeout_s
         )
         self.watch_cache = WatchCache(
-            self.out, self._on_watch_event, self.timings.leader_ttl_s / 2, self._call_timeout_s
+            self.outbox, self._on_watch_event, self.timings.leader_ttl_s / 2, self._call_timeout_s
         )
         max_cancelled = max(MIN_REMEMBERED_CANCELLED, self.cluster.max_writes_per_cancel_deadline)
         self.jobs = JobTable(wall_clock_offset=wall_clock_offset, max_cancelled=max_cancelled)
@@ -88,13 +86,13 @@
     def _create_election(self, now: float) -> None:
         """Create the election and the components that track other members."""
         peers = [member.name for member in self.settings.members]
-        partitioned = len(set(self.shards.values())) > 1
+        partitioned = len(set(self.shard_by_team.values())) > 1
         self.election = LeaderElection(
             ElectionContext(
                 member=self.settings.name,
                 peers=peers,
                 timings=self.timings,
-                out=self.out,
+                outbox=self.outbox,
                 transactions=self.transactions,
                 rng=self.rng,
                 on_change=self._on_leadership_change,
@@ -106,12 +104,12 @@
         self.version_registry = VersionRegistry(
             self.settings.name,
             peers,
-            self.out,
+            self.outbox,
             self.transactions,
             retry_s=self.timings.leader_ttl_s,
             timeout_s=self._call_timeout_s,
         )
-        self.peers = PeerHeartbeats(peers, self.timings, self.out, now)
+        self.peers = PeerHeartbeats(peers, self.timings, self.outbox, now)
         self.isolation = IsolationMonitor(self.election, self.peers, self.cluster.workers)
 
     def _create_term_components(self, now: float) -> None:
@@ -122,35 +120,35 @@
                 incarnation=self.rng.getrandbits(62) + 1,
                 grant_s=GRANT_TTL_RATIO * self.timings.leader_ttl_s,
                 capacity_interval_s=self.cluster.workers.heartbeat_interval_s / 4,
-                out=self.out,
+                outbox=self.outbox,
                 make_scheduler=self._make_scheduler,
                 watch_cache_valid_until=self.election.watch_cache_valid_until,
                 is_upgraded=self.is_upgraded,
             )
         )
         self.leadership = Leadership(
-            self.election, self.grant_client, self.out, self._manager_context
+            self.election, self.grant_client, self.outbox, self._manager_context
         )
         self.machine_types = MachineTypeCatalog(
             CatalogContext(
                 election=self.election,
                 transactions=self.transactions,
-                out=self.out,
+                outbox=self.outbox,
                 rng=self.rng,
                 max_value_bytes=self.cluster.state.least_value_bytes,
                 on_change=self._on_machine_types_change,
             )
         )
         self.running_counts = RunningCountExchange(
-            self.election.peers, self.jobs, self.shards, self.grant_client, self.out, now
+            self.election.peers, self.jobs, self.shard_by_team, self.grant_client, self.outbox, now
         )
         self.cancellations = CancellationBroadcast(
-            self.jobs, self.grant_client, self.version_registry, self.out
+            self.jobs, self.grant_client, self.version_registry, self.outbox
         )
         self.user_api = UserApi(
             ApiContext(
                 cluster=self.cluster,
-                out=self.out,
+                outbox=self.outbox,
                 transactions=self.transactions,
                 read_timeout_s=API_READ_TIMEOUT_S,
                 wall_clock_offset=self.jobs.wall_clock_offset,
@@ -163,10 +161,10 @@
     def _create_routers(self) -> None:
         """Create the routers that pass inputs to the other components."""
         workers = self.cluster.workers
-        self.relay = HeartbeatRelay(self.out, workers.lease_s, workers.heartbeat_interval_s)
+        self.relay = HeartbeatRelay(self.outbox, workers.lease_s, workers.heartbeat_interval_s)
         self.worker_heartbeats = WorkerHeartbeatRouter(
             member=self.settings.name,
-            out=self.out,
+            outbox=self.outbox,
             election=self.election,
             leadership=self.leadership,
             grant_client=self.grant_client,
@@ -175,7 +173,7 @@
         )
         self.frame_router = FrameRouter(
             FrameTargets(
-                out=self.out,
+                outbox=self.outbox,
                 election=self.election,
                 leadership=self.leadership,
                 grant_client=self.grant_client,
@@ -205,17 +203,17 @@
         return ClusterManagerContext(
             cluster=self.cluster,
             tuning=self.tuning,
-            out=self.out,
+            outbox=self.outbox,
             transactions=self.transactions,
             election=self.election,
             jobs=self.jobs,
             types=self.machine_types.types,
             cached_inventory=self.cached_inventory,
-            shards=self.shards,
+            shard_by_team=self.shard_by_team,
             previous_routes=client.routing_table.latest_routes(),
             previous_owners=client.routing_table.latest_owners(),
             incarnation=client.incarnation,
-            heartbeats_arrive=self.peers.is_connected,
+            is_connected=self.peers.is_connected,
             all_upgraded=self.version_registry.all_upgraded,
         )
 
@@ -224,13 +222,13 @@
         client = self.grant_client
         context = SchedulerContext(
             cluster=self.cluster,
-            out=self.out,
+            outbox=self.outbox,
             transactions=self.transactions,
             jobs=self.jobs,
             types=self.machine_types.types,
             completion_versions=self.completion_versions,
             shard=assignment.shard,
-            shards=self.shards,
+            shard_by_team=self.shard_by_team,
             epoch=client.epoch,
             generation=assignment.generation,
             token_version=lambda: client.token_version,
@@ -241,8 +239,6 @@
         )
         return ShardScheduler(context, revision=assignment.required_revision, now=self.now)
 
-    # -- inputs -------------------------------------------------------------------------
-
     def tick(self, now: float) -> None:
         """Advance the time; called many times a second."""
         self.now = now
@@ -273,8 +269,6 @@
         """Handle POST /v1/report, a worker's heartbeat."""
         self.worker_heartbeats.on_request(now, request, body)
 
-    # -- state read from outside ----------------------------------------------------------
-
     @property
     def cluster_manager(self) -> ClusterManager | None:
         """The manager of the term that this member leads; None if it does not lead."""
@@ -298,16 +292,14 @@
         """
         return bool(self.machine_types.types) and self.watch_cache.synced and not self._is_behind()
 
-    # -- callbacks of components ----------------------------------------------------------
-
     def _consistent_at(self) -> float:
         return self.watch_cache.consistent_at
 
     def _is_behind(self) -> bool:
         return self.peers.is_behind(self.watch_cache.consistent_at)
 
-    def _on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        self.watch_router.on_watch_event(now, key, raw, version)
+    def _on_watch_event(self, now: float, key: str, value: bytes | None, version: int) -> None:
+        self.watch_router.on_watch_event(now, key, value, version)
 
     def _on_leadership_change(self, now: float, is_leader: bool, continued: bool) -> None:
         self.leadership.on_change(now, is_leader, continued)
--- a/src/copperpass/core/node/watch_router.py
+++ b/src/copperpass/core/node/watch_router.py
@@ -60,32 +60,32 @@
             INVENTORY_PAGES_PREFIX: self._on_inventory,
         }
 
-    def on_watch_event(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        """Handle a write of a key at `version`, or its deletion if `raw` is None."""
+    def on_watch_event(self, now: float, key: str, value: bytes | None, version: int) -> None:
+        """Handle a write of a key at `version`, or its deletion if `value` is None."""
         prefix_end = key.find("/", len(WATCHED_PREFIX)) + 1
         handler = self._handlers.get(key[:prefix_end] if prefix_end else key)
         if handler is not None:
-            handler(now, key, raw, version)
+            handler(now, key, value, version)
 
-    def _on_machine_types(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        if raw is not None:
-            self.targets.machine_types.on_watch_event(raw)
+    def _on_machine_types(self, now: float, key: str, value: bytes | None, version: int) -> None:
+        if value is not None:
+            self.targets.machine_types.on_watch_event(value)
 
-    def _on_live_job(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+    def _on_live_job(self, now: float, key: str, value: bytes | None, version: int) -> None:
         targets = self.targets
-        change = targets.jobs.on_watch_event(now, key, raw, version)
-        if raw is None:
+        change = targets.jobs.on_watch_event(now, key, value, version)
+        if value is None:
             targets.user_api.on_job_removed(key[len(LIVE_JOBS_PREFIX) :])
         for scheduler in list(targets.grant_client.schedulers.values()):
             if change.removed and change.job is not None:
                 scheduler.on_job_completed(now, change.job)
             scheduler.dirty = True
 
-    def _on_completions(self, now: float, key: str, raw: bytes | None, version: int) -> None:
-        self.targets.jobs.on_completions_event(key, raw)
-        self.targets.completion_versions[key] = version if raw is not None else 0
+    def _on_completions(self, now: float, key: str, value: bytes | None, version: int) -> None:
+        self.targets.jobs.on_completions_event(key, value)
+        self.targets.completion_versions[key] = version if value is not None else 0
 
-    def _on_inventory(self, now: float, key: str, raw: bytes | None, version: int) -> None:
+    def _on_inventory(self, now: float, key: str, value: bytes | None, version: int) -> None:
         inventory, manager = self.targets.inventory, self.targets.leadership.cluster_manager
-        if inventory.on_watch_event(key, raw, version) and manager is not None:
+        if inventory.on_watch_event(key, value, version) and manager is not None:
             manager.on_inventory_event(inventory, key, version)
--- a/src/copperpass/core/node/worker_heartbeats.py
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -20,7 +20,7 @@
     """Answers heartbeats of own machines; relays others to their owner or redirects the worker."""
 
     member: str
-    out: Outbox
+    outbox: Outbox
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
@@ -31,7 +31,7 @@
         """Answer, relay or redirect a heartbeat that a worker has sent to this member over HTTP."""
         heartbeat = decode(body, WorkerHeartbeat)
         if heartbeat is None:
-            self.out.replies.append(Reply(request, 400, error_body("malformed report")))
+            self.outbox.replies.append(Reply(request, 400, error_body("malformed report")))
             return
         owner = self.grant_client.owner_of(heartbeat.machine)
         if owner is None:
@@ -40,7 +40,7 @@
         else:
             is_own = owner == self.member
         if is_own:
-            self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
+            self.outbox.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
         else:
             self._relay_or_redirect(now, request, heartbeat.machine, body, owner)
 
@@ -49,7 +49,7 @@
         heartbeat = decode(frame.body, WorkerHeartbeat)
         if heartbeat is not None:
             status, body = self._answer(now, heartbeat, True)
-            self.out.send(sender, RelayedAnswer(frame.number, status, body))
+            self.outbox.send(sender, RelayedAnswer(frame.number, status, body))
 
     def _relay_or_redirect(
         self, now: float, request: object, machine: str, body: bytes, owner: str | None
@@ -69,7 +69,7 @@
                 ),
                 None,
             )
-        self.out.replies.append(Reply(request, 421, redirect_body(owner)))
+        self.outbox.replies.append(Reply(request, 421, redirect_body(owner)))
 
     def _find_owner(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
         """The member that should answer a machine without a known owner; None if undecided.
--- a/src/copperpass/core/scheduling/allocation.py
+++ b/src/copperpass/core/scheduling/allocation.py
@@ -52,7 +52,7 @@
 
 
 def load(claim: Claim, capacity: tuple[float, float], resource: int) -> float:
-    """Return the part of a resource's capacity that one task takes.
+    """Return the fraction of a resource's capacity that one task takes.
 
     It is infinite if the task needs a resource that has no capacity.
     """
@@ -64,9 +64,9 @@
 
 
 def fair_share(claim: Claim, capacity: tuple[float, float], total_weight: float) -> float:
-    """Return how many tasks a team could run on its weighted part of both resources."""
-    part = claim.weight / total_weight
-    shares = [part * capacity[r] / claim.request[r] for r in (0, 1) if claim.request[r] > EPSILON]
+    """Return how many tasks a team could run on its weighted share of both resources."""
+    share = claim.weight / total_weight
+    shares = [share * capacity[r] / claim.request[r] for r in (0, 1) if claim.request[r] > EPSILON]
     return min(shares) if shares else 0.0
 
 
@@ -112,8 +112,8 @@
         return 0.0, _factor_alone(second_usage, capacity)
     low, high = ratio_bounds(first, second, fair)
     # The two lines rho_1 = 1 and rho_2 = 1 enforce the sharing incentive: no team gets less than
-    # its fair share. The paper can prove it because the parts of its requests add up to one. Ours
-    # don't, so it has to be a constraint.
+    # its fair share. The paper can prove it because the fractions of its requests add up to one.
+    # Ours don't, so it has to be a constraint.
     lines: list[Line] = [
         (first_usage[0], second_usage[0], capacity[0]),
         (first_usage[1], second_usage[1], capacity[1]),
@@ -140,7 +140,7 @@
         )
 
     # A hard partition, where each team has exactly its fair share, is always feasible, since every
-    # fair share fits into its team's part of the capacity.
+    # fair share fits into its team's weighted share of the capacity.
     best, best_total = (1.0, 1.0), total_first + total_second
     for rho_1, rho_2 in _corner_points(lines):
         total = rho_1 * total_first + rho_2 * total_second
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -63,7 +63,7 @@
         self.timing = state.timing
         # Number of direct requests without a result yet; `max_requests` is its upper limit.
         self.requests_in_flight = 0
-        shards = len(set(context.shards.values()))
+        shards = len(set(context.shard_by_team.values()))
         connections = context.cluster.resources.max_connections
         self.max_requests = max(
             MIN_DIRECT_REQUESTS, connections // (CONNECTIONS_PER_DIRECT_REQUEST * shards)
@@ -80,7 +80,7 @@
         machine.probe_token = machine.token
         if machine.unreachable_since is None:
             machine.unreachable_since = now
-            self.context.out.log(
+            self.context.outbox.log(
                 LogLevel.DEBUG, LogEvent.COMMANDS_UNACKNOWLEDGED, machine=machine.name
             )
 
@@ -169,7 +169,7 @@
 
         body = encode(DirectCommands(machine.token, max(1, machine.agent_epoch), commands))
         timeout_s = self.timing.heartbeat_interval_s / 2 + 0.25
-        self.context.out.calls.append(
+        self.context.outbox.calls.append(
             Call(
                 ExternalService.WORKER,
                 "POST",
--- a/src/copperpass/core/scheduling/context.py
+++ b/src/copperpass/core/scheduling/context.py
@@ -34,17 +34,20 @@
     """Collaborators and identity of the scheduler of one shard assignment."""
 
     cluster: Cluster
-    out: Outbox
+    outbox: Outbox
     transactions: TransactionQueue
     jobs: JobTable
     types: dict[str, MachineType]
     # Versions of the stored completion pages, by key; the node keeps them up to date.
     completion_versions: dict[str, int]
-    # The shard of this scheduler, and the shard of every team.
+    # The number of this scheduler's shard, and that of each team's shard.
     shard: int
-    shards: dict[str, int]
+    shard_by_team: dict[str, int]
+    # The leader's fencing token at the start of the term that assigned the shard, and the number of
+    # the assignment in that term.
     epoch: int
     generation: int
+    # Returns the version of the leader's fencing token key, which guards this scheduler's writes.
     token_version: Callable[[], int]
     # Whether this member owns the shard at a given time.
     has_authority: Callable[[float], bool]
@@ -55,7 +58,7 @@
 
     def schedules_team(self, team: str) -> bool:
         """Whether a team belongs to this shard; an unknown team counts as one that does."""
-        return self.shards.get(team, self.shard) == self.shard
+        return self.shard_by_team.get(team, self.shard) == self.shard
 
 
 @dataclass(slots=True)
@@ -86,7 +89,7 @@
         # A leader of an older version that resigns, or is re-elected at once, deletes its key
         # before its grants have expired. An owner of that term that has not received the deletion
         # event yet may answer workers for the duration of a grant.
-        has_several_shards = len(set(context.shards.values())) > 1
+        has_several_shards = len(set(context.shard_by_team.values())) > 1
         failover_s = 1.25 * heartbeat_interval_s + HEARTBEAT_ANSWER_S + 3 * NEXT_CONTROLLER_S
         return cls(
             heartbeat_interval_s=heartbeat_interval_s,
--- a/src/copperpass/core/scheduling/demand.py
+++ b/src/copperpass/core/scheduling/demand.py
@@ -69,7 +69,7 @@
             horizon_s = self._horizon_s(job, now)
             spec = self._with_affinity(job)
             pack = pack_gang if spec.gang else pack_tasks
-            reserved = self.reservations.reserved_types.reserved_from(spec)
+            reserved = self.reservations.reserved_types.excluded_types(spec)
             unplaced_count = pack(capacities, spec, count, horizon_s, reserved)
             if unplaced_count > 0:
                 requests.append(PendingTasks(spec.id, unplaced_count, horizon_s))
--- a/src/copperpass/core/scheduling/dispatch_round.py
+++ b/src/copperpass/core/scheduling/dispatch_round.py
@@ -1,6 +1,6 @@
 """One dispatch round: chooses the pending tasks that start now, and their machines.
 
-The next task comes from the team that has used the smallest part of its allocation. Within a team,
+The next task comes from the team that has used the smallest fraction of its allocation. In a team,
 jobs are ordered by start deadline. The machine is chosen by the ranking in `bin_packing`.
 """
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlacementParts:
+class PlacementComponents:
     """The components of a scheduler that a dispatch round uses to place tasks."""
 
     state: ShardState
@@ -66,15 +66,15 @@
     def __init__(
         self,
         now: float,
-        parts: PlacementParts,
+        components: PlacementComponents,
         queues: TeamQueues,
         jobs: list[Job],
         usable: list[Machine],
     ) -> None:
         self.now, self.queues, self.usable = now, queues, usable
-        self.state, self.tasks, self.tuning = parts.state, parts.tasks, parts.tuning
-        self.reservations, self.gangs = parts.reservations, parts.gangs
-        self.slos, self.boot_s = parts.state.slos, parts.state.timing.boot_s
+        self.state, self.tasks, self.tuning = components.state, components.tasks, components.tuning
+        self.reservations, self.gangs = components.reservations, components.gangs
+        self.slos, self.boot_s = components.state.slos, components.state.timing.boot_s
         self.smallest_cpus = min((job.spec.cpus for job in jobs if job.spec.cpus > 0), default=0.0)
         # The machines with enough free CPUs for the smallest task.
         self.candidates = [
--- a/src/copperpass/core/scheduling/dispatcher.py
+++ b/src/copperpass/core/scheduling/dispatcher.py
@@ -9,7 +9,7 @@
 from copperpass.core.scheduling import allocation
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.demand import Demand
-from copperpass.core.scheduling.dispatch_round import DispatchRound, PlacementParts
+from copperpass.core.scheduling.dispatch_round import DispatchRound, PlacementComponents
 from copperpass.core.scheduling.machines import Machine
 from copperpass.core.scheduling.preemption import Preemption
 from copperpass.core.scheduling.team_queues import TeamQueues
@@ -19,10 +19,10 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class DispatchParts:
+class DispatcherComponents:
     """The components of a scheduler that the dispatcher uses."""
 
-    placement: PlacementParts
+    placement: PlacementComponents
     commands: Commands
     demand: Demand
     preemption: Preemption
@@ -31,10 +31,17 @@
 class Dispatcher:
     """Runs dispatch rounds; `next_round_at` is the earliest time for the next one."""
 
-    def __init__(self, parts: DispatchParts, now: float) -> None:
-        self.state, self.reservations = parts.placement.state, parts.placement.reservations
-        self.tuning, self.placement = parts.placement.tuning, parts.placement
-        self.commands, self.demand, self.preemption = parts.commands, parts.demand, parts.preemption
+    def __init__(self, components: DispatcherComponents, now: float) -> None:
+        self.state, self.reservations = (
+            components.placement.state,
+            components.placement.reservations,
+        )
+        self.tuning, self.placement = components.placement.tuning, components.placement
+        self.commands, self.demand, self.preemption = (
+            components.commands,
+            components.demand,
+            components.preemption,
+        )
         # Ids of the jobs that the latest round could not place and that must start before a machine
         # would boot.
         self.urgent_jobs: set[str] = set()
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -54,7 +54,7 @@
     """Ends the tasks of expired leases, and asks the leader to delete unresponsive machines."""
 
     def __init__(self, context: SchedulerContext, state: ShardState, tasks: TaskLifecycle) -> None:
-        self.out, self.state, self.tasks = context.out, state, tasks
+        self.outbox, self.state, self.tasks = context.outbox, state, tasks
 
     def scan(self, now: float) -> None:
         """Check all machines for expired leases and for reasons to delete them."""
@@ -65,14 +65,14 @@
         for machine in list(state.machines.values()):
             expired = float("-inf") < machine.last_answer_at < now - timing.lease_s
             if expired and (machine.tasks or machine.name in state.unreconciled):
-                self.out.log(LogLevel.INFO, LogEvent.WORKER_LEASE_EXPIRED, machine=machine.name)
+                self.outbox.log(LogLevel.INFO, LogEvent.WORKER_LEASE_EXPIRED, machine=machine.name)
                 state.unreconciled.discard(machine.name)
-                self.tasks.on_session_ended(now, machine)
+                self.tasks.on_agent_epoch_ended(now, machine)
             if machine.deletion_requested:
                 continue
             reason = self._deletion_reason(now, machine, expired, unresponsive)
             if reason:
-                self.out.log(
+                self.outbox.log(
                     LogLevel.INFO,
                     LogEvent.MACHINE_DELETION_REQUESTED,
                     machine=machine.name,
--- a/src/copperpass/core/scheduling/heartbeats.py
+++ b/src/copperpass/core/scheduling/heartbeats.py
@@ -98,13 +98,13 @@
         """Record the agent epoch, the sequence, and the arrival time of the message."""
         if heartbeat.agent_epoch != machine.agent_epoch:
             if machine.agent_epoch:
-                # The tasks of the previous epoch are gone. Only a token can prove that the new
-                # epoch has had no other owner: an earlier owner may have known it already.
-                self.tasks.on_session_ended(now, machine)
+                # The tasks of the previous agent epoch are gone. Only a token can prove that the
+                # new one has had no other owner: an earlier owner may have known it already.
+                self.tasks.on_agent_epoch_ended(now, machine)
             machine.agent_epoch = heartbeat.agent_epoch
-            # The lease of the new epoch began before this heartbeat was sent. If expiry were still
-            # counted from the last answer in the previous epoch, it would free the tasks of the new
-            # one too early.
+            # The lease of the new agent epoch began before this heartbeat was sent. If expiry were
+            # still counted from the last answer in the previous one, it would free the tasks of the
+            # new one too early.
             machine.last_answer_at = max(machine.last_answer_at, now)
         machine.sequence = heartbeat.sequence
         machine.address = heartbeat.address
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -55,7 +55,7 @@
             # The machine has terminated on its own, so no task runs there any more.
             machine.failed = True
             state.unreconciled.discard(name)
-            self.tasks.on_session_ended(now, machine)
+            self.tasks.on_agent_epoch_ended(now, machine)
         if route.reclaim_requested:
             self._release_or_drain(now, machine, route.drain)
 
@@ -121,7 +121,7 @@
         """Remove a machine, and all tasks on it, after the cloud has confirmed its deletion."""
         machine.draining = False
         self.state.unreconciled.discard(machine.name)
-        self.tasks.on_session_ended(now, machine)
+        self.tasks.on_agent_epoch_ended(now, machine)
         self.state.quota_usage.drop(machine)
         self.machines.pop(machine.name, None)
         self.context.images.pop(machine.name, None)
--- a/src/copperpass/core/scheduling/placements.py
+++ b/src/copperpass/core/scheduling/placements.py
@@ -1,6 +1,6 @@
 """Placements: task attempts that are, or may be, on a machine, and the reasons for stopping them.
 
-A placement ends only when a heartbeat proves that the task is gone, when the agent session of its
+A placement ends only when a heartbeat proves that the task is gone, when the agent epoch of its
 machine has ended, or when the cloud has confirmed that the machine is deleted.
 """
 
--- a/src/copperpass/core/scheduling/reservations.py
+++ b/src/copperpass/core/scheduling/reservations.py
@@ -11,8 +11,8 @@
 from copperpass.core.scheduling.reserved_types import ReservedTypes
 from copperpass.core.scheduling.state import ShardState
 
-# A job ignores reservations once it has had no placement for this part of `patience_s`, the bound
-# on the wait of jobs without a target that can still be met.
+# A job ignores reservations once it has had no placement for this fraction of `patience_s`, the
+# bound on the wait of jobs without a target that can still be met.
 STARVATION_SHARE = 0.6
 
 
@@ -57,7 +57,9 @@
     def policy(self, job: Job, starving: bool, spot_only: bool, urgent: bool) -> PlacementPolicy:
         """Return the policy for placing a job's tasks in this round, as a gang or one by one."""
         return PlacementPolicy(
-            reserved_types=frozenset() if starving else self.reserved_types.reserved_from(job.spec),
+            reserved_types=frozenset()
+            if starving
+            else self.reserved_types.excluded_types(job.spec),
             smallest_large_tasks=self.reserved_types.smallest_tasks,
             spot_only=spot_only,
             urgent=urgent,
--- a/src/copperpass/core/scheduling/reserved_types.py
+++ b/src/copperpass/core/scheduling/reserved_types.py
@@ -23,8 +23,8 @@
         self.types, self.retention_s = types, retention_s
         # By set of feasible types: when a task that fits only these was last present, and its spec.
         self.last_demand: dict[frozenset[str], tuple[float, JobSpec]] = {}
-        # Results of `reserved_from` by shape; cleared when the keys of `last_demand` change.
-        self.reserved_by_shape: dict[tuple[float, float, float], set[str]] = {}
+        # Results of `excluded_types` by shape; cleared when the keys of `last_demand` change.
+        self.excluded_by_shape: dict[tuple[float, float, float], set[str]] = {}
         # By type: the spec of the smallest present task that the type is reserved for.
         self.smallest_tasks: dict[str, JobSpec] = {}
 
@@ -47,7 +47,7 @@
             if now - demanded_at <= self.retention_s
         }
         if set(self.last_demand) != previous_sets:
-            self.reserved_by_shape.clear()
+            self.excluded_by_shape.clear()
 
     def _update_smallest(self, types: Iterable[str], spec: JobSpec) -> None:
         for name in types:
@@ -63,16 +63,16 @@
             if feasible_on_type(spec, machine_type)
         )
 
-    def reserved_from(self, spec: JobSpec) -> set[str]:
-        """Return the types that a job's tasks may not use, since larger tasks depend on them."""
+    def excluded_types(self, spec: JobSpec) -> set[str]:
+        """Return the types that a job's tasks may not use because larger tasks depend on them."""
         shape = (spec.cpus, spec.gpus, spec.memory_gb)
-        reserved = self.reserved_by_shape.get(shape)
-        if reserved is None:
+        excluded = self.excluded_by_shape.get(shape)
+        if excluded is None:
             usable = self.feasible_types(spec) if spec.types is None else frozenset(spec.types)
-            reserved = set()
+            excluded = set()
             for needed_by_larger in self.last_demand:
                 if needed_by_larger < usable:
-                    reserved |= needed_by_larger
+                    excluded |= needed_by_larger
             if spec.types is None:
-                self.reserved_by_shape[shape] = reserved
-        return reserved
+                self.excluded_by_shape[shape] = excluded
+        return excluded
--- a/src/copperpass/core/scheduling/shard_scheduler.py
+++ b/src/copperpass/core/scheduling/shard_scheduler.py
@@ -11,8 +11,8 @@
 from copperpass.core.scheduling.commands import Commands
 from copperpass.core.scheduling.context import SchedulerContext, Timing
 from copperpass.core.scheduling.demand import Demand
-from copperpass.core.scheduling.dispatch_round import PlacementParts
-from copperpass.core.scheduling.dispatcher import Dispatcher, DispatchParts
+from copperpass.core.scheduling.dispatch_round import PlacementComponents
+from copperpass.core.scheduling.dispatcher import Dispatcher, DispatcherComponents
 from copperpass.core.scheduling.evictions import Evictions
 from copperpass.core.scheduling.gang_monitor import GangMonitor
 from copperpass.core.scheduling.gang_placer import GangPlacer
@@ -59,7 +59,7 @@
         self.heartbeat_timeouts = HeartbeatTimeoutScan(context, state, tasks)
         reservations = Reservations(context, state)
         self.demand = Demand(context, state, reservations)
-        self.dispatcher = Dispatcher(self._dispatch_parts(tasks, reservations), now)
+        self.dispatcher = Dispatcher(self._dispatcher_components(tasks, reservations), now)
         self.next_scan_at = now
         # Constant references, used by the node, the grant client and the tests.
         self.shard, self.generation, self.has_authority = (
@@ -77,25 +77,25 @@
         for job in state.own_jobs():
             job.reset_tasks()
 
-    def _dispatch_parts(self, tasks: TaskLifecycle, reservations: Reservations) -> DispatchParts:
+    def _dispatcher_components(
+        self, tasks: TaskLifecycle, reservations: Reservations
+    ) -> DispatcherComponents:
         """Collect the components that the dispatcher needs."""
         state = self.state
-        placement = PlacementParts(
+        placement = PlacementComponents(
             state=state,
             tuning=self.context.tuning,
             tasks=tasks,
             reservations=reservations,
             gangs=GangPlacer(state, tasks, reservations),
         )
-        return DispatchParts(
+        return DispatcherComponents(
             placement=placement,
             commands=self.commands,
             demand=self.demand,
             preemption=Preemption(self.context, state, self.commands, tasks),
         )
 
-    # -- events ------------------------------------------------------------------------
-
     def on_watch_synced(self, now: float) -> None:
         """Match tasks with jobs: a job missing from the synced watch cache has completed."""
         self.state.ready = True
@@ -123,8 +123,6 @@
         """Stop the tasks of a job whose cancellation is stored; the watch cache may lag behind."""
         self.results.on_job_cancelled(now, job)
 
-    # -- time --------------------------------------------------------------------------
-
     def tick(self, now: float) -> None:
         """Run the scan, probes, batched completion writes and a dispatch round, each when due.
 
@@ -151,8 +149,6 @@
         """Run a dispatch round at once, also if none is due."""
         self.dispatcher.run_round(now)
 
-    # -- reports to the leader ---------------------------------------------------------
-
     def statuses(self, now: float) -> list[MachineStatus]:
         """Return the changed machine statuses, and those of released machines."""
         return self.ownership.statuses(now)
@@ -161,8 +157,6 @@
         """Return the pending tasks for which the machines will not have capacity in time."""
         return self.demand.capacity_requests(now)
 
-    # -- state for the node and the grant client -----------------------------------------
-
     @property
     def ready(self) -> bool:
         """Whether the watch cache has reached the revision at which the assignment began."""
--- a/src/copperpass/core/scheduling/state.py
+++ b/src/copperpass/core/scheduling/state.py
@@ -37,7 +37,7 @@
         self.context = context
         self.timing = Timing.from_context(context)
         self.teams: list[Team] = [
-            team for team in cluster.teams if context.shards[team.name] == context.shard
+            team for team in cluster.teams if context.shard_by_team[team.name] == context.shard
         ]
         self.teams_by_name = {team.name: team for team in self.teams}
         # An earlier owner of the shard can't have started jobs created after this revision.
--- a/src/copperpass/core/scheduling/task_estimates.py
+++ b/src/copperpass/core/scheduling/task_estimates.py
@@ -5,7 +5,7 @@
 from copperpass.core.scheduling.placements import Placement
 from copperpass.protocol.users import JobSpec
 
-# A task that has exceeded its estimate is assumed to run on for this part of its elapsed time.
+# A task that has exceeded its estimate is assumed to run on for this fraction of its elapsed time.
 OVERRUN_SHARE = 0.25
 
 
--- a/src/copperpass/core/scheduling/task_reconciliation.py
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -114,7 +114,10 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is not None:
             if not self.context.schedules_team(job.spec.team):
-                placement.of_other_shard, placement.shard = True, self.context.shards[job.spec.team]
+                placement.of_other_shard, placement.shard = (
+                    True,
+                    self.context.shard_by_team[job.spec.team],
+                )
                 return
             self._match_own_job(machine, placement, job)
             return
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -33,7 +33,7 @@
         results: JobResults,
     ) -> None:
         self.state, self.tasks, self.gangs, self.results = state, tasks, gangs, results
-        self.out, self.jobs = context.out, context.jobs
+        self.outbox, self.jobs = context.outbox, context.jobs
 
     def update(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
@@ -94,7 +94,7 @@
     def _log_exit(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
     ) -> None:
-        self.out.log(
+        self.outbox.log(
             LogLevel.DEBUG,
             LogEvent.TASK_EXITED,
             task=status.task,
@@ -168,7 +168,7 @@
     def _quarantine(self, now: float, machine: Machine, failed_sound_job_count: int) -> None:
         """Start no more tasks on a faulty machine, and stop those that don't run there yet."""
         machine.quarantined = True
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO,
             LogEvent.MACHINE_QUARANTINED,
             machine=machine.name,
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -14,8 +14,8 @@
 from copperpass.log_events import LogEvent, LogLevel
 from copperpass.protocol.users import PRIORITY_LEVELS
 
-# Bit offsets of the term, and of the generation of the shard assignment in that term, in an attempt
-# number. The job's attempt count is in the lowest bits.
+# Bit offsets, in an attempt number, of the epoch of the leader's term, and of the generation of the
+# shard assignment in that term. The job's attempt count is in the lowest bits.
 EPOCH_SHIFT, GENERATION_SHIFT = 44, 28
 # Grace period of a stopped task, as a multiple of the checkpoint time declared by its job.
 CHECKPOINT_GRACE_RATIO = 1.2
@@ -113,8 +113,8 @@
             self.end_gang(now, job, StopReason.TASK_LOST, 0.0)
         job.finish_attempt()
 
-    def on_session_ended(self, now: float, machine: Machine) -> None:
-        """Remove all tasks of a machine whose agent session has ended."""
+    def on_agent_epoch_ended(self, now: float, machine: Machine) -> None:
+        """Remove all tasks of a machine whose agent epoch has ended."""
         for placement in list(machine.tasks.values()):
             self.remove(now, machine, placement)
         machine.pending_starts.clear()
@@ -150,7 +150,7 @@
         if job.gang_ending:
             return
         job.gang_ending = True
-        self.context.out.log(
+        self.context.outbox.log(
             LogLevel.INFO,
             LogEvent.GANG_ATTEMPT_STOPPED,
             job=job.spec.id,
--- a/src/copperpass/core/scheduling/team_queues.py
+++ b/src/copperpass/core/scheduling/team_queues.py
@@ -11,8 +11,8 @@
 from copperpass.core.scheduling.state import ShardState
 from copperpass.core.scheduling.task_order import limit_past_deadline_share, task_order
 
-# Added for a team without an allocation to the part that it has used, so that it comes after all
-# teams with one.
+# Added to the number of placed tasks of a team without an allocation, so that the team comes after
+# all teams with one.
 NO_ALLOCATION_PENALTY = 1e3
 # The share of a shard's CPUs that jobs past their deadline may use ahead of jobs that can still
 # meet theirs.
@@ -22,8 +22,9 @@
 class TeamQueues:
     """Each team's startable jobs by deadline, and the resources that its tasks use.
 
-    The next job comes from the team that has used the smallest part of its allocation. `allocated`
-    is the number of tasks allocated to each team, `capacity_cpus` the CPUs of all usable machines.
+    The next job comes from the team that has used the smallest fraction of its allocation.
+    `allocated` is the number of tasks allocated to each team, `capacity_cpus` the CPUs of all
+    usable machines.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
             self._limit_past_deadline(queue)
 
     def next_job(self) -> Job | None:
-        """Return the first job of the team that has used the smallest part of its allocation.
+        """Return the first job of the team that has used the smallest fraction of its allocation.
 
         None if all queues are empty.
         """
@@ -79,7 +80,7 @@
         return self.queues[min(teams, key=lambda team: (self._allocation_used(team), team))][0]
 
     def _allocation_used(self, team: str) -> float:
-        """Return a team's placed tasks as a part of its allocated tasks."""
+        """Return the ratio of a team's placed tasks to its allocated tasks."""
         allocated = self.allocated.get(team, 0.0)
         placed = self.assigned_counts[team]
         return placed / allocated if allocated > 0 else float(placed) + NO_ALLOCATION_PENALTY
--- a/src/copperpass/core/shards/grant_client.py
+++ b/src/copperpass/core/shards/grant_client.py
@@ -55,7 +55,10 @@
 
     @property
     def epoch(self) -> int:
-        """The fencing token of the followed term."""
+        """The epoch of the followed term, which is its leader's fencing token; 0 before the first.
+
+        It is kept when this member stops following the term.
+        """
         return self.term.epoch
 
     @property
@@ -68,10 +71,8 @@
         """The schedulers of the shards that this member owns."""
         return self.owned_shards.schedulers
 
-    # -- the followed term ----------------------------------------------------------------
-
     def follow(self, leader: str, epoch: int) -> None:
-        """Follow another member's term; ignore a term with a lower token than the current one."""
+        """Follow another member's term; ignore a term with a lower epoch than the current one."""
         if (leader, epoch) != (self.leader, self.epoch) and epoch >= self.epoch:
             self._begin(FollowedTerm(epoch, leader))
 
@@ -94,8 +95,6 @@
         """The member that owns a machine's shard; None if unknown."""
         return self.routing_table.owner_of(machine)
 
-    # -- time -----------------------------------------------------------------------------
-
     def tick(self, now: float, watch_revision: int) -> None:
         """Renew the grants, run the schedulers and report to the leader, each when due."""
         if not self.leader:
@@ -124,7 +123,7 @@
             self.requests.next_number(now),
             self.replication_receiver.applied_sequence,
         )
-        self.context.out.send(self.leader, request)
+        self.context.outbox.send(self.leader, request)
 
     def refresh(self, now: float) -> None:
         """Apply the cluster manager's routes and assignments at once if this member leads."""
@@ -138,8 +137,6 @@
         self._apply_routes(now, batch.entries)
         self.owned_shards.apply_assignments(now, manager.assignments())
 
-    # -- frames from the leader -----------------------------------------------------------
-
     def on_grant(self, now: float, sender: str, grant: Grant) -> None:
         """Apply a grant of the followed leader if it answers an open request of this process."""
         if (
--- a/src/copperpass/core/shards/grants.py
+++ b/src/copperpass/core/shards/grants.py
@@ -42,9 +42,9 @@
         self, context: ClusterManagerContext, state: ClusterState, records: MachineRecords
     ) -> None:
         self.state, self.records = state, records
-        self.out, self.election = context.out, context.election
+        self.outbox, self.election = context.outbox, context.election
         self.previous_owners = context.previous_owners
-        self.heartbeats_arrive = context.heartbeats_arrive
+        self.is_connected = context.is_connected
         # Generation of the latest assignment; each assignment of the term gets the next number.
         self.generation = 0
         # When the leader last released a shard of its own.
@@ -139,7 +139,7 @@
         live_members = self._live_members(now)
         settling = now - state.elected_at < SETTLING_GRANT_RATIO * state.grant_s
         others_expected = any(
-            member not in live_members and self.heartbeats_arrive(now, member)
+            member not in live_members and self.is_connected(now, member)
             for member in self.election.peers
         )
         if len(state.shards) > 1 and others_expected and settling:
@@ -190,7 +190,7 @@
             shard.required_revision = state.token_version()
         else:
             self._read_revision(shard)
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO,
             LogEvent.SHARD_ASSIGNED,
             shard=shard.number,
@@ -200,7 +200,7 @@
 
     def revoke(self, shard: Shard, assignable_at: float) -> None:
         """Take a shard from its owner; each of its machines gets a higher fencing token."""
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO, LogEvent.SHARD_UNASSIGNED, shard=shard.number, owner=shard.owner
         )
         shard.owner, shard.required_revision = "", UNKNOWN_REVISION
@@ -252,7 +252,7 @@
                 if applied is not None:
                     shard.required_revision = applied.revision
 
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(
                 ExternalService.STATE,
                 "POST",
--- a/src/copperpass/core/shards/relay.py
+++ b/src/copperpass/core/shards/relay.py
@@ -47,8 +47,8 @@
     seconds.
     """
 
-    def __init__(self, out: Outbox, lease_s: float, timeout_s: float) -> None:
-        self.out, self.lease_s, self.timeout_s = out, lease_s, timeout_s
+    def __init__(self, outbox: Outbox, lease_s: float, timeout_s: float) -> None:
+        self.outbox, self.lease_s, self.timeout_s = outbox, lease_s, timeout_s
         self.workers: OrderedDict[str, RelayedWorker] = OrderedDict()
         self.pending: OrderedDict[int, PendingRelay] = OrderedDict()
         self.last_relay_number = 0
@@ -74,13 +74,13 @@
         """Relay a heartbeat to the owner; the request is answered by `on_answer` or `tick`."""
         self.last_relay_number = (self.last_relay_number + 1) & 0xFFFFFFFF
         self.pending[self.last_relay_number] = PendingRelay(request, now + self.timeout_s)
-        self.out.send(owner, RelayedHeartbeat(self.last_relay_number, body))
+        self.outbox.send(owner, RelayedHeartbeat(self.last_relay_number, body))
 
     def on_answer(self, frame: RelayedAnswer) -> None:
         """Return the owner's answer to the worker; drop it if it comes after the deadline."""
         pending = self.pending.pop(frame.number, None)
         if pending is not None:
-            self.out.replies.append(Reply(pending.request, frame.status, frame.body))
+            self.outbox.replies.append(Reply(pending.request, frame.status, frame.body))
 
     def tick(self, now: float) -> None:
         """Answer requests whose deadline has passed; forget workers without recent heartbeats."""
@@ -90,7 +90,7 @@
             if now < pending.deadline:
                 break
             del self.pending[number]
-            self.out.replies.append(Reply(pending.request, 503, error_body("not reached")))
+            self.outbox.replies.append(Reply(pending.request, 503, error_body("not reached")))
 
     def _remove_inactive_workers(self, now: float) -> None:
         """Forget workers whose last heartbeat is older than `RETENTION_LEASES`."""
--- a/src/copperpass/core/shards/term.py
+++ b/src/copperpass/core/shards/term.py
@@ -1,4 +1,4 @@
-"""State that the parts of a grant client share: the node's context and the followed term."""
+"""State that the components of a grant client share: the node's context and the followed term."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     # In seconds: the length of a grant, and the time between capacity requests.
     grant_s: float
     capacity_interval_s: float
-    out: Outbox
+    outbox: Outbox
     make_scheduler: SchedulerFactory
     # The time until which this member's watch cache is current enough to own shards, in seconds.
     watch_cache_valid_until: Callable[[], float] = _never_expires
@@ -48,8 +48,9 @@
 class FollowedTerm:
     """The leader's term that a member follows; sends the member's reports to its leader.
 
-    `leader` is empty while no term is followed. `cluster_manager` is set if this member is the
-    leader: reports are then handed over directly, without frames.
+    `epoch` is the leader's fencing token at the start of the term. `leader` is empty while no term
+    is followed. `cluster_manager` is set if this member is the leader: reports are then handed over
+    directly, without frames.
     """
 
     epoch: int
@@ -61,7 +62,7 @@
     ) -> None:
         """Report machine statuses to the leader."""
         if self.cluster_manager is None:
-            context.out.send(self.leader, frame)
+            context.outbox.send(self.leader, frame)
         else:
             self.cluster_manager.on_machine_statuses(now, context.member, frame.statuses)
 
@@ -70,7 +71,7 @@
     ) -> None:
         """Report the tasks that lack capacity to the leader."""
         if self.cluster_manager is None:
-            context.out.send(self.leader, frame)
+            context.outbox.send(self.leader, frame)
         else:
             self.cluster_manager.on_capacity_requests(now, frame)
 
@@ -79,4 +80,4 @@
         if self.cluster_manager is not None:
             self.cluster_manager.on_zone_affinities(frame)
         elif context.is_upgraded(self.leader):
-            context.out.send(self.leader, frame)
+            context.outbox.send(self.leader, frame)
--- a/src/copperpass/core/storage/cached_inventory.py
+++ b/src/copperpass/core/storage/cached_inventory.py
@@ -41,18 +41,18 @@
     version: int = 0
     pages: dict[int, CachedPage] = field(default_factory=dict)
 
-    def on_watch_event(self, key: str, raw: bytes | None, version: int) -> bool:
-        """Apply a change of a key, or its deletion if `raw` is None.
+    def on_watch_event(self, key: str, value: bytes | None, version: int) -> bool:
+        """Apply a change of a key, or its deletion if `value` is None.
 
         Returns whether the key is one of the inventory.
         """
         number = page_number(key)
         if key != INVENTORY_KEY and number is None:
             return False
-        record = decode(raw, InventoryRecord) if raw is not None else None
+        record = decode(value, InventoryRecord) if value is not None else None
         if number is None:
-            self.record, self.version = record, version if raw is not None else 0
-        elif raw is None:
+            self.record, self.version = record, version if value is not None else 0
+        elif value is None:
             self.pages.pop(number, None)
         else:
             self.pages[number] = CachedPage(record, version)
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -99,8 +99,6 @@
         for page in list(layout.pages.values()):
             layout.split(page)
 
-    # -- changes ---------------------------------------------------------------------
-
     def record(self, now: float, job: Job) -> None:
         """Schedule a write of the completions of a job that are not stored yet."""
         job_id, layout = job.spec.id, self.layout
@@ -128,8 +126,6 @@
             if due and not page.in_flight and not page.migrating:
                 self._write(now, page)
 
-    # -- writing ---------------------------------------------------------------------
-
     def _write(self, now: float, page: CompletionPage) -> None:
         self._keep_late_completions(now, page)
         if page.migrating:
--- a/src/copperpass/core/storage/inventory_migration.py
+++ b/src/copperpass/core/storage/inventory_migration.py
@@ -85,8 +85,6 @@
         # outcome.
         self.unknown_creation_token = NO_TOKEN_VERSION
 
-    # -- state -----------------------------------------------------------------------
-
     @property
     def before_migration(self) -> bool:
         """Whether the single record is the only form: its migration has not begun."""
@@ -97,7 +95,7 @@
         """Whether pages are being written that are not authoritative yet."""
         return self.form is InventoryForm.MIGRATING
 
-    def blocked(self) -> bool:
+    def is_migration_blocked(self) -> bool:
         """Return whether the record can be migrated only in a new term.
 
         A creation with an unknown outcome may still be applied after the record is deleted, and
@@ -110,7 +108,7 @@
             and self.unknown_creation_token == self.token_version()
         )
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether the record has no space for more machines; pages are never full."""
         return self.before_migration and self.size_bytes > FULL_FRACTION * self.max_value_bytes
 
@@ -122,8 +120,6 @@
             # Only this leader can have deleted it: the token of any other writer is refused.
             self.version = 0
 
-    # -- writing ---------------------------------------------------------------------
-
     def write(self, now: float) -> None:
         """Write the whole inventory as the single record."""
         self.changed = False
@@ -162,8 +158,6 @@
             self.callbacks = self.callbacks[len(callbacks) :]
         _notify(now, callbacks, stored=False)
 
-    # -- migration -------------------------------------------------------------------
-
     def migrate_if_safe(self, now: float, refused: bool = False) -> None:
         """Begin the migration if every member reads pages.
 
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -87,8 +87,6 @@
         # Answered requests, with the names of their machines that are not stored yet.
         self.answered_requests: dict[str, set[str]] = {}
 
-    # -- what is stored --------------------------------------------------------------
-
     @property
     def paged(self) -> bool:
         """Whether the pages are the authoritative form."""
@@ -129,18 +127,16 @@
         """Handle a watch event: a page was written, or deleted if not `exists`."""
         self.layout.on_event(number, version, exists)
 
-    def blocked(self) -> bool:
+    def is_migration_blocked(self) -> bool:
         """Return whether only a new term can go on with the migration to pages.
 
         A write of the single record with an unknown outcome may still be applied.
         """
-        return self.single_record.blocked()
+        return self.single_record.is_migration_blocked()
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether there is no space for more machines."""
-        return self.single_record.full()
-
-    # -- changes ---------------------------------------------------------------------
+        return self.single_record.is_full()
 
     def record_request(
         self, now: float, request: str, group: MachineGroup, count: int, on_stored: OnStored
@@ -230,8 +226,6 @@
             page.schedule_write(self._deferred_due(now) if deferred else now)
         self.tick(now)
 
-    # -- writing ---------------------------------------------------------------------
-
     def tick(self, now: float) -> None:
         """Write due changes, one transaction at a time, and advance a migration."""
         single_record, writer = self.single_record, self.writer
--- a/src/copperpass/net/service.py
+++ b/src/copperpass/net/service.py
@@ -155,7 +155,7 @@
     # -- outputs -----------------------------------------------------------------------
 
     def _flush_outbox(self) -> None:
-        out = self.node.out
+        out = self.node.outbox
         while out.calls or out.replies or out.logs or out.frames:
             logs, out.logs = out.logs, []
             for record in logs:
--- a/tests/scheduler_bench.py
+++ b/tests/scheduler_bench.py
@@ -33,7 +33,7 @@
             types,
             {},
             shard=0,
-            shards={team.name: 0 for team in cluster.teams},
+            shard_by_team={team.name: 0 for team in cluster.teams},
             epoch=1,
             generation=1,
             token_version=lambda: 50,
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -116,7 +116,7 @@
         node, incarnation = self.nodes.get(name), self.incarnation[name]
         if node is None:
             return
-        out = node.out
+        out = node.outbox
         out.logs.clear()
         for reply in out.replies:
             self.report_output(name, "reply", reply.status, reply.body, reply.retry_after)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -210,15 +210,15 @@
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     node = simulation.nodes["n0"]
-    node.out.calls.clear()
+    node.outbox.calls.clear()
     node.user_api.poll(simulation.now, UserRequest(), "req-000001")
-    (read,) = node.out.calls
-    node.out.calls.clear()
+    (read,) = node.outbox.calls
+    node.outbox.calls.clear()
     node.user_api.on_job_removed("req-000001")
     item = {"path": "c/live/req-000001", "value": {"spec": job(1)}, "stamp": 3}
     read.on_done(simulation.now, CallOutcome(200, json.dumps(item).encode()))
-    assert not node.out.replies
-    assert [c.path for c in node.out.calls] == ["/kv/d/job/req-000001"]
+    assert not node.outbox.replies
+    assert [c.path for c in node.outbox.calls] == ["/kv/d/job/req-000001"]
 
 
 def test_a_remote_owner_says_where_a_job_must_find_room():
@@ -231,7 +231,7 @@
     shard = next(
         p for p in leader.cluster_manager.shards.values() if p.owner != leader.settings.name
     )
-    team = next(t for t, n in leader.shards.items() if n == shard.number)
+    team = next(t for t, n in leader.shard_by_team.items() if n == shard.number)
     simulation.submit(job(1, team=team, tasks=1, cpus=16.0, run_s=200.0, same_place=True))
     simulation.submit(job(2, team=team, tasks=2, cpus=16.0, run_s=300.0, same_place=True))
     simulation.run_until(lambda: present_task_count(simulation) >= 2, 60)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -123,7 +123,7 @@
         member="n0",
         peers=["n1", "n2"],
         timings=election_timings(parse(raw_settings()).cluster),
-        out=out,
+        outbox=out,
         transactions=transactions,
         rng=random.Random(1),
         on_change=lambda now, is_leader, continued: None,
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -57,7 +57,7 @@
             member=name,
             peers=peers,
             timings=timings,
-            out=out,
+            outbox=out,
             transactions=transactions,
             rng=self.rng,
             on_change=lambda now, is_leader, continued: None,
@@ -99,13 +99,13 @@
 
     def drain(self, name):
         node = self.nodes[name]
-        frames, node.context.out.frames = node.context.out.frames, []
+        frames, node.context.outbox.frames = node.context.outbox.frames, []
         for member, frame in frames:
             if frozenset((name, member)) not in self.cuts:
                 late = self.rng.random() < 0.05
                 delay = self.rng.uniform(0.5, 6.0) if late else self.rng.uniform(0.0, 0.1)
                 self.after(delay, lambda m=member, f=frame: self.deliver(name, m, f))
-        calls, node.context.out.calls = node.context.out.calls, []
+        calls, node.context.outbox.calls = node.context.outbox.calls, []
         for call in calls:
             self.call(name, node, call)
 
@@ -254,20 +254,20 @@
     node.records_synced = True
     now = node.campaign.next_campaign_at + 1.0
     node.tick(now)
-    (asked,) = node.context.out.calls
-    node.context.out.calls.clear()
+    (asked,) = node.context.outbox.calls
+    node.context.outbox.calls.clear()
     model.state.handle(
         asked.method, asked.path, asked.body, lambda s, b: asked.on_done(now, CallOutcome(s, b))
     )
-    (sent,) = node.context.out.calls
-    node.context.out.calls.clear()
+    (sent,) = node.context.outbox.calls
+    node.context.outbox.calls.clear()
     return model, node, now, sent
 
 
 def votes(node, now, token=9):
-    node.context.out.frames.clear()
+    node.context.outbox.frames.clear()
     node.on_extension_request(now, "b", LeaseExtensionRequest(token, 1))
-    ((_, answer),) = node.context.out.frames
+    ((_, answer),) = node.context.outbox.frames
     return answer.granted
 
 
@@ -293,7 +293,7 @@
     # or another token is stored.
     _, node, now, sent = campaign_in_flight()
     sent.on_done(now, CallOutcome(0))
-    (drop,) = node.context.out.calls
+    (drop,) = node.context.outbox.calls
     assert (drop.method, node.campaign.in_progress) == ("DELETE", False)
     assert not votes(node, now)
     if settled_by == "token stored":
--- a/tests/test_machine_inventory.py
+++ b/tests/test_machine_inventory.py
@@ -47,7 +47,7 @@
     began, writes = harness.now, harness.state.write_count
     provision_machines(harness, inventory)
     state = harness.state
-    assert inventory.paged and "c/fleet" not in state.data and not inventory.full()
+    assert inventory.paged and "c/fleet" not in state.data and not inventory.is_full()
     assert (
         harness.successor_view() == ({}, inventory.machines, inventory.up)
         and len(inventory.up) == 550
@@ -192,7 +192,7 @@
     harness.run(inventory, 4.0)
     upgraded_members.append(True)
     harness.run(inventory, 4.0)
-    assert inventory.blocked() and "c/fleet" in harness.state.data
+    assert inventory.is_migration_blocked() and "c/fleet" in harness.state.data
     successor = harness.start_inventory()
     harness.run(successor, 4.0)
     (call,) = harness.delayed_calls
@@ -337,7 +337,7 @@
         for _ in range(scenario.rng.randint(0, 4)):
             scenario.change_at_random()
         scenario.harness.step(scenario.inventory)
-        if scenario.inventory.blocked():
+        if scenario.inventory.is_migration_blocked():
             scenario.start_leader()
         scenario.serve_delayed_calls()
         scenario.check_invariants()
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -303,7 +303,7 @@
     # Guards what one version concludes from the other's attempts: the gang must finish whole, under
     # an attempt that nobody has begun before, and a cancelled one must go whole.
     simulation, shard, owner = owned_by_version(new)
-    team = next(t for t, p in simulation.nodes[owner].shards.items() if p == shard)
+    team = next(t for t, p in simulation.nodes[owner].shard_by_team.items() if p == shard)
     simulation.submit(gang(1, team=team, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
         simulation.image_pull_s["req-000001/1"] = 10.0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -126,7 +126,7 @@
     provision_machines(service, inventory, MACHINES)
     service.run(inventory, 60.0)
     assert service.successor_view() == ({}, inventory.machines, inventory.up)
-    assert len(inventory.up) == MACHINES and not inventory.full()
+    assert len(inventory.up) == MACHINES and not inventory.is_full()
     state = service.state
     assert (state.too_large, state.too_fast) == (0, 0) and state.largest_value <= 1024 * value_kb
     # A new leader has them all from the view.
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -63,14 +63,14 @@
     reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     small, large = made(1, 0.0, cpus=4.0), made(2, 0.0, cpus=32.0)
     reserved_types.observe(0.0, [small])
-    assert reserved_types.reserved_from(small.spec) == set()
+    assert reserved_types.excluded_types(small.spec) == set()
     reserved_types.observe(10.0, [small, large])
-    assert reserved_types.reserved_from(small.spec) == {"large"}
-    assert reserved_types.reserved_from(large.spec) == set()
+    assert reserved_types.excluded_types(small.spec) == {"large"}
+    assert reserved_types.excluded_types(large.spec) == set()
     reserved_types.observe(200.0, [small])
-    assert reserved_types.reserved_from(small.spec) == {"large"}
+    assert reserved_types.excluded_types(small.spec) == {"large"}
     reserved_types.observe(311.0, [small])
-    assert reserved_types.reserved_from(small.spec) == set()
+    assert reserved_types.excluded_types(small.spec) == set()
 
 
 @pytest.mark.parametrize("allowed", [["large"], ["small", "large"]])
@@ -78,7 +78,7 @@
     reserved_types = ReservedTypes(types(("small", 8.0), ("large", 64.0)), retention_s=300.0)
     reserved_types.observe(0.0, [made(2, 0.0, cpus=32.0)])
     named = made(3, 0.0, cpus=4.0, racks=allowed)
-    assert set(allowed) - reserved_types.reserved_from(named.spec)
+    assert set(allowed) - reserved_types.excluded_types(named.spec)
 
 
 def test_overdue_work_gets_a_part_of_the_room_and_no_more():
