--- a/src/copperpass/core/__init__.py
+++ b/src/copperpass/core/__init__.py
@@ -1,1 +1,1 @@
-"""The pure core: inputs in; what to send, write and answer out."""
+"""The deterministic core: applies inputs and queues calls, replies and frames; it does no I/O."""
--- a/src/copperpass/core/autoscaling/demand.py
+++ b/src/copperpass/core/autoscaling/demand.py
@@ -59,7 +59,8 @@
         self.urgent_peak = SlidingMaximum(window_s)
         self.urgent_spot_peak = SlidingMaximum(tuning.cheap_window_boots * state.boot_s)
         shard_window_s = SHARD_WINDOW_FACTOR * tuning.warm_window_boots * state.boot_s
-        # Peaks of urgent work by shard: in total, and of what may not run on spot machines.
+        # Peaks of urgent work by shard: of all of it, and of the work that may not run on spot
+        # machines.
         self.shard_peaks = {number: SlidingMaximum(shard_window_s) for number in state.shards}
         self.on_demand_peaks = {number: SlidingMaximum(window_s) for number in state.shards}
 
--- a/src/copperpass/core/autoscaling/instance_requests.py
+++ b/src/copperpass/core/autoscaling/instance_requests.py
@@ -132,7 +132,7 @@
     def release(self, now: float, machines: list[ManagedMachine]) -> None:
         """Release machines, and repeat releases that the cloud has not confirmed in time.
 
-        What exceeds the call budget or one call's limit is released by a later call.
+        Machines beyond the call budget or the limit of one call are released by a later call.
         """
         if not self.election.has_authority(now):
             return
--- a/src/copperpass/core/jobs/completion_mask.py
+++ b/src/copperpass/core/jobs/completion_mask.py
@@ -22,8 +22,8 @@
 def unpack_mask(text: str, tasks: int) -> bytearray:
     """Decode the text of `pack_mask` for a job of `tasks` tasks; drops the bytes beyond them."""
     mask = bytearray((tasks + 7) // 8)
-    raw = base64.b64decode(text)[: len(mask)]
-    mask[: len(raw)] = raw
+    decoded = base64.b64decode(text)[: len(mask)]
+    mask[: len(decoded)] = decoded
     return mask
 
 
--- a/src/copperpass/core/jobs/job_table.py
+++ b/src/copperpass/core/jobs/job_table.py
@@ -32,10 +32,11 @@
     wall_clock_offset: float = 0.0
     # The stored records of completions, each for many jobs: key -> entry -> packed mask.
     completion_records: dict[str, dict[str, str]] = field(default_factory=dict)
-    # Jobs certainly cancelled, though the watch may not have shown that, or the job itself, yet.
+    # Jobs whose cancellation is stored. The watch may not have delivered the cancellation, or even
+    # the job, yet.
     cancelled: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    # How many cancelled jobs are remembered: as many as can be stored before the watch must have
-    # shown the first of them.
+    # The maximum number of remembered cancelled jobs: as many cancellations as can be stored before
+    # the watch must have delivered the first of them.
     max_cancelled: int = MIN_REMEMBERED_CANCELLED
 
     def mark_cancelled(self, job_id: str) -> Job | None:
--- a/src/copperpass/core/kvstore/keys.py
+++ b/src/copperpass/core/kvstore/keys.py
@@ -14,8 +14,8 @@
 LEADER_KEY = "c/lead"
 
 # The counter of fencing tokens (`FencingTokenRecord`). Written by a candidate, guarded by its own
-# version. Its version also guards the inventory, the machine types and the completions: after an
-# election, late writes of these from before it fail.
+# version. Its version also guards the inventory, the machine types and the completions: late writes
+# of these that were sent before an election fail after it.
 FENCING_TOKEN_KEY = "c/token"
 
 # A job that is not completed yet (`JobRecord`), by job id. Created by the member that accepts the
--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -50,7 +50,8 @@
         self.budget = TokenBucket(
             write_rps * RATE_FRACTION, max(write_rps * RATE_FRACTION, MIN_BURST_WRITES)
         )
-        # The most writes in a transaction; reduced when the store turns out to allow fewer.
+        # The maximum number of writes in a transaction; reduced when the store turns out to allow
+        # fewer.
         self.max_writes = max_writes
         self.timeout_s = timeout_s
         self.paused_until = 0.0
@@ -66,7 +67,8 @@
         """Fail expired operations, then send what the limits allow; called on every tick."""
         for queue in self.queues:
             while queue and queue[0].deadline < now:
-                # Keeps the user's own deadline: a write that can't be stored in time fails at once.
+                # An operation that was not sent before its deadline fails at once, so that a
+                # user's request is answered in time.
                 self._finish(now, queue.popleft(), TransactionOutcome.UNAVAILABLE)
         while self.in_flight < self.MAX_IN_FLIGHT and now >= self.paused_until:
             batch = self._next_batch(now)
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -74,7 +74,7 @@
         }
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
-        """Handle a frame; one of any type also counts as a sign of life of its sender."""
+        """Handle a frame; a frame of any type also proves that its sender is connected."""
         self.targets.peers.on_frame(now, sender)
         handler = self._handlers.get(type(frame))
         if handler is not None:
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -44,8 +44,7 @@
     """The deterministic state machine of a controller, driven by the reactor side.
 
     Inputs come with the monotonic time in seconds. Calls, frames, replies and log records are left
-    in the `outbox`. `wall_clock_offset` is the wall clock minus the monotonic clock, in
-    seconds.
+    in the `outbox`. `wall_clock_offset` is the wall clock minus the monotonic clock, in seconds.
     """
 
     def __init__(
--- a/src/copperpass/core/scheduling/bin_packing/ranking.py
+++ b/src/copperpass/core/scheduling/bin_packing/ranking.py
@@ -46,7 +46,7 @@
     Machines where the job has failed come last. Otherwise it prefers cheap machines, then those
     that have the image, then those with the least capacity left; for an urgent job, a short image
     fetch comes before the price. Cheap machines are preferred so that, when demand is low, the
-    expensive ones are idle and can be returned.
+    expensive ones are idle and can be scaled in.
 
     All machines are scored once, and again only after tasks have started on them. So a round's cost
     grows with the number of started tasks, and not with that number times the fleet size.
--- a/src/copperpass/core/scheduling/command_results.py
+++ b/src/copperpass/core/scheduling/command_results.py
@@ -1,4 +1,4 @@
-"""Results of direct requests: the fate of the starts, and the machine status in the answer."""
+"""Results of direct requests: the outcome of the starts, and the machine status in the answer."""
 
 from __future__ import annotations
 
--- a/src/copperpass/core/scheduling/commands.py
+++ b/src/copperpass/core/scheduling/commands.py
@@ -22,8 +22,8 @@
     WorkerHeartbeat,
 )
 
-# One in this many connections is available to the direct requests of all shards together, but each
-# shard may use at least `MIN_DIRECT_REQUESTS`.
+# The direct requests of all shards together may use one in this many connections, and each shard
+# may use at least `MIN_DIRECT_REQUESTS`.
 CONNECTIONS_PER_DIRECT_REQUEST = 8
 MIN_DIRECT_REQUESTS = 8
 
@@ -63,16 +63,16 @@
         self.timing = state.timing
         # Number of direct requests without a result yet; `max_requests` is its upper limit.
         self.requests_in_flight = 0
-        shards = len(set(context.shard_by_team.values()))
+        shard_count = len(set(context.shard_by_team.values()))
         connections = context.cluster.resources.max_connections
         self.max_requests = max(
-            MIN_DIRECT_REQUESTS, connections // (CONNECTIONS_PER_DIRECT_REQUEST * shards)
+            MIN_DIRECT_REQUESTS, connections // (CONNECTIONS_PER_DIRECT_REQUEST * shard_count)
         )
 
     def mark_unreachable(self, now: float, machine: Machine) -> None:
         """Mark a machine as unreachable: commands don't arrive, although heartbeats may come in.
 
-        Starts sent to such a machine would be lost again and again. It gets no new tasks until it
+        Starts sent to such a machine would be lost repeatedly. It gets no new tasks until it
         reports a token that only an answer from this owner can have delivered, which takes one
         heartbeat if the connection works.
         """
@@ -132,8 +132,7 @@
             or now < max(machine.command_backoff_until, machine.relayed_until)
             or not self.context.has_authority(now)
             or machine.deletion_requested
-            # Beyond the connections available to direct requests, commands wait for answers to
-            # heartbeats.
+            # Commands that exceed the limit wait for the answer to the machine's next heartbeat.
             or self.requests_in_flight >= self.max_requests
         ):
             return
@@ -192,7 +191,8 @@
 
         A request without commands delivers the new token to the worker, which then refuses all
         commands from earlier owners. The answer lists all tasks on the machine: it proves as much
-        as a heartbeat, and arrives within milliseconds. Until then no older job may start.
+        as a heartbeat, and arrives within milliseconds. Until then no task may start whose job is
+        older than the shard assignment and could have tasks on such a machine.
         """
         for name in self.state.unreconciled:
             if self.requests_in_flight >= self.max_requests:
--- a/src/copperpass/core/scheduling/gang_monitor.py
+++ b/src/copperpass/core/scheduling/gang_monitor.py
@@ -15,7 +15,7 @@
 class GangMonitor:
     """Ends attempts of gangs that can't complete any more.
 
-    Invariant: tasks of two attempts of a gang never run towards the same completion.
+    Invariant: tasks of different attempts of a gang never contribute to the same completion.
     """
 
     def __init__(self, state: ShardState, tasks: TaskLifecycle) -> None:
@@ -29,7 +29,7 @@
             self.tasks.stop(now, placement, StopReason.ATTEMPT_ENDED)
         if not job.attempt and not job.gang_ending:
             if placement.stop_grace_s is not None:
-                # A duplicate of the task that is being stopped: no other task may join its attempt.
+                # The placement is a duplicate that is being stopped: no task may join its attempt.
                 return
             # The task was started by an earlier owner: the missing tasks join its attempt.
             job.attempt = placement.attempt
--- a/src/copperpass/core/scheduling/gang_placer.py
+++ b/src/copperpass/core/scheduling/gang_placer.py
@@ -91,8 +91,8 @@
         if reservation is None:
             return set()
         for machine in reservation.machines:
-            # The machines are not returned to the cloud while the gang waits for the rest of its
-            # capacity, however long that takes. If machines that arrive one by one were returned as
+            # The machines are not released to the cloud while the gang waits for the rest of its
+            # capacity, however long that takes. If machines that boot one by one were released as
             # idle, the zone would never have enough of them for the gang.
             machine.retain_until = now + heartbeat_interval_s
         tuning = self.reservations.tuning
--- a/src/copperpass/core/scheduling/heartbeat_timeouts.py
+++ b/src/copperpass/core/scheduling/heartbeat_timeouts.py
@@ -112,11 +112,11 @@
     def _never_registered(
         self, now: float, machine: Machine, expired: bool, minority: bool, max_silence_s: float
     ) -> bool:
-        """Whether a machine known only from its record has been deleted or partitioned.
+        """Whether a machine known only from its record counts as deleted or partitioned.
 
-        It has if it was unresponsive for longer than a worker takes to reach another controller
+        It does if it was unresponsive for longer than a worker takes to reach another controller
         while other machines are responsive, or for more than `max_silence_s`. If it were kept, its
-        record would block all older jobs, and the next change of leader too.
+        record would block the start of all older jobs, also after the next change of leader.
         """
         state, timing = self.state, self.state.timing
         unanswered_s = now - max(
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -37,8 +37,8 @@
     holds_other_shard: bool = False
     # The machine is to be released to the leader as soon as it is empty.
     draining: bool = False
-    # Since when commands may fail to arrive; None: they arrive. A worker that reports `probe_token`
-    # or a higher token proves that they arrive again.
+    # The time since which commands may not arrive; None if they arrive. A worker that reports
+    # `probe_token` or a higher token proves that they arrive again.
     unreachable_since: float | None = None
     probe_token: int = 0
     relayed_until: float = float("-inf")
--- a/src/copperpass/core/scheduling/objectives.py
+++ b/src/copperpass/core/scheduling/objectives.py
@@ -77,8 +77,8 @@
 
         A job without a target that can still be met comes last, but its wait is bounded, and the
         machines must be there by then. When such jobs counted as having no deadline, no machines
-        were rented for them while the fleet was busy with jobs whose targets were far off, and less
-        than half of them were served.
+        were provisioned for them while the fleet was busy with jobs whose targets were far off, and
+        less than half of them were served.
         """
         deadline = self.start_deadline(job, now)
         if deadline < job.arrived_at + NO_DEADLINE_S:
--- a/src/copperpass/core/scheduling/preemption.py
+++ b/src/copperpass/core/scheduling/preemption.py
@@ -18,7 +18,7 @@
 from copperpass.core.scheduling.tasks import TaskLifecycle
 from copperpass.core.scheduling.victims import Preemptor, choose_victims, cost_of_victim
 
-# The number of a job's tasks for which capacity is freed at the same time, at most.
+# The maximum number of a job's tasks for which capacity is freed at the same time.
 MAX_TASKS_AT_ONCE = 8
 # A machine with preempted tasks is reserved for the preempting job for this many heartbeat
 # intervals.
--- a/src/copperpass/core/scheduling/reservation_planning.py
+++ b/src/copperpass/core/scheduling/reservation_planning.py
@@ -112,8 +112,8 @@
     """Return the machines where a gang will have capacity soonest; None if there are none.
 
     If there isn't capacity for all missing tasks, it returns the machines with capacity for most of
-    them: machines for the rest are to be rented in the same zones. `reserved_machines` are
-    the on-demand machines reserved for jobs that may not use spot machines.
+    them: machines for the rest are to be provisioned in the same zones. `reserved_machines` are the
+    on-demand machines reserved for jobs that may not use spot machines.
     """
     spec, count = job.spec, len(job.pending_tasks())
     feasible = [
--- a/src/copperpass/core/scheduling/task_reconciliation.py
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -18,7 +18,7 @@
 def proves_absent(
     machine: Machine, placement: Placement, heartbeat: WorkerHeartbeat, unsolicited: bool
 ) -> bool:
-    """Whether a heartbeat that doesn't list a task proves that it neither is nor will be there.
+    """Whether a heartbeat that doesn't list a task proves the task absent, now and in future.
 
     `unsolicited`: the worker sent the heartbeat on its own, not to answer a direct command.
     """
--- a/src/copperpass/core/scheduling/tasks.py
+++ b/src/copperpass/core/scheduling/tasks.py
@@ -125,7 +125,7 @@
     def stop(
         self, now: float, placement: Placement, reason: StopReason, checkpoint: bool = True
     ) -> None:
-        """Stop a task gracefully; of a started gang all tasks, so that they checkpoint together.
+        """Stop a task gracefully; a started gang is stopped as a whole, to checkpoint together.
 
         Without `checkpoint`, a task that is stopped alone has no grace period: only its last
         checkpoint is kept.
--- a/src/copperpass/core/storage/completion_pages.py
+++ b/src/copperpass/core/storage/completion_pages.py
@@ -108,7 +108,7 @@
     def split(self, page: CompletionPage) -> None:
         """Migrate jobs from the page until it is within `page_bytes` or holds a single job.
 
-        Values of `page_bytes` are always allowed, by the current and by the announced limits.
+        Values of up to `page_bytes` are within both the current and the announced limits.
         """
         for job_id, job in list(page.jobs.items()):
             if page.size_bytes <= self.page_bytes or len(page.jobs) == 1:
@@ -131,7 +131,7 @@
             other.migrated_to.pop(job_id, None)
 
     def on_stored(self, page: CompletionPage, job_ids: set[str]) -> None:
-        """Handle that `page` is stored with these jobs.
+        """Record that `page` is stored with these jobs.
 
         The pages that they migrate from may be written without them once all their new pages are
         stored.
@@ -145,7 +145,7 @@
     def on_migrated(
         self, now: float, page: CompletionPage, migrated: dict[str, list[CompletionPage]]
     ) -> None:
-        """Handle that `page` is stored without these jobs.
+        """Record that `page` is stored without these jobs.
 
         A new page may hold all completions of a job once no page migrates the job to it any more.
         """
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -60,8 +60,8 @@
 class CompletionStore:
     """Reads and writes the completions of one shard; each owner of the shard creates its own.
 
-    Every write is guarded by the fencing token and by the version of its page. A page is written
-    only if no stored completion is lost by that.
+    Every write is guarded by the fencing token and by the version of its page. A page is not
+    written while the write would remove a stored completion that no other page holds.
     """
 
     def __init__(self, context: CompletionContext) -> None:
--- a/src/copperpass/core/storage/inventory_migration.py
+++ b/src/copperpass/core/storage/inventory_migration.py
@@ -83,7 +83,7 @@
         self.migrated_marks: set[str] = set()
         # The version of the fencing token under which a creation of the record had an unknown
         # outcome.
-        self.unknown_creation_token = NO_TOKEN_VERSION
+        self.unknown_creation_token_version = NO_TOKEN_VERSION
 
     @property
     def before_migration(self) -> bool:
@@ -105,7 +105,7 @@
         return (
             migration_due
             and not self.writer.in_flight
-            and self.unknown_creation_token == self.token_version()
+            and self.unknown_creation_token_version == self.token_version()
         )
 
     def is_full(self) -> bool:
@@ -130,7 +130,7 @@
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.UNKNOWN and version == 0:
-                self.unknown_creation_token = token_version
+                self.unknown_creation_token_version = token_version
             if outcome is TransactionOutcome.APPLIED:
                 self.version = max(self.version, revision)
                 self.on_marks_stored(done_at, up_marks)
@@ -169,7 +169,7 @@
             return
         if not self.all_upgraded() and not (refused and self.limits_announced):
             return
-        if self.unknown_creation_token == self.token_version():
+        if self.unknown_creation_token_version == self.token_version():
             return
         self.form = InventoryForm.PAGED if self.version == 0 else InventoryForm.MIGRATING
         contents, layout = self.contents, self.layout
@@ -220,7 +220,7 @@
         self.writer.submit(now, guards, [DeleteKey(INVENTORY_KEY)], on_done)
 
     def _delete_leftover_pages(self, now: float) -> None:
-        """Delete unused pages of an interrupted migration, which would otherwise stay for ever."""
+        """Delete unused pages of an interrupted migration, which nothing else would delete."""
         leftover_versions = self.layout.leftover_versions
         numbers = sorted(leftover_versions)[: self.writer.max_writes]
 
--- a/src/copperpass/core/storage/inventory_pages.py
+++ b/src/copperpass/core/storage/inventory_pages.py
@@ -33,8 +33,8 @@
     def __init__(self, number: int, version: int) -> None:
         self.number, self.version = number, version
         self.items: dict[str, MachineGroup] = {}
-        # Items that are stored here but were assigned to other pages. They stay stored here until
-        # they are stored there.
+        # Items that the stored page still holds although they are assigned to other pages. They
+        # stay until the other pages are stored.
         self.migrating: dict[str, MachineGroup] = {}
         self.group_counts: dict[MachineGroup, int] = {}
         self.size_bytes = EMPTY_PAGE_BYTES
--- a/src/copperpass/core/storage/machine_inventory.py
+++ b/src/copperpass/core/storage/machine_inventory.py
@@ -324,7 +324,7 @@
         return True
 
     def _on_page_stored(self, now: float, page_write: PageWrite, up_marks: set[str]) -> None:
-        """Handle that a page is stored with the items that it had when the write was submitted."""
+        """Record that a page is stored with the items that it had when the write was submitted."""
         self.layout.on_items_stored(now, page_write.names)
         for request, unstored in list(self.answered_requests.items()):
             unstored -= page_write.names
