--- a/src/copperpass/core/kvstore/keys.py
+++ b/src/copperpass/core/kvstore/keys.py
@@ -18,9 +18,9 @@
 # of these that were sent before an election fail after it.
 FENCING_TOKEN_KEY = "c/token"
 
-# A job that is not completed yet (`JobRecord`), by job id. Created by the member that accepts the
-# submission, guarded by the absence of both the live and the completed record; deleted by the
-# shard's owner or by a cancellation, guarded by its own version.
+# A job that is not completed yet (`JobRecord`), by job id. The member that accepts the submission
+# creates it, guarded by the absence of both the live and the completed record. The shard's owner or
+# a cancellation deletes it, guarded by its own version.
 LIVE_JOBS_PREFIX = "c/live/"
 
 # The final state of a job (`JobRecord`), by job id. Written once, in the transaction that deletes
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -45,7 +45,7 @@
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
-    peers: PeerHeartbeats
+    peer_heartbeats: PeerHeartbeats
     running_counts: RunningCountExchange
     cancellations: CancellationBroadcast
     relay: HeartbeatRelay
@@ -58,7 +58,7 @@
     def __init__(self, targets: FrameTargets) -> None:
         self.targets = targets
         self._handlers: dict[type[Frame], Handler] = {
-            MemberHeartbeat: targets.peers.on_heartbeat,
+            MemberHeartbeat: targets.peer_heartbeats.on_heartbeat,
             RunningCounts: self._on_running_counts,
             JobCancelled: self._on_job_cancelled,
             RelayedHeartbeat: targets.worker_heartbeats.on_relayed,
@@ -75,7 +75,7 @@
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
         """Handle a frame; a frame of any type also proves that its sender is connected."""
-        self.targets.peers.on_frame(now, sender)
+        self.targets.peer_heartbeats.on_frame(now, sender)
         handler = self._handlers.get(type(frame))
         if handler is not None:
             handler(now, sender, frame)
--- a/src/copperpass/core/node/node.py
+++ b/src/copperpass/core/node/node.py
@@ -108,8 +108,8 @@
             retry_s=self.timings.leader_ttl_s,
             timeout_s=self._call_timeout_s,
         )
-        self.peers = PeerHeartbeats(peers, self.timings, self.outbox, now)
-        self.isolation = IsolationMonitor(self.election, self.peers, self.cluster.workers)
+        self.peer_heartbeats = PeerHeartbeats(peers, self.timings, self.outbox, now)
+        self.isolation = IsolationMonitor(self.election, self.peer_heartbeats, self.cluster.workers)
 
     def _create_term_components(self, now: float) -> None:
         """Create what this member runs in a term as leader or shard owner, and the user API."""
@@ -167,7 +167,7 @@
             election=self.election,
             leadership=self.leadership,
             grant_client=self.grant_client,
-            peers=self.peers,
+            peer_heartbeats=self.peer_heartbeats,
             relay=self.relay,
         )
         self.frame_router = FrameRouter(
@@ -176,7 +176,7 @@
                 election=self.election,
                 leadership=self.leadership,
                 grant_client=self.grant_client,
-                peers=self.peers,
+                peer_heartbeats=self.peer_heartbeats,
                 running_counts=self.running_counts,
                 cancellations=self.cancellations,
                 relay=self.relay,
@@ -212,7 +212,7 @@
             previous_routes=client.routing_table.latest_routes(),
             previous_owners=client.routing_table.latest_owners(),
             incarnation=client.incarnation,
-            is_connected=self.peers.is_connected,
+            is_connected=self.peer_heartbeats.is_connected,
             all_upgraded=self.version_registry.all_upgraded,
         )
 
@@ -257,7 +257,9 @@
         self.grant_client.tick(now, self.watch_cache.revision)
         if self.cluster_manager is not None:
             self._check_isolation(now, self.cluster_manager)
-        if self.peers.send_if_due(now, self.election.counter.token, self._consistent_at()):
+        if self.peer_heartbeats.send_if_due(
+            now, self.election.counter.token, self._consistent_at()
+        ):
             self.running_counts.send_if_due(now)
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
@@ -295,7 +297,7 @@
         return self.watch_cache.consistent_at
 
     def _is_behind(self) -> bool:
-        return self.peers.is_behind(self.watch_cache.consistent_at)
+        return self.peer_heartbeats.is_behind(self.watch_cache.consistent_at)
 
     def _on_watch_event(self, now: float, key: str, value: bytes | None, version: int) -> None:
         self.watch_router.on_watch_event(now, key, value, version)
--- a/src/copperpass/core/node/worker_heartbeats.py
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -24,7 +24,7 @@
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
-    peers: PeerHeartbeats
+    peer_heartbeats: PeerHeartbeats
     relay: HeartbeatRelay
 
     def on_request(self, now: float, request: object, body: bytes) -> None:
@@ -55,7 +55,7 @@
         self, now: float, request: object, machine: str, body: bytes, owner: str | None
     ) -> None:
         """Relay a heartbeat to the machine's owner, or redirect its worker to another member."""
-        connected = owner is not None and self.peers.is_connected(now, owner)
+        connected = owner is not None and self.peer_heartbeats.is_connected(now, owner)
         if owner is not None and connected and self.relay.should_relay(now, machine):
             self.relay.relay_heartbeat(now, request, body, owner)
             return
@@ -65,7 +65,7 @@
                 (
                     peer
                     for peer in self.election.peers
-                    if peer != owner and self.peers.is_connected(now, peer)
+                    if peer != owner and self.peer_heartbeats.is_connected(now, peer)
                 ),
                 None,
             )
--- a/src/copperpass/core/scheduling/evictions.py
+++ b/src/copperpass/core/scheduling/evictions.py
@@ -49,7 +49,7 @@
         )
 
     def evict_other_shards(self, machine: Machine) -> None:
-        """Stop tasks of other shards that were unknown when the leader assigned the machine.
+        """Stop tasks of other shards that the leader did not know when it assigned the machine.
 
         A machine that has only such tasks is released to the shard of one of them instead.
         """
--- a/src/copperpass/core/scheduling/machines.py
+++ b/src/copperpass/core/scheduling/machines.py
@@ -80,7 +80,7 @@
     usage_stale: bool = False
     # The last status sent to the leader, and its agent epoch.
     last_status: MachineStatus | None = None
-    last_status_epoch: int = 0
+    last_status_agent_epoch: int = 0
     # When to send the next probe, while the machine is unreconciled.
     next_probe_at: float = 0.0
 
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -142,7 +142,7 @@
             )
             reconciled = machine.reconciled and not machine.holds_other_shard
             if self._has_changed(machine, idle, reconciled):
-                machine.last_status_epoch = machine.agent_epoch
+                machine.last_status_agent_epoch = machine.agent_epoch
                 machine.last_status = self._status(machine, idle, reconciled)
                 statuses.append(machine.last_status)
         return statuses
@@ -158,7 +158,7 @@
             or last_status.reconciled != reconciled
             or last_status.deletion_requested != machine.deletion_requested
             or last_status.used_cpus != machine.used_cpus
-            or machine.last_status_epoch != machine.agent_epoch
+            or machine.last_status_agent_epoch != machine.agent_epoch
         )
 
     @staticmethod
--- a/src/copperpass/core/scheduling/task_estimates.py
+++ b/src/copperpass/core/scheduling/task_estimates.py
@@ -41,7 +41,7 @@
 def worth_checkpointing(placement: Placement, spec: JobSpec, slack_s: float, now: float) -> bool:
     """Whether a task that is preempted should take a checkpoint first.
 
-    A checkpoint isn't worth it if it takes longer than the work since the last one took, or if it
-    would free the capacity too late for the preempting task, which must start within `slack_s`.
+    A checkpoint isn't worth it if it takes longer than the work that it would save, or if it would
+    free the capacity too late for the preempting task, which must start within `slack_s` seconds.
     """
     return spec.save_s < min(work_since_checkpoint_s(placement, spec, now), slack_s)
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -15,7 +15,8 @@
 
 # A job that has failed on at least this many machines is probably faulty itself.
 MIN_MACHINES_OF_FAULTY_JOB = 3
-# A machine is faulty if at least this many jobs fail on it that are not probably faulty themselves.
+# A machine is faulty if at least this many jobs fail on it, without those that are probably faulty
+# themselves.
 MIN_JOBS_OF_FAULTY_MACHINE = 2
 # Upper bound on the doublings of the backoff after failures.
 MAX_BACKOFF_DOUBLINGS = 6
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -42,9 +42,9 @@
     # Versions of the stored pages by key, which the node updates from the watch.
     versions: dict[str, int]
     shard: int
-    # The size to which pages are filled, which both the current and the announced limits allow; and
-    # the maximum size of a page with a single job, until the store refuses a page for its size.
+    # The size to which pages are filled. Both the current and the announced limits allow it.
     page_bytes: float
+    # The maximum size of a page with a single job, until the store refuses a page for its size.
     max_page_bytes: float
     interval_s: float
     deadline_s: float
--- a/src/copperpass/core/storage/inventory_migration.py
+++ b/src/copperpass/core/storage/inventory_migration.py
@@ -220,7 +220,7 @@
         self.writer.submit(now, guards, [DeleteKey(INVENTORY_KEY)], on_done)
 
     def _delete_leftover_pages(self, now: float) -> None:
-        """Delete unused pages of an interrupted migration, which nothing else would delete."""
+        """Delete unused pages of an interrupted migration, which would remain indefinitely."""
         leftover_versions = self.layout.leftover_versions
         numbers = sorted(leftover_versions)[: self.writer.max_writes]
 
