--- a/src/copperpass/core/kvstore/transactions.py
+++ b/src/copperpass/core/kvstore/transactions.py
@@ -43,14 +43,15 @@
 
     MAX_IN_FLIGHT = 3
 
-    def __init__(self, out: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
-        self.out = out
+    def __init__(self, outbox: Outbox, write_rps: float, max_writes: int, timeout_s: float) -> None:
+        self.outbox = outbox
         self.queues: tuple[deque[Operation], ...] = tuple(deque() for _ in Priority)
         self.in_flight = 0
         self.budget = TokenBucket(
             write_rps * RATE_FRACTION, max(write_rps * RATE_FRACTION, MIN_BURST_WRITES)
         )
-        # The most writes in a transaction; reduced when the store turns out to allow fewer.
+        # The maximum number of writes in a transaction; reduced when the store turns out to allow
+        # fewer.
         self.max_writes = max_writes
         self.timeout_s = timeout_s
         self.paused_until = 0.0
@@ -66,7 +67,8 @@
         """Fail expired operations, then send what the limits allow; called on every tick."""
         for queue in self.queues:
             while queue and queue[0].deadline < now:
-                # Keeps the user's own deadline: a write that can't be stored in time fails at once.
+                # An operation that was not sent before its deadline fails at once, so that a
+                # user's request is answered in time.
                 self._finish(now, queue.popleft(), TransactionOutcome.UNAVAILABLE)
         while self.in_flight < self.MAX_IN_FLIGHT and now >= self.paused_until:
             batch = self._next_batch(now)
@@ -96,7 +98,7 @@
     def _send(self, batch: Batch) -> None:
         operations = batch.operations
         self.in_flight += 1
-        self.out.calls.append(
+        self.outbox.calls.append(
             Call(
                 ExternalService.STATE,
                 "POST",
@@ -107,8 +109,6 @@
             )
         )
 
-    # -- answers ---------------------------------------------------------------------
-
     def _on_answer(self, now: float, batch: list[Operation], answer: CallOutcome) -> None:
         self.in_flight -= 1
         status = answer.status
--- a/src/copperpass/core/node/frame_router.py
+++ b/src/copperpass/core/node/frame_router.py
@@ -41,11 +41,11 @@
 class FrameTargets:
     """The components that handle frames."""
 
-    out: Outbox
+    outbox: Outbox
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
-    peers: PeerHeartbeats
+    peer_heartbeats: PeerHeartbeats
     running_counts: RunningCountExchange
     cancellations: CancellationBroadcast
     relay: HeartbeatRelay
@@ -58,7 +58,7 @@
     def __init__(self, targets: FrameTargets) -> None:
         self.targets = targets
         self._handlers: dict[type[Frame], Handler] = {
-            MemberHeartbeat: targets.peers.on_heartbeat,
+            MemberHeartbeat: targets.peer_heartbeats.on_heartbeat,
             RunningCounts: self._on_running_counts,
             JobCancelled: self._on_job_cancelled,
             RelayedHeartbeat: targets.worker_heartbeats.on_relayed,
@@ -74,8 +74,8 @@
         }
 
     def on_frame(self, now: float, sender: str, frame: Frame) -> None:
-        """Handle a frame; one of any type also counts as a sign of life of its sender."""
-        self.targets.peers.on_frame(now, sender)
+        """Handle a frame; a frame of any type also proves that its sender is connected."""
+        self.targets.peer_heartbeats.on_frame(now, sender)
         handler = self._handlers.get(type(frame))
         if handler is not None:
             handler(now, sender, frame)
@@ -92,7 +92,7 @@
     # -- frames to the leader -------------------------------------------------------------
 
     def _manager_of_term(self, epoch: int) -> ClusterManager | None:
-        """The cluster manager if this member leads the term `epoch`; None if the frame is stale."""
+        """The cluster manager if it belongs to the term `epoch` of a frame; None otherwise."""
         cluster_manager = self.targets.leadership.cluster_manager
         if cluster_manager is None or cluster_manager.epoch != epoch:
             return None
@@ -102,7 +102,7 @@
         cluster_manager = self.targets.leadership.cluster_manager
         grant = cluster_manager.on_grant_request(now, sender, frame) if cluster_manager else None
         if grant is not None:
-            self.targets.out.send(sender, grant)
+            self.targets.outbox.send(sender, grant)
 
     def _on_machine_statuses(self, now: float, sender: str, frame: MachineStatusUpdates) -> None:
         cluster_manager = self._manager_of_term(frame.epoch)
--- a/src/copperpass/core/node/worker_heartbeats.py
+++ b/src/copperpass/core/node/worker_heartbeats.py
@@ -20,18 +20,18 @@
     """Answers heartbeats of own machines; relays others to their owner or redirects the worker."""
 
     member: str
-    out: Outbox
+    outbox: Outbox
     election: LeaderElection
     leadership: Leadership
     grant_client: GrantClient
-    peers: PeerHeartbeats
+    peer_heartbeats: PeerHeartbeats
     relay: HeartbeatRelay
 
     def on_request(self, now: float, request: object, body: bytes) -> None:
         """Answer, relay or redirect a heartbeat that a worker has sent to this member over HTTP."""
         heartbeat = decode(body, WorkerHeartbeat)
         if heartbeat is None:
-            self.out.replies.append(Reply(request, 400, error_body("malformed report")))
+            self.outbox.replies.append(Reply(request, 400, error_body("malformed report")))
             return
         owner = self.grant_client.owner_of(heartbeat.machine)
         if owner is None:
@@ -40,7 +40,7 @@
         else:
             is_own = owner == self.member
         if is_own:
-            self.out.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
+            self.outbox.replies.append(Reply(request, *self._answer(now, heartbeat, False)))
         else:
             self._relay_or_redirect(now, request, heartbeat.machine, body, owner)
 
@@ -49,13 +49,13 @@
         heartbeat = decode(frame.body, WorkerHeartbeat)
         if heartbeat is not None:
             status, body = self._answer(now, heartbeat, True)
-            self.out.send(sender, RelayedAnswer(frame.number, status, body))
+            self.outbox.send(sender, RelayedAnswer(frame.number, status, body))
 
     def _relay_or_redirect(
         self, now: float, request: object, machine: str, body: bytes, owner: str | None
     ) -> None:
         """Relay a heartbeat to the machine's owner, or redirect its worker to another member."""
-        connected = owner is not None and self.peers.is_connected(now, owner)
+        connected = owner is not None and self.peer_heartbeats.is_connected(now, owner)
         if owner is not None and connected and self.relay.should_relay(now, machine):
             self.relay.relay_heartbeat(now, request, body, owner)
             return
@@ -65,11 +65,11 @@
                 (
                     peer
                     for peer in self.election.peers
-                    if peer != owner and self.peers.is_connected(now, peer)
+                    if peer != owner and self.peer_heartbeats.is_connected(now, peer)
                 ),
                 None,
             )
-        self.out.replies.append(Reply(request, 421, redirect_body(owner)))
+        self.outbox.replies.append(Reply(request, 421, redirect_body(owner)))
 
     def _find_owner(self, now: float, heartbeat: WorkerHeartbeat) -> str | None:
         """The member that should answer a machine without a known owner; None if undecided.
--- a/src/copperpass/core/scheduling/ownership.py
+++ b/src/copperpass/core/scheduling/ownership.py
@@ -55,7 +55,7 @@
             # The machine has terminated on its own, so no task runs there any more.
             machine.failed = True
             state.unreconciled.discard(name)
-            self.tasks.on_session_ended(now, machine)
+            self.tasks.on_agent_epoch_ended(now, machine)
         if route.reclaim_requested:
             self._release_or_drain(now, machine, route.drain)
 
@@ -121,7 +121,7 @@
         """Remove a machine, and all tasks on it, after the cloud has confirmed its deletion."""
         machine.draining = False
         self.state.unreconciled.discard(machine.name)
-        self.tasks.on_session_ended(now, machine)
+        self.tasks.on_agent_epoch_ended(now, machine)
         self.state.quota_usage.drop(machine)
         self.machines.pop(machine.name, None)
         self.context.images.pop(machine.name, None)
@@ -142,7 +142,7 @@
             )
             reconciled = machine.reconciled and not machine.holds_other_shard
             if self._has_changed(machine, idle, reconciled):
-                machine.last_status_epoch = machine.agent_epoch
+                machine.last_status_agent_epoch = machine.agent_epoch
                 machine.last_status = self._status(machine, idle, reconciled)
                 statuses.append(machine.last_status)
         return statuses
@@ -158,7 +158,7 @@
             or last_status.reconciled != reconciled
             or last_status.deletion_requested != machine.deletion_requested
             or last_status.used_cpus != machine.used_cpus
-            or machine.last_status_epoch != machine.agent_epoch
+            or machine.last_status_agent_epoch != machine.agent_epoch
         )
 
     @staticmethod
--- a/src/copperpass/core/scheduling/task_reconciliation.py
+++ b/src/copperpass/core/scheduling/task_reconciliation.py
@@ -18,7 +18,7 @@
 def proves_absent(
     machine: Machine, placement: Placement, heartbeat: WorkerHeartbeat, unsolicited: bool
 ) -> bool:
-    """Whether a heartbeat that doesn't list a task proves that it neither is nor will be there.
+    """Whether a heartbeat that doesn't list a task proves the task absent, now and in future.
 
     `unsolicited`: the worker sent the heartbeat on its own, not to answer a direct command.
     """
@@ -114,7 +114,10 @@
         job = self.jobs.jobs.get(placement.job_id)
         if job is not None:
             if not self.context.schedules_team(job.spec.team):
-                placement.of_other_shard, placement.shard = True, self.context.shards[job.spec.team]
+                placement.of_other_shard, placement.shard = (
+                    True,
+                    self.context.shard_by_team[job.spec.team],
+                )
                 return
             self._match_own_job(machine, placement, job)
             return
--- a/src/copperpass/core/scheduling/task_statuses.py
+++ b/src/copperpass/core/scheduling/task_statuses.py
@@ -15,7 +15,8 @@
 
 # A job that has failed on at least this many machines is probably faulty itself.
 MIN_MACHINES_OF_FAULTY_JOB = 3
-# A machine on which at least this many jobs that are not faulty by that measure fail is faulty.
+# A machine is faulty if at least this many jobs fail on it, without those that are probably faulty
+# themselves.
 MIN_JOBS_OF_FAULTY_MACHINE = 2
 # Upper bound on the doublings of the backoff after failures.
 MAX_BACKOFF_DOUBLINGS = 6
@@ -33,7 +34,7 @@
         results: JobResults,
     ) -> None:
         self.state, self.tasks, self.gangs, self.results = state, tasks, gangs, results
-        self.out, self.jobs = context.out, context.jobs
+        self.outbox, self.jobs = context.outbox, context.jobs
 
     def update(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
@@ -94,7 +95,7 @@
     def _log_exit(
         self, now: float, machine: Machine, placement: Placement, status: TaskStatus
     ) -> None:
-        self.out.log(
+        self.outbox.log(
             LogLevel.DEBUG,
             LogEvent.TASK_EXITED,
             task=status.task,
@@ -168,7 +169,7 @@
     def _quarantine(self, now: float, machine: Machine, failed_sound_job_count: int) -> None:
         """Start no more tasks on a faulty machine, and stop those that don't run there yet."""
         machine.quarantined = True
-        self.out.log(
+        self.outbox.log(
             LogLevel.INFO,
             LogEvent.MACHINE_QUARANTINED,
             machine=machine.name,
--- a/src/copperpass/core/storage/completions.py
+++ b/src/copperpass/core/storage/completions.py
@@ -42,9 +42,9 @@
     # Versions of the stored pages by key, which the node updates from the watch.
     versions: dict[str, int]
     shard: int
-    # The size to which pages are filled, which both the current and the announced limits allow; and
-    # the maximum size of a page with a single job, until the store refuses a page for its size.
+    # The size to which pages are filled. Both the current and the announced limits allow it.
     page_bytes: float
+    # The maximum size of a page with a single job, until the store refuses a page for its size.
     max_page_bytes: float
     interval_s: float
     deadline_s: float
@@ -60,8 +60,8 @@
 class CompletionStore:
     """Reads and writes the completions of one shard; each owner of the shard creates its own.
 
-    Every write is guarded by the fencing token and by the version of its page. A page is written
-    only if no stored completion is lost by that.
+    Every write is guarded by the fencing token and by the version of its page. A page is not
+    written while the write would remove a stored completion that no other page holds.
     """
 
     def __init__(self, context: CompletionContext) -> None:
@@ -99,8 +99,6 @@
         for page in list(layout.pages.values()):
             layout.split(page)
 
-    # -- changes ---------------------------------------------------------------------
-
     def record(self, now: float, job: Job) -> None:
         """Schedule a write of the completions of a job that are not stored yet."""
         job_id, layout = job.spec.id, self.layout
@@ -128,8 +126,6 @@
             if due and not page.in_flight and not page.migrating:
                 self._write(now, page)
 
-    # -- writing ---------------------------------------------------------------------
-
     def _write(self, now: float, page: CompletionPage) -> None:
         self._keep_late_completions(now, page)
         if page.migrating:
--- a/src/copperpass/core/storage/inventory_migration.py
+++ b/src/copperpass/core/storage/inventory_migration.py
@@ -83,9 +83,7 @@
         self.migrated_marks: set[str] = set()
         # The version of the fencing token under which a creation of the record had an unknown
         # outcome.
-        self.unknown_creation_token = NO_TOKEN_VERSION
-
-    # -- state -----------------------------------------------------------------------
+        self.unknown_creation_token_version = NO_TOKEN_VERSION
 
     @property
     def before_migration(self) -> bool:
@@ -97,7 +95,7 @@
         """Whether pages are being written that are not authoritative yet."""
         return self.form is InventoryForm.MIGRATING
 
-    def blocked(self) -> bool:
+    def is_migration_blocked(self) -> bool:
         """Return whether the record can be migrated only in a new term.
 
         A creation with an unknown outcome may still be applied after the record is deleted, and
@@ -107,10 +105,10 @@
         return (
             migration_due
             and not self.writer.in_flight
-            and self.unknown_creation_token == self.token_version()
+            and self.unknown_creation_token_version == self.token_version()
         )
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether the record has no space for more machines; pages are never full."""
         return self.before_migration and self.size_bytes > FULL_FRACTION * self.max_value_bytes
 
@@ -122,8 +120,6 @@
             # Only this leader can have deleted it: the token of any other writer is refused.
             self.version = 0
 
-    # -- writing ---------------------------------------------------------------------
-
     def write(self, now: float) -> None:
         """Write the whole inventory as the single record."""
         self.changed = False
@@ -134,7 +130,7 @@
 
         def on_done(done_at: float, outcome: TransactionOutcome, revision: int) -> None:
             if outcome is TransactionOutcome.UNKNOWN and version == 0:
-                self.unknown_creation_token = token_version
+                self.unknown_creation_token_version = token_version
             if outcome is TransactionOutcome.APPLIED:
                 self.version = max(self.version, revision)
                 self.on_marks_stored(done_at, up_marks)
@@ -162,8 +158,6 @@
             self.callbacks = self.callbacks[len(callbacks) :]
         _notify(now, callbacks, stored=False)
 
-    # -- migration -------------------------------------------------------------------
-
     def migrate_if_safe(self, now: float, refused: bool = False) -> None:
         """Begin the migration if every member reads pages.
 
@@ -175,7 +169,7 @@
             return
         if not self.all_upgraded() and not (refused and self.limits_announced):
             return
-        if self.unknown_creation_token == self.token_version():
+        if self.unknown_creation_token_version == self.token_version():
             return
         self.form = InventoryForm.PAGED if self.version == 0 else InventoryForm.MIGRATING
         contents, layout = self.contents, self.layout
@@ -226,7 +220,7 @@
         self.writer.submit(now, guards, [DeleteKey(INVENTORY_KEY)], on_done)
 
     def _delete_leftover_pages(self, now: float) -> None:
-        """Delete unused pages of an interrupted migration, which would otherwise stay for ever."""
+        """Delete unused pages of an interrupted migration, which would remain indefinitely."""
         leftover_versions = self.layout.leftover_versions
         numbers = sorted(leftover_versions)[: self.writer.max_writes]
 
