--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Scenarios of whole days, run by real controllers against fakes in memory."""
+"""End-to-end scenarios: real controllers against in-memory fakes of the services and workers."""
 
 import json
 
@@ -13,15 +13,15 @@
 
 def finished(simulation, *numbers):
     ids = [f"req-{n:06d}" for n in numbers]
-    return lambda: all(f"d/job/{i}" in simulation.kvstore.data for i in ids)
+    return lambda: all(f"d/job/{job_id}" in simulation.kvstore.data for job_id in ids)
 
 
-def test_a_job_runs_and_is_told_done():
+def test_submitted_job_runs_and_every_controller_reports_it_done():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
-    user = simulation.submit(job(1))
+    submission = simulation.submit(job(1))
     simulation.run(1)
-    assert user.status == 201 and user.body == {"id": "req-000001", "status": "queued"}
+    assert submission.status == 201 and submission.body == {"id": "req-000001", "status": "queued"}
     simulation.run_until(finished(simulation, 1), 90)
     for name in simulation.node_names:
         poll = simulation.poll("req-000001", name)
@@ -30,34 +30,37 @@
     assert not simulation.violations
 
 
-def test_two_nodes_one_id_one_job():
+def test_two_submissions_of_one_id_at_different_controllers_create_one_job():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     first = simulation.submit(job(1), "n0")
     second = simulation.submit(job(1), "n1")
     simulation.run(1)
     assert sorted([first.status, second.status]) == [200, 201]
-    assert len([k for k in simulation.kvstore.data if k.startswith("c/live/")]) == 1
+    assert len([key for key in simulation.kvstore.data if key.startswith("c/live/")]) == 1
 
 
-def test_cancel_is_stored_and_kills():
+def test_cancellation_is_stored_and_stops_running_tasks():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=500.0))
     running = lambda: any(w.present_tasks() for w in simulation.cloud.workers())  # noqa: E731
     simulation.run_until(running, 60)
-    user = simulation.cancel("req-000001")
+    cancellation = simulation.cancel("req-000001")
     simulation.run(2)
-    assert user.body == {"id": "req-000001", "status": "withdrawn", "done": 0, "running": 0} or (
-        user.body["status"] == "withdrawn"
-    )
+    assert cancellation.body == {
+        "id": "req-000001",
+        "status": "withdrawn",
+        "done": 0,
+        "running": 0,
+    } or (cancellation.body["status"] == "withdrawn")
     assert not running()
-    again = simulation.submit(job(1, cpus="not even a number"))
+    resubmission = simulation.submit(job(1, cpus="not even a number"))
     simulation.run(1)
-    assert (again.status, again.body["status"]) == (200, "withdrawn")
+    assert (resubmission.status, resubmission.body["status"]) == (200, "withdrawn")
 
 
-def test_crash_of_the_leader_costs_no_task():
+def test_running_tasks_survive_a_leader_crash():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     for n in range(1, 5):
@@ -65,33 +68,34 @@
     simulation.run_until(
         lambda: sum(len(w.present_tasks()) for w in simulation.cloud.workers()) == 8, 60
     )
-    old, starts = simulation.leader(), simulation.starts
-    simulation.crash(old, restart_after_s=5.0)
-    simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
+    old_leader, starts = simulation.leader(), simulation.starts
+    simulation.crash(old_leader, restart_after_s=5.0)
+    simulation.run_until(lambda: simulation.leader() not in (None, old_leader), 10)
     simulation.run_until(finished(simulation, 1, 2, 3, 4), 90)
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_a_restart_of_all_controllers_does_not_begin_each_wait_afresh():
+def test_jobs_keep_their_submission_time_across_a_restart_of_all_controllers():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
-    at = simulation.now
+    submitted_at = simulation.now
     simulation.submit(job(1, tasks=2, run_s=300.0))
     simulation.run(40.0)
     for name in simulation.node_names:
         simulation.crash(name, 2.0)
     simulation.run_until(lambda: simulation.leader() is not None, 20)
     simulation.run(1.0)
-    (known,) = simulation.nodes[simulation.leader()].jobs.jobs.values()
-    assert abs(known.arrived_at - at) < 2.0
-    # A record without the time, or a clock that runs ahead, makes a job new, never one of later.
+    (known_job,) = simulation.nodes[simulation.leader()].jobs.jobs.values()
+    assert abs(known_job.arrived_at - submitted_at) < 2.0
+    # If the record has no submission time, or one in the future because a clock runs ahead, the job
+    # counts as submitted now, never later.
     record = decode(json.dumps({"spec": job(2)}).encode(), JobRecord)
     assert make_job(record, 5, 50.0, 1000.0).arrived_at == 50.0
     record.submitted_at = 2000.0
     assert make_job(record, 5, 50.0, 1000.0).arrived_at == 50.0
 
 
-def test_tasks_outlive_a_state_outage_longer_than_their_lease():
+def test_tasks_survive_a_state_service_outage_longer_than_their_lease():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     for n in range(1, 4):
@@ -103,52 +107,54 @@
     simulation.kvstore.down = True
     simulation.run(1.8 * simulation.lease_s)
     assert simulation.leader() == leader
-    refused = simulation.submit(job(9))
+    refused_submission = simulation.submit(job(9))
     simulation.run(2)
-    assert refused.status == 503 and refused.retry_after >= 1
+    assert refused_submission.status == 503 and refused_submission.retry_after >= 1
     simulation.end_outage()
     simulation.run_until(finished(simulation, 1, 2, 3), 90)
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_a_leader_refused_alone_hands_over():
+def test_leadership_moves_when_state_service_refuses_only_the_leader():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=60.0, tasks=4))
     simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
-    old = simulation.leader()
-    simulation.kvstore_refuses.add(old)
-    simulation.run_until(lambda: simulation.leader() not in (None, old), 3 * simulation.lease_s)
-    assert simulation.nodes[old].healthy(simulation.now) is False
+    old_leader = simulation.leader()
+    simulation.kvstore_refuses.add(old_leader)
+    simulation.run_until(
+        lambda: simulation.leader() not in (None, old_leader), 3 * simulation.lease_s
+    )
+    assert simulation.nodes[old_leader].healthy(simulation.now) is False
     simulation.run_until(finished(simulation, 1), 150)
     assert not simulation.violations
 
 
-def test_a_leader_that_hears_neither_workers_nor_controllers_steps_down():
+def test_leader_cut_off_from_workers_and_controllers_steps_down():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=30.0))
     simulation.run_until(lambda: any(w.present_tasks() for w in simulation.cloud.workers()), 60)
-    old, starts = simulation.leader(), simulation.starts
-    for other in [w.name for w in simulation.cloud.workers()] + simulation.node_names:
-        if other != old:
-            simulation.cut(old, other)
-    simulation.run_until(lambda: simulation.leader() not in (None, old), 15)
+    old_leader, starts = simulation.leader(), simulation.starts
+    for endpoint in [w.name for w in simulation.cloud.workers()] + simulation.node_names:
+        if endpoint != old_leader:
+            simulation.cut(old_leader, endpoint)
+    simulation.run_until(lambda: simulation.leader() not in (None, old_leader), 15)
     simulation.run_until(finished(simulation, 1), 90)
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_a_machine_that_is_gone_does_not_hold_up_every_change_of_leader():
+def test_deleted_machine_of_a_crashed_leader_does_not_delay_later_leaders():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, run_s=10.0))
     simulation.run_until(finished(simulation, 1), 90)
-    # The machine vanishes together with the leader, so nobody removes its record.
+    # The machine is deleted together with the leader's crash, so no controller removes its record.
     victim = simulation.cloud.workers()[0].name
     simulation.cloud.reclaim(victim)
     simulation.crash(simulation.leader(), 5.0)
     simulation.run(1.5 * simulation.lease_s)
-    # Whichever form of the record counts by now.
+    # Holds in either format of the inventory records.
     assert simulation.inventory_records() and victim not in str(simulation.inventory_records())
     simulation.crash(simulation.leader(), 5.0)
     simulation.run_until(
@@ -161,7 +167,7 @@
     )
 
 
-def test_a_sick_machine_is_fenced_and_returned():
+def test_machine_that_fails_its_tasks_is_quarantined_and_released():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     for n in range(1, 7):
@@ -174,7 +180,7 @@
     assert not simulation.violations
 
 
-def test_a_job_with_a_mistake_does_not_burn_the_fleet():
+def test_faulty_job_is_retried_slowly_and_costs_no_machine():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, broken=True, tasks=1))
@@ -186,7 +192,7 @@
     assert all(w.alive for w in simulation.cloud.workers())
 
 
-def test_placement_is_kept():
+def test_jobs_run_where_their_placement_constraints_allow():
     simulation = Simulation(seed=5)
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=5, cpus=8.0, spread=True))
@@ -196,7 +202,7 @@
     assert not simulation.violations
 
 
-def test_an_unanswered_start_is_not_given_elsewhere_until_a_token_passes_it():
+def test_unanswered_start_is_not_repeated_elsewhere_before_a_higher_token_is_accepted():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(9, tasks=1, cpus=1.0, run_s=1.0))
@@ -213,7 +219,7 @@
     assert worker.token > 0 and not simulation.violations
 
 
-def test_workers_behind_a_cut_are_reached_over_another_controller():
+def test_workers_cut_off_from_the_leader_keep_their_leases_through_another_controller():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=6, run_s=60.0))
@@ -225,14 +231,14 @@
     simulation.run(2.5 * simulation.lease_s)
     assert simulation.leader() == leader
     assert all(w.agent_epoch == 1 for w in simulation.cloud.workers()), (
-        "a lease ran out behind the cut"
+        "a worker lease expired during the partition"
     )
     simulation.heal()
     simulation.run_until(finished(simulation, 1), 120)
     assert simulation.starts == starts and not simulation.violations
 
 
-def test_a_deaf_machine_gets_no_work_and_is_returned():
+def test_machine_with_blocked_inbound_traffic_is_marked_unreachable_and_released():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=1, cpus=1.0, run_s=1.0))
@@ -241,18 +247,18 @@
     simulation.inbound_blocked.add(unreachable.name)
     leader = simulation.leader()
     machine = simulation.nodes[leader].schedulers[0].machines[unreachable.name]
-    given = []
+    active_counts = []
     for number in range(2, 12):
         simulation.submit(job(number, tasks=2, cpus=4.0, run_s=5.0))
         simulation.run(1.0)
-        given.append(sum(p.active for p in machine.tasks.values()))
+        active_counts.append(sum(placement.active for placement in machine.tasks.values()))
     assert machine.unreachable_since is not None or not unreachable.alive
     simulation.run_until(lambda: not unreachable.alive, 3 * simulation.lease_s)
     simulation.run_until(finished(simulation, *range(2, 12)), 150)
     assert not simulation.violations
 
 
-def test_a_deaf_machine_that_hears_again_is_used_again():
+def test_unreachable_machine_is_used_again_once_inbound_traffic_is_restored():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=1, cpus=1.0, run_s=1.0))
@@ -270,34 +276,38 @@
     assert not simulation.violations
 
 
-def test_late_copies_revive_nothing_and_count_for_nothing():
+def test_late_heartbeat_copies_neither_revive_machines_nor_prove_contact():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=2, run_s=20.0))
     simulation.run_until(lambda: present_task_count(simulation) == 2, 60)
     copies = [body for w in simulation.cloud.workers() for _, body in w.sent_heartbeats[-4:]]
-    old = simulation.leader()
+    old_leader = simulation.leader()
     for worker in simulation.cloud.workers():
         simulation.cloud.reclaim(worker.name)
     simulation.run(2.5 * simulation.lease_s)
-    simulation.crash(old, 5.0)
-    simulation.run_until(lambda: simulation.leader() not in (None, old), 20)
+    simulation.crash(old_leader, 5.0)
+    simulation.run_until(lambda: simulation.leader() not in (None, old_leader), 20)
     node = simulation.nodes[simulation.leader()]
     simulation.run_until(lambda: node.schedulers and node.schedulers[0].ready, 5)
     for _ in range(3):
-        heard = node.schedulers[0].last_heartbeat_at
+        last_heartbeat_at = node.schedulers[0].last_heartbeat_at
         for body in copies:
             simulation.deliver_late_heartbeat(simulation.leader(), body)
-        assert node.schedulers[0].last_heartbeat_at == heard
+        assert node.schedulers[0].last_heartbeat_at == last_heartbeat_at
         simulation.run(0.5)
-    said = b"".join(copies)
-    revived = [m for n, m in node.schedulers[0].machines.items() if f'"{n}"'.encode() in said]
-    assert not any(m.is_usable(simulation.now, 99.0) for m in revived)
+    copied_bytes = b"".join(copies)
+    revived = [
+        machine
+        for name, machine in node.schedulers[0].machines.items()
+        if f'"{name}"'.encode() in copied_bytes
+    ]
+    assert not any(machine.is_usable(simulation.now, 99.0) for machine in revived)
     simulation.run_until(finished(simulation, 1), 150)
     assert not simulation.violations
 
 
-def test_a_copy_does_not_stretch_the_end_of_a_lease():
+def test_late_heartbeat_copies_do_not_extend_a_worker_lease():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=2, run_s=300.0))
@@ -309,30 +319,32 @@
     for name in simulation.node_names:
         simulation.cut(name, worker.name)
     simulation.cut("cloud", leader)
-    at = simulation.now
-    while simulation.now < at + 1.3 * simulation.lease_s:
+    cut_at = simulation.now
+    while simulation.now < cut_at + 1.3 * simulation.lease_s:
         simulation.deliver_late_heartbeat(leader, copy)
         simulation.run(1.0)
-    assert not machine.tasks, "copies must not hold up what a lease's end proves"
+    assert not machine.tasks, (
+        "late copies must not delay the expiry of the lease, which proves that the tasks are gone"
+    )
 
 
-def test_a_controller_with_workers_alone_stops_answering_them_in_time():
+def test_deposed_leader_that_reaches_only_workers_answers_heartbeats_with_421():
     simulation = Simulation()
     simulation.run_until(simulation.leader)
     simulation.submit(job(1, tasks=4, run_s=60.0))
     simulation.run_until(lambda: present_task_count(simulation) == 4, 60)
-    old, starts = simulation.leader(), simulation.starts
-    simulation.kvstore_refuses.add(old)
+    old_leader, starts = simulation.leader(), simulation.starts
+    simulation.kvstore_refuses.add(old_leader)
     for name in simulation.node_names:
-        if name != old:
-            simulation.cut(old, name)
-    simulation.run_until(lambda: simulation.leader() not in (None, old), 10)
+        if name != old_leader:
+            simulation.cut(old_leader, name)
+    simulation.run_until(lambda: simulation.leader() not in (None, old_leader), 10)
     answers = []
     body = simulation.cloud.workers()[0].sent_heartbeats[-1][1]
-    simulation.nodes[old].worker_heartbeat(
+    simulation.nodes[old_leader].worker_heartbeat(
         simulation.now, WorkerRequest(lambda s, b: answers.append(s)), body
     )
-    simulation.process_outbox(old)
+    simulation.process_outbox(old_leader)
     assert answers == [421]
     simulation.run_until(finished(simulation, 1), 120)
     assert simulation.starts == starts and not simulation.violations
