--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -5,10 +5,10 @@
 from tests.request_bodies import gang, job
 from tests.scenarios import is_completed, present_task_count, run_checked, started_simulation
 from tests.simulation import Simulation
-from tests.test_service_guarantees import PARTED, busy, settle
+from tests.test_service_guarantees import PARTITIONED_AND_NOT, busy_workers, check_answers
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 def test_no_task_starts_after_its_cancellation_was_confirmed(partitioned):
     # Holds the direct stops. What has its image while the word is under way begins all the same:
     # to the other controller, to the machine, that takes two of the longest ways.
@@ -28,14 +28,14 @@
     simulation.finish()
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("hang", [0.5, 0.9, 1.5])
 def test_cancelled_tasks_end_though_their_machines_hang_from_that_moment(hang, partitioned):
     # Every team is at its limit, and the leader changes too.
     specs = [job(n, tasks=4, cpus=8.0, run_s=300.0) for n in (1, 2)]
     specs += [job(n, tasks=3, cpus=8.0, run_s=300.0, team="blue") for n in (3, 4)]
     simulation = started_simulation(specs, 14, partitioned=partitioned)
-    victims = busy(simulation)
+    victims = busy_workers(simulation)
     users = [simulation.cancel(f"req-{n:06d}") for n in range(1, 5)]
     for worker in victims[::2]:
         worker.hang(hang * simulation.lease_s)
@@ -53,7 +53,7 @@
     assert not any(late > simulation.lease_s for late in simulation.starts_after_cancel_s)
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 def test_users_ask_and_cancel_at_a_controller_that_keeps_its_workers_alone(partitioned):
     # It can store nothing: it must neither confirm nor deny, for as long as it lasts.
     specs = [job(n, tasks=2, run_s=150.0, slot="slow") for n in range(1, 7)]
@@ -70,13 +70,13 @@
         if simulation.leader() not in (None, old) and not confirmed:
             confirmed = [simulation.cancel(f"req-{n:06d}", simulation.leader()) for n in (1, 2)]
         run_checked(simulation, 1.0)
-    settle(simulation, alone, {503})
+    check_answers(simulation, alone, {503})
     assert [user.status for user in confirmed] == [200, 200]
     assert simulation.leader() not in (None, old)
     simulation.finish(500.0)
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 def test_jobs_are_cancelled_while_the_work_of_an_owner_changes_hands(partitioned):
     simulation = started_simulation(
         [job(n, tasks=2, run_s=300.0, team="red" if n % 2 else "blue") for n in range(1, 9)],
@@ -127,5 +127,5 @@
         else:
             simulation.run_until(lambda n=n: is_completed(simulation, n), 90)
         look()
-    settle(simulation, users, {200})
+    check_answers(simulation, users, {200})
     simulation.finish()
--- a/tests/test_service_guarantees.py
+++ b/tests/test_service_guarantees.py
@@ -1,4 +1,4 @@
-"""What the service owes its users, where other scenarios don't show it: see failure-tests.md."""
+"""Guarantees to users that no other scenario checks: see failure-tests.md."""
 
 import functools
 
@@ -10,36 +10,36 @@
 from tests.scheduler_bench import SchedulerBench
 from tests.simulation import Simulation
 
-PARTED = pytest.mark.parametrize("partitioned", [False, True])
+PARTITIONED_AND_NOT = pytest.mark.parametrize("partitioned", [False, True])
 
 
-def busy(simulation):
+def busy_workers(simulation):
     return [w for w in simulation.cloud.workers() if w.present_tasks()]
 
 
-def settle(simulation, answers, allowed):
-    """Let questions be answered, and see how."""
+def check_answers(simulation, requests, allowed):
+    """Run until all requests are answered; check that only allowed statuses were returned."""
     simulation.run(2.0)
-    assert {user.status for user in answers} <= allowed
+    assert {request.status for request in requests} <= allowed
 
 
-# -- served in time
+# -- jobs are served in time
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("size", ["few machines", "any machine", "gang", "overload"])
-def test_the_largest_begin_in_time_beside_bursts_of_small_urgent_jobs(size, partitioned):
-    # Work without an aim comes last until it is overdue, and a whole machine is never free by
-    # itself while small tasks take each gap. Holds the room held for a large task in
-    # `ShardScheduler.round`: without it none of them begins in the overload.
+def test_largest_tasks_start_in_time_beside_bursts_of_small_urgent_jobs(size, partitioned):
+    # Jobs of a class without objectives come last until they are overdue, and no whole machine
+    # becomes free while small tasks fill each gap. Guards the capacity reserved for a large task in
+    # `DispatchRound._reserve_capacity`: without it no large task starts under overload.
     overload = size == "overload"
     cpus, run_s = (4.0, 14.0) if overload else (2.0, 12.0)
     simulation = Simulation(seed=11, partitioned=partitioned)
-    simulation.cloud.capacity = {(z, s): 1 for z in "abc" for s in (True, False)}
+    simulation.cloud.capacity = {(zone, spot): 1 for zone in "abc" for spot in (True, False)}
     simulation.run_until(simulation.leader)
     number = 0
     for second in range(300):
-        # More than there is room for on average: half of the jobs come in bursts.
+        # More jobs than the capacity allows on average; half of them arrive in bursts.
         for _ in range(8 if second % 20 == 0 else second % 2):
             number += 1
             team = "red" if number % 2 else "blue"
@@ -48,31 +48,33 @@
             number += 1
             team = "red" if second % 80 == 10 else "blue"
             if size in ("few machines", "overload"):
-                more = {"borrowed": False, "hall": "b"}
+                constraints = {"borrowed": False, "hall": "b"}
             else:
-                more = {}
+                constraints = {}
             if size == "gang":
                 large = gang(number, tasks=2, cpus=8.0, team=team, run_s=20.0, slot="none")
             else:
-                large = job(number, tasks=1, cpus=16.0, team=team, run_s=20.0, slot="none", **more)
+                large = job(
+                    number, tasks=1, cpus=16.0, team=team, run_s=20.0, slot="none", **constraints
+                )
             simulation.submit(large)
         run_checked(simulation, 1.0)
     simulation.check_service_levels()
     assert not simulation.violations
-    late = [
-        j
-        for j, spec in simulation.specs.items()
+    late_jobs = [
+        job_id
+        for job_id, spec in simulation.specs.items()
         if spec["slot"] == "none"
-        and simulation.now - simulation.submitted[j] > 240.0
-        and simulation.first_start.get(j, 1e9) - simulation.submitted[j] > 240.0
+        and simulation.now - simulation.submitted[job_id] > 240.0
+        and simulation.first_start.get(job_id, 1e9) - simulation.submitted[job_id] > 240.0
     ]
-    assert overload or not late
+    assert overload or not late_jobs
     simulation.finish(600.0)
 
 
-@PARTED
-def test_a_large_task_is_not_starved_by_small_ones_at_its_teams_limit(partitioned):
-    # There is room on the machines, but small tasks of the team took each gap under its limit.
+@PARTITIONED_AND_NOT
+def test_large_task_is_not_starved_by_small_tasks_at_its_teams_limit(partitioned):
+    # The machines have free capacity, but small tasks of the team used up its limit each time.
     simulation = Simulation(seed=21, partitioned=partitioned)
     simulation.run_until(simulation.leader)
     for second in range(290):
@@ -85,7 +87,7 @@
     assert not simulation.violations and is_completed(simulation, 9000)
 
 
-def test_the_check_of_what_is_served_sees_each_group_that_is_not():
+def test_service_check_reports_each_class_and_team_that_is_not_served():
     simulation = started_simulation([job(1, tasks=1, run_s=1.0)], 1)
     simulation.run_until(lambda: is_completed(simulation, 1), 30)
     simulation.cloud.capacity = dict.fromkeys(simulation.cloud.capacity, 0)
@@ -99,113 +101,113 @@
     assert len(simulation.violations) == 1 and simulation.violations[0].startswith("unserved")
 
 
-def test_one_task_jobs_come_four_a_second_for_minutes_and_a_quarter_is_cancelled():
+def test_four_one_task_jobs_per_second_are_served_while_a_quarter_is_cancelled():
     simulation = Simulation(seed=12)
     simulation.run_until(simulation.leader)
-    answers, number = [], 0
+    requests, number = [], 0
     for second in range(150):
         for _ in range(4):
             number += 1
             team = "red" if number % 2 else "blue"
-            answers.append(simulation.submit(job(number, team=team, tasks=1, cpus=1.0, run_s=6.0)))
+            requests.append(simulation.submit(job(number, team=team, tasks=1, cpus=1.0, run_s=6.0)))
             simulation.run(0.25)
             if number % 4 == 0 and number > 8:
-                answers.append(simulation.cancel(f"req-{number - 8:06d}"))
+                requests.append(simulation.cancel(f"req-{number - 8:06d}"))
         if second in (50, 100):
             simulation.crash(simulation.leader(), 0.3)
         run_checked(simulation, 0.0)
-    # A controller that has just begun may refuse for a moment.
-    refused = [user for user in answers if user.status == 503]
-    assert len(refused) < 0.1 * len(answers)
+    # A controller that has just started may answer 503 for a moment.
+    refused = [request for request in requests if request.status == 503]
+    assert len(refused) < 0.1 * len(requests)
     simulation.check_service_levels(within=60.0)
     simulation.finish()
 
 
-# -- processes and machines that are back at once
+# -- processes and machines that restart at once
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_members_are_back_within_moments_in_mid_election_again_and_again(seed, partitioned):
-    # A process that is back has forgotten its promises and its campaign.
+def test_no_task_is_lost_when_members_restart_repeatedly_during_elections(seed, partitioned):
+    # A restarted process has forgotten its votes and its campaign.
     specs = [job(n, tasks=4, cpus=2.0, run_s=90.0) for n in range(1, 6)]
     simulation = started_simulation(specs, 20, partitioned=partitioned, seed=seed)
     starts, rng = simulation.starts, simulation.rng
-    for turn in range(6):
-        old = simulation.leader()
-        if old is not None:
-            simulation.crash(old, rng.choice([0.1, 0.3, 0.5]))
+    for round_number in range(6):
+        old_leader = simulation.leader()
+        if old_leader is not None:
+            simulation.crash(old_leader, rng.choice([0.1, 0.3, 0.5]))
         # While nobody leads, one or two members restart again, several times in a row.
         for _ in range(4):
             simulation.run(rng.uniform(0.05, 0.4))
             simulation.leader()
             simulation.check_owners()
-            for name in rng.sample(simulation.node_names, 1 + turn % 2):
+            for name in rng.sample(simulation.node_names, 1 + round_number % 2):
                 if simulation.leader() != name:
                     simulation.crash(name, rng.choice([0.1, 0.2, 0.5]))
         simulation.run_until(lambda: simulation.leader() is not None, simulation.lease_s)
         run_checked(simulation, rng.uniform(0.5, 4.0))
-    assert simulation.starts == starts, "a task was lost to a restart"
+    assert simulation.starts == starts, "a task was lost in a restart"
     simulation.finish()
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("back", [0.0, 0.2, 0.9])
-def test_machines_are_back_within_a_moment_with_nothing_on_them(back, partitioned):
-    # Same address, a later session: the tasks are gone and start again, here or elsewhere.
+def test_jobs_complete_when_machines_restart_empty_within_a_second(back, partitioned):
+    # Same address, a later agent session: the tasks are gone and start again on any machine.
     specs = [job(n, tasks=4, run_s=25.0, team="red" if n % 2 else "blue") for n in (1, 2, 3)]
     simulation = started_simulation(
         [*specs, gang(4, tasks=3, run_s=25.0)], 15, partitioned=partitioned
     )
-    for turn in range(3):
-        for worker in busy(simulation)[turn % 2 :: 2]:
+    for round_number in range(3):
+        for worker in busy_workers(simulation)[round_number % 2 :: 2]:
             worker.restart(back)
-        if turn == 1:
+        if round_number == 1:
             simulation.crash(simulation.leader(), 0.2)
-        simulation.submit(job(10 + turn, tasks=3, run_s=5.0))
+        simulation.submit(job(10 + round_number, tasks=3, run_s=5.0))
         run_checked(simulation, 3.0)
     simulation.finish()
 
 
-# -- machines that nothing reaches
+# -- unreachable machines
 
 
-@PARTED
-def test_deaf_machines_late_copies_and_a_new_leader(partitioned):
+@PARTITIONED_AND_NOT
+def test_jobs_complete_with_unreachable_machines_late_heartbeats_and_leader_crashes(partitioned):
     specs = [job(n, tasks=3, run_s=60.0, team="red" if n % 2 else "blue") for n in range(1, 5)]
     simulation = started_simulation(specs, 12, partitioned=partitioned)
     simulation.late_heartbeats = 0.5
-    for turn in range(3):
-        simulation.inbound_blocked = {w.name for w in busy(simulation)[turn::3]}
+    for round_number in range(3):
+        simulation.inbound_blocked = {w.name for w in busy_workers(simulation)[round_number::3]}
         simulation.run(simulation.rng.uniform(0.0, 3.0))
-        old = simulation.leader()
-        if old is not None:
-            simulation.crash(old, [0.2, 3.0, 8.0][turn])
-        simulation.cancel(f"req-{turn + 1:06d}")
+        old_leader = simulation.leader()
+        if old_leader is not None:
+            simulation.crash(old_leader, [0.2, 3.0, 8.0][round_number])
+        simulation.cancel(f"req-{round_number + 1:06d}")
         for n in range(4):
-            simulation.submit(job(10 + 4 * turn + n, tasks=2, cpus=2.0, run_s=8.0))
+            simulation.submit(job(10 + 4 * round_number + n, tasks=2, cpus=2.0, run_s=8.0))
             run_checked(simulation, 0.3 * simulation.lease_s)
     simulation.finish()
 
 
-@PARTED
-def test_an_old_report_reaches_every_controller_just_as_a_new_leader_begins(partitioned):
+@PARTITIONED_AND_NOT
+def test_late_heartbeats_reach_every_controller_as_a_new_leader_begins(partitioned):
     specs = [job(n, tasks=2, run_s=5.0 + 8.0 * n) for n in range(1, 7)]
     simulation = started_simulation(specs, 10, partitioned=partitioned)
-    for turn in range(4):
-        old = simulation.leader()
+    for round_number in range(4):
+        old_leader = simulation.leader()
         copies = [body for w in simulation.cloud.workers() for _, body in w.sent_heartbeats[-6::2]]
         simulation.run(1.5)
-        simulation.cancel(f"req-{6 - turn:06d}")
-        simulation.crash(old, 3.0)
-        wait_for_new_leader(simulation, old)
+        simulation.cancel(f"req-{6 - round_number:06d}")
+        simulation.crash(old_leader, 3.0)
+        wait_for_new_leader(simulation, old_leader)
         for _ in range(10):
             for body in copies:
                 for name in simulation.node_names:
                     simulation.deliver_late_heartbeat(name, body)
             simulation.run(0.1)
             simulation.check_derived_state()
-        simulation.submit(job(20 + turn, tasks=4, cpus=2.0, run_s=10.0))
+        simulation.submit(job(20 + round_number, tasks=4, cpus=2.0, run_s=10.0))
         run_checked(simulation, 6.0)
     simulation.finish()
 
@@ -213,124 +215,126 @@
 # -- late commands and writes
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_commands_of_a_leader_that_has_ended_or_been_deposed_arrive_late(seed, partitioned):
+def test_late_commands_of_old_leaders_start_no_task_past_the_cancellation_deadline(
+    seed, partitioned
+):
     specs = [job(n, tasks=3, run_s=40.0, team="red" if n % 2 else "blue") for n in range(1, 4)]
     simulation = started_simulation(specs, 9, partitioned=partitioned, seed=seed)
     simulation.late_commands = 0.5
-    for turn in range(6):
+    for round_number in range(6):
         for n in range(3):
-            number = 10 + 3 * turn + n
+            number = 10 + 3 * round_number + n
             make = gang if n == 2 else job
             simulation.submit(make(number, tasks=2, cpus=4.0, run_s=8.0))
         simulation.run(simulation.rng.uniform(0.0, 0.8))
-        old = simulation.leader()
-        if old is not None and turn % 3 == 0:
-            simulation.crash(old, 0.3)
-        elif old is not None and turn % 3 == 1:
-            simulation.isolate(old)
-        simulation.cancel(f"req-{10 + 3 * turn:06d}")
+        old_leader = simulation.leader()
+        if old_leader is not None and round_number % 3 == 0:
+            simulation.crash(old_leader, 0.3)
+        elif old_leader is not None and round_number % 3 == 1:
+            simulation.isolate(old_leader)
+        simulation.cancel(f"req-{10 + 3 * round_number:06d}")
         run_checked(simulation, 6.0)
         simulation.heal()
         simulation.kvstore_refuses.clear()
         run_checked(simulation, 2.0)
     simulation.finish()
-    assert not any(late > simulation.cancel_s for late in simulation.starts_after_cancel_s)
+    assert not any(delay_s > simulation.cancel_s for delay_s in simulation.starts_after_cancel_s)
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("seed", [1, 2])
-def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(seed, partitioned):
-    # A machine that the fleet's record doesn't know as up must run nothing yet: the next leader
-    # would not know to ask it.
+def test_jobs_complete_on_new_machines_when_writes_are_late_and_leaders_crash(seed, partitioned):
+    # A machine that the inventory hasn't recorded as up must run nothing yet: the next leader would
+    # not know that it has to wait for the machine's heartbeat.
     simulation = Simulation(seed=seed, partitioned=partitioned)
     simulation.cloud.boot_s = (0.5, 2.0)
     simulation.run_until(simulation.leader)
-    for turn in range(5):
+    for round_number in range(5):
         simulation.late_writes = 0.3
         for n in range(3):
-            number = 10 * turn + n + 1
+            number = 10 * round_number + n + 1
             team = "red" if n % 2 else "blue"
             simulation.submit(job(number, team=team, tasks=3, cpus=7.5, run_s=12.0))
         starts = simulation.starts
-        limit = simulation.now + 12.0
-        while simulation.starts < starts + 2 and simulation.now < limit:
+        deadline = simulation.now + 12.0
+        while simulation.starts < starts + 2 and simulation.now < deadline:
             simulation.run(0.1)
-        old = simulation.leader()
-        if old is not None:
-            simulation.crash(old, [0.2, 4.0][turn % 2])
+        old_leader = simulation.leader()
+        if old_leader is not None:
+            simulation.crash(old_leader, [0.2, 4.0][round_number % 2])
         run_checked(simulation, 5.0)
-        # Machines go, so that each turn rents new ones.
+        # Reclaim machines, so that each round provisions new ones.
         for worker in simulation.cloud.workers()[::2]:
             simulation.cloud.reclaim(worker.name)
         run_checked(simulation, 3.0)
     simulation.finish()
 
 
-@PARTED
-def test_transactions_are_carried_out_and_only_their_answers_are_lost(partitioned):
+@PARTITIONED_AND_NOT
+def test_jobs_complete_when_transactions_are_applied_but_their_answers_are_lost(partitioned):
     simulation = Simulation(seed=15, partitioned=partitioned)
     simulation.run_until(simulation.leader)
     simulation.lost_answers = 0.3
-    for n in range(1, 26):
-        spec = job(n, tasks=1 + n % 3, cpus=2.0, run_s=4.0 + n % 7)
+    for number in range(1, 26):
+        spec = job(number, tasks=1 + number % 3, cpus=2.0, run_s=4.0 + number % 7)
         simulation.submit(spec, "n0")
         simulation.run(0.02)
-        # Other nodes read what it wrote, and are told the same.
+        # Polls at other nodes read what this node wrote and must return the same.
         for name in ("n1", "n2"):
             if name in simulation.nodes:
-                simulation.poll(f"req-{n:06d}", name)
+                simulation.poll(f"req-{number:06d}", name)
         run_checked(simulation, 1.0)
-        if n % 4 == 0:
-            simulation.cancel(f"req-{n:06d}")
+        if number % 4 == 0:
+            simulation.cancel(f"req-{number:06d}")
             simulation.run(0.05)
-            simulation.poll(f"req-{n:06d}")
-        if n % 9 == 0:
+            simulation.poll(f"req-{number:06d}")
+        if number % 9 == 0:
             simulation.crash(simulation.rng.choice(["n1", "n2"]), 0.3)
         run_checked(simulation, 1.5)
-        if simulation.acknowledged.get(f"req-{n:06d}") is None:
+        if simulation.acknowledged.get(f"req-{number:06d}") is None:
             simulation.submit(spec)
     simulation.finish()
 
 
-# -- a day without cuts, with all the rest at once
+# -- all faults except network partitions, at the same time
 
 
-@PARTED
+@PARTITIONED_AND_NOT
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_random_troubles_meet_and_most_is_served(seed, partitioned):
+def test_most_jobs_are_served_in_time_under_random_coinciding_faults(seed, partitioned):
     simulation = Simulation(seed=seed, partitioned=partitioned)
-    rng, number = functools.partial(simulation.rng.random), 0
+    uniform, number = functools.partial(simulation.rng.random), 0
     simulation.run_until(simulation.leader)
     for second in range(180):
         if second % 3 == 0:
             number += 1
             make = gang if number % 7 == 0 else job
             team = "red" if number % 2 else "blue"
-            more = {"cpus": 8.0 if number % 5 == 0 else 2.0, "run_s": 6.0 + number % 11}
-            simulation.submit(make(number, team=team, tasks=2, **more))
+            spec_fields = {"cpus": 8.0 if number % 5 == 0 else 2.0, "run_s": 6.0 + number % 11}
+            simulation.submit(make(number, team=team, tasks=2, **spec_fields))
         if second % 20 == 0:
             simulation.end_faults()
-            simulation.late_commands, simulation.late_heartbeats = 0.3 * rng(), 0.3 * rng()
-            simulation.lost_answers, simulation.late_writes = 0.2 * rng(), 0.2 * rng()
-            simulation.kvstore_delay_s = 0.3 * rng()
-            chosen = [w for w in simulation.cloud.workers() if rng() < 0.15]
-            for worker in chosen:
+            simulation.late_commands, simulation.late_heartbeats = 0.3 * uniform(), 0.3 * uniform()
+            simulation.lost_answers, simulation.late_writes = 0.2 * uniform(), 0.2 * uniform()
+            simulation.kvstore_delay_s = 0.3 * uniform()
+            affected = [w for w in simulation.cloud.workers() if uniform() < 0.15]
+            for worker in affected:
                 fault = simulation.rng.randrange(4)
                 if fault == 0:
-                    worker.restart(rng())
+                    worker.restart(uniform())
                 elif fault == 1:
-                    worker.hang(rng() * 1.3 * simulation.lease_s)
+                    worker.hang(uniform() * 1.3 * simulation.lease_s)
                 elif fault == 2:
                     simulation.inbound_blocked.add(worker.name)
                 else:
                     simulation.outbound_blocked.add(worker.name)
         if second % 25 == 10 and simulation.leader():
-            if rng() < 0.4:
+            if uniform() < 0.4:
                 simulation.isolate(simulation.leader())
             else:
-                simulation.crash(simulation.leader(), 0.1 + 0.4 * rng())
+                simulation.crash(simulation.leader(), 0.1 + 0.4 * uniform())
         if second % 10 == 5:
             simulation.cancel(f"req-{simulation.rng.randint(1, number):06d}")
         run_checked(simulation, 1.0)
@@ -339,11 +343,12 @@
     assert not simulation.violations
 
 
-# -- guards, by hand
+# -- guards, tested on one scheduler
 
 
-def test_nothing_starts_on_a_machine_that_the_fleets_record_does_not_know_as_up():
-    # The next leader would not know to ask it. Holds `recorded` in `Machine.is_usable`.
+def test_no_task_starts_on_a_machine_that_the_inventory_has_not_recorded_as_up():
+    # The next leader would not know that it has to wait for its heartbeat. Guards `recorded` in
+    # `Machine.is_usable`.
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
     machine.recorded = False
@@ -355,17 +360,19 @@
     assert bench.take_calls("worker")
 
 
-def test_a_start_without_an_answer_is_settled_by_a_restart_of_its_machine():
-    # Holds `_session_over` in `ShardScheduler._take`: a later session can't carry it out, although
-    # the new process has seen no token that passes it.
+def test_unanswered_start_is_resolved_by_a_new_agent_session_of_its_machine():
+    # Guards `on_session_ended` in `HeartbeatHandler._apply_agent_epoch`: a later session can't
+    # execute the start, although the new process has seen no higher token.
     bench = SchedulerBench()
-    call, _ = bench.start_tasks()
-    call.on_done(bench.now, CallOutcome(0))
+    start_call, _ = bench.start_tasks()
+    start_call.on_done(bench.now, CallOutcome(0))
     bench.worker_heartbeat([])
-    assert bench.job.assigned == {0: "m-1"}, "it may yet be carried out"
+    assert bench.job.assigned == {0: "m-1"}, "the start may still be executed"
     bench.worker_heartbeat([], token=0, agent_epoch=2, sequence=1)
     assert bench.job.assigned == {}
     bench.worker_heartbeat(
         [("req-000001/0", 99, "running", None)], agent_epoch=1, sequence=bench.sequence + 1
     )
-    assert bench.job.assigned == {}, "an older session says nothing of the new one"
+    assert bench.job.assigned == {}, (
+        "a heartbeat of an older session must not change the state of the new one"
+    )
