--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -1,4 +1,4 @@
-"""Where and when gangs start: as a whole, in the zones they may use, and none starved."""
+"""Placement of gangs: all tasks start together, in the permitted zones, and none starves."""
 
 import functools
 import json
@@ -18,10 +18,10 @@
     task_records,
 )
 from tests.request_bodies import gang, job
-from tests.test_gangs import send
+from tests.test_gangs import submit_body
 
 
-def test_a_gang_beyond_its_teams_limit_can_never_run():
+def test_gangs_that_can_never_run_are_rejected():
     simulation = simulation_with_jobs(
         gang(1, tasks=4, cpus=16.0), gang(2, team="blue", tasks=12, cpus=4.0)
     )
@@ -37,19 +37,19 @@
         (gang(1, tasks=4, cpus=16.0), 200),
         (gang(1, tasks=9, cpus=16.0), 200),
     ]:
-        for again in (False, True):
+        for is_repeat in (False, True):
             if status == 201:
                 simulation.specs[spec["id"]] = spec
-            ask = functools.partial(send, simulation, json.dumps(spec).encode())
-            user = simulation.request(ask, "n1" if again else "n2")
+            send_request = functools.partial(submit_body, simulation, json.dumps(spec).encode())
+            submission = simulation.request(send_request, "n1" if is_repeat else "n2")
             simulation.run(1)
-            assert user.status == (200 if again and status == 201 else status), spec["id"]
+            assert submission.status == (200 if is_repeat and status == 201 else status), spec["id"]
     simulation.run_until(all_done(simulation, 1, 2), 200)
     check_invariants(simulation)
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
-def test_two_gangs_for_the_last_room_run_one_after_the_other(partitioned):
+def test_two_gangs_competing_for_the_last_capacity_run_one_after_the_other(partitioned):
     simulation = simulation_with_jobs(
         gang(1, cpus=8.0),
         gang(2, team="blue", cpus=8.0),
@@ -66,9 +66,9 @@
     check_invariants(simulation)
 
 
-# Guards what is held for a gang: of its team's limit (blue), and of the machines (red).
+# Guards what is reserved for a gang: part of its team's limit (blue) and machine capacity (red).
 @pytest.mark.parametrize("team", ["blue", "red"])
-def test_a_large_gang_and_a_stream_of_small_arrays_starve_neither(team):
+def test_large_gang_and_stream_of_small_arrays_do_not_starve_each_other(team):
     simulation = simulation_with_jobs(job(1, team=team, run_s=5.0), capacity={("a", True): 3})
     for number in range(2, 20):
         simulation.submit(job(number, team=team, run_s=5.0))
@@ -84,7 +84,7 @@
     check_invariants(simulation)
 
 
-def test_an_array_is_not_starved_by_a_stream_of_gangs():
+def test_array_is_not_starved_by_a_stream_of_gangs():
     simulation = simulation_with_jobs(gang(1, team="blue", tasks=6), capacity={("a", True): 3})
     for number in range(2, 60):
         simulation.submit(gang(number, team="blue", tasks=6, run_s=8.0))
@@ -97,7 +97,7 @@
     check_invariants(simulation)
 
 
-def test_a_gang_whose_zone_loses_its_machines_starts_in_another():
+def test_gang_restarts_in_another_zone_when_its_zone_loses_all_machines():
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0))
     simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(7.0)
@@ -107,13 +107,13 @@
     for name in [n for n, m in simulation.cloud.machines.items() if m["place"][0] == zone]:
         simulation.cloud.reclaim(name)
     simulation.run_until(all_running(simulation, 1), 120)
-    (other,) = {w.zone for w, _, _ in task_records(simulation, 1)}
-    assert other != zone and saved_progress(simulation, 1) == 5.0
+    (other_zone,) = {w.zone for w, _, _ in task_records(simulation, 1)}
+    assert other_zone != zone and saved_progress(simulation, 1) == 5.0
     simulation.run_until(all_done(simulation, 1), 90)
     check_invariants(simulation)
 
 
-def test_a_spread_gang_starts_whole_in_several_zones():
+def test_spread_gang_starts_all_tasks_across_several_zones():
     simulation = simulation_with_jobs(gang(1, tasks=5, cpus=12.0, same_place=False, spread=True))
     simulation.run_until(all_running(simulation, 1), 60)
     zones = [w.zone for w, _, _ in task_records(simulation, 1)]
@@ -124,14 +124,14 @@
 
 
 @pytest.mark.parametrize("one_zone", [False, True])
-def test_a_gang_takes_room_in_different_zones_only_if_it_may(one_zone):
+def test_gang_uses_several_zones_only_if_it_is_not_bound_to_one(one_zone):
     simulation = simulation_with_jobs(
         gang(1, tasks=3, cpus=14.0, same_place=one_zone), capacity={(z, True): 1 for z in "abc"}
     )
     if one_zone:
         for _ in range(60):
             simulation.run(1)
-            assert not count_present_tasks(simulation, 1), "placed whole or not at all"
+            assert not count_present_tasks(simulation, 1), "part of the gang was placed"
         assert poll_body(simulation, 1)["status"] == "queued"
         simulation.cloud.capacity["b", False] = 3
     simulation.run_until(all_running(simulation, 1), 90)
@@ -141,7 +141,7 @@
     check_invariants(simulation)
 
 
-# Guards what a gang allows: each shape is told by the machines that it asks for and runs on.
+# Guards the placement constraints of gangs: the machines that each requests and runs on show them.
 @pytest.mark.parametrize(
     ("shape", "zones", "spot"),
     [
@@ -151,20 +151,22 @@
         ({"borrowed": False}, 1, False),
         ({"tasks": 1, "spread": True}, 1, True),
         ({"tasks": 2, "same_place": False, "spread": True}, 2, True),
-        # Larger than any one zone, where three cheap machines and no other can be rented.
+        # Larger than any one zone, in which only three spot machines can be provisioned.
         ({"tasks": 4, "same_place": False}, 2, True),
     ],
 )
-def test_each_shape_of_gang_runs_where_it_may(shape, zones, spot):
-    capacity = {(z, s): 3 for z in "abc" for s in (True, False) if s or not spot}
+def test_gang_runs_on_machines_that_its_placement_constraints_allow(shape, zones, spot):
+    capacity = {
+        (zone, is_spot): 3 for zone in "abc" for is_spot in (True, False) if is_spot or not spot
+    }
     simulation = simulation_with_jobs(capacity=capacity)
-    # A cheaper type that the gang doesn't name.
+    # A cheaper machine type that the gang doesn't permit.
     crate = {**MACHINE_TYPE, "name": "crate", "price": 0.5, "low_price": 0.1}
     simulation.cloud.machine_types = [MACHINE_TYPE, crate] if "racks" in shape else [MACHINE_TYPE]
     for name in simulation.node_names:
         simulation.crash(name, 0.1)
     simulation.run_until(simulation.leader, 40)
-    # Leaves idle machines in a zone that the gang may not be allowed.
+    # This job leaves idle machines in a zone that the gang may not be permitted to use.
     simulation.submit(job(2, tasks=3, cpus=16.0, hall="a", run_s=1.0))
     simulation.run_until(all_done(simulation, 2), 60)
     simulation.submit(gang(1, **{"tasks": 3, "cpus": 16.0, **shape}))
@@ -179,8 +181,9 @@
     check_invariants(simulation)
 
 
-# Guards the bound on a wait beside room: with gangs of all shapes and single tasks of both teams.
-def test_no_gang_waits_beside_room_for_it():
+# Guards the bound on the time that a gang waits beside free capacity, with gangs of all placement
+# constraints and arrays of both teams.
+def test_no_gang_waits_long_while_capacity_for_it_is_free():
     simulation, waits, number = simulation_with_jobs(capacity={(z, True): 2 for z in "abc"}), {}, 0
     for second in range(240):
         if second < 150 and second % 6 == 0:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all tasks of a job run together or none does. Stories played by real cores."""
+"""Gangs, whose tasks all run together or not at all: scenarios with the cores of controllers."""
 
 import functools
 import random
@@ -21,7 +21,7 @@
 from tests.simulation import Simulation
 
 
-def test_a_gang_starts_whole_and_is_told_done():
+def test_gang_starts_all_tasks_together_and_is_reported_done():
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=15.0))
     simulation.image_pull_s["req-000001/3"] = 6.0
     polls = 0
@@ -49,18 +49,18 @@
     check_invariants(simulation)
 
 
-def send(simulation, body, user_api, user):
-    user_api.submit(simulation.now, user, body)
+def submit_body(simulation, body, user_api, request):
+    user_api.submit(simulation.now, request, body)
 
 
 @pytest.mark.parametrize("state", ["room", "pulling", "gathering", "running"])
-def test_a_cancelled_gang_is_gone_in_every_state(state):
+def test_cancellation_stops_a_gang_in_every_state(state):
     simulation = simulation_with_jobs(
         gang(1, run_s=300.0, cpus=12.0),
         capacity={} if state == "room" else {("a", True): 3, ("a", False): 3},
     )
     simulation.image_pull_s.update(
-        {f"req-000001/{i}": 8.0 for i in range(4)}
+        {f"req-000001/{index}": 8.0 for index in range(4)}
         if state == "pulling"
         else {"req-000001/2": 8.0}
         if state == "gathering"
@@ -70,9 +70,9 @@
         simulation.run_until(
             lambda: count_tasks(simulation, 1, state) >= (4 if state == "running" else 2), 60
         )
-    user = simulation.cancel("req-000001")
-    simulation.run_until(lambda: user.status is not None, 5)
-    assert (user.status, user.body["status"]) == (200, "withdrawn")
+    cancellation = simulation.cancel("req-000001")
+    simulation.run_until(lambda: cancellation.status is not None, 5)
+    assert (cancellation.status, cancellation.body["status"]) == (200, "withdrawn")
     simulation.run_until(lambda: not count_present_tasks(simulation, 1), 5)
     starts = simulation.starts
     simulation.cloud.capacity = dict.fromkeys(simulation.cloud.capacity, 3)
@@ -88,7 +88,7 @@
     check_invariants(simulation)
 
 
-def test_a_member_lost_before_the_start_is_replaced_under_the_same_attempt():
+def test_task_lost_before_the_gang_starts_is_replaced_under_the_same_attempt():
     simulation = simulation_with_jobs(gang(1, cpus=12.0))
     simulation.image_pull_s["req-000001/3"] = 20.0
     simulation.run_until(lambda: count_tasks(simulation, 1, "gathering") == 3, 60)
@@ -101,26 +101,30 @@
 
 
 @pytest.mark.parametrize("partitioned", [False, True])
-def test_a_gang_that_loses_a_member_goes_on_from_its_checkpoint(partitioned):
+def test_gang_that_loses_a_running_task_resumes_from_its_checkpoint(partitioned):
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0), partitioned=partitioned)
     simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(13.0)
-    first = attempts(simulation, 1)
+    attempts_before = attempts(simulation, 1)
     victim = task_records(simulation, 1)[0][0]
     simulation.cloud.reclaim(victim.name)
     simulation.run_until(
         lambda: len(attempts(simulation, 1)) == 2 and all_running(simulation, 1)(), 90
     )
-    (gone, again) = attempts(simulation, 1)
-    assert [gone] == first and again > gone
-    # The simulation itself fails the test when the attempts overlap on machines.
-    assert simulation.gangs["req-000001", again].progress >= saved_progress(simulation, 1) == 10.0
+    (first_attempt, second_attempt) = attempts(simulation, 1)
+    assert [first_attempt] == attempts_before and second_attempt > first_attempt
+    # The simulation records a violation if the attempts overlap on machines.
+    assert (
+        simulation.gangs["req-000001", second_attempt].progress
+        >= saved_progress(simulation, 1)
+        == 10.0
+    )
     simulation.run_until(all_done(simulation, 1), 90)
     assert len(attempts(simulation, 1)) == 2 and not simulation.gave_up_waiting
     check_invariants(simulation)
 
 
-def test_a_gang_with_a_machine_that_hangs_begins_again():
+def test_gang_restarts_from_its_checkpoint_when_one_machine_hangs():
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0))
     simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(7.0)
@@ -131,18 +135,18 @@
     check_invariants(simulation)
 
 
-def test_a_gang_that_gave_up_alone_begins_a_new_attempt():
+def test_gang_whose_tasks_gave_up_waiting_for_the_rest_begins_a_new_attempt():
     simulation = simulation_with_jobs(gang(1, cpus=12.0), gang_wait_s=15.0)
     simulation.image_pull_s["req-000001/3"] = 40.0
     simulation.run_until(lambda: simulation.gave_up_waiting, 90)
     simulation.image_pull_s.clear()
     simulation.run_until(all_done(simulation, 1), 120)
-    (first, *more) = attempts(simulation, 1)
-    assert simulation.gave_up_waiting == {("req-000001", first)} and more
+    (first_attempt, *later_attempts) = attempts(simulation, 1)
+    assert simulation.gave_up_waiting == {("req-000001", first_attempt)} and later_attempts
     check_invariants(simulation)
 
 
-def test_a_notice_on_one_machine_saves_the_whole_gang():
+def test_reclaim_notice_on_one_machine_checkpoints_the_whole_gang():
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=60.0, proof_s=100.0, flush_s=2.0))
     simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(12.0)
@@ -156,7 +160,7 @@
     check_invariants(simulation)
 
 
-def test_a_gang_that_gives_way_to_higher_work_is_saved():
+def test_preempted_gang_is_checkpointed():
     simulation = simulation_with_jobs(
         gang(1, team="blue", run_s=200.0, proof_s=500.0, urgency="low"), capacity={("a", True): 3}
     )
@@ -171,7 +175,7 @@
 
 @pytest.mark.parametrize("crash", ["leader", "all"])
 @pytest.mark.parametrize("state", ["gathering", "running", "flushing"])
-def test_controllers_crash_in_each_state_of_a_gang(state, crash):
+def test_gang_completes_when_controllers_crash_in_each_of_its_states(state, crash):
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=30.0, flush_s=3.0))
     if state == "gathering":
         simulation.image_pull_s["req-000001/1"] = 10.0
@@ -195,7 +199,7 @@
     check_invariants(simulation)
 
 
-def test_late_reports_of_an_older_attempt_count_for_nothing():
+def test_late_heartbeats_of_an_older_attempt_are_ignored():
     simulation = simulation_with_jobs(gang(1, cpus=12.0, run_s=40.0))
     simulation.run_until(all_running(simulation, 1), 60)
     simulation.run(6.0)
@@ -223,7 +227,7 @@
 
 
 @pytest.mark.parametrize("exit_cause", ["no_room", "in_use", "unknown", "error"])
-def test_a_member_that_is_refused_or_fails_is_replaced(exit_cause):
+def test_task_that_is_refused_or_fails_before_the_gang_starts_is_replaced(exit_cause):
     simulation = simulation_with_jobs(gang(1, cpus=12.0))
     simulation.image_pull_s["req-000001/0"] = 5.0
     if exit_cause == "error":
@@ -242,26 +246,26 @@
 
 
 @pytest.mark.parametrize("state", ["gathering", "running"])
-def test_an_owners_crash_costs_no_running_gang(state):
+def test_running_gang_survives_a_crash_of_its_shard_owner(state):
     simulation = Simulation(partitioned=True)
 
-    def holders():
-        entitled = [
+    def shard_owners():
+        owners = [
             (scheduler.shard, name)
             for name, node in simulation.nodes.items()
             for scheduler in node.schedulers
             if scheduler.has_authority(simulation.now)
         ]
-        return dict(entitled)
+        return dict(owners)
 
-    simulation.run_until(lambda: simulation.leader() and len(holders()) == 2, 20)
+    simulation.run_until(lambda: simulation.leader() and len(shard_owners()) == 2, 20)
     for number, team in ((1, "red"), (2, "blue")):
         simulation.submit(gang(number, team=team, run_s=40.0))
         if state == "gathering":
             simulation.image_pull_s[f"req-{number:06d}/0"] = 25.0
     simulation.run_until(lambda: all(count_tasks(simulation, n, state) >= 3 for n in (1, 2)), 60)
     starts = simulation.starts
-    simulation.crash(holders()[0], 6.0)
+    simulation.crash(shard_owners()[0], 6.0)
     simulation.run_until(all_done(simulation, 1, 2), 200)
     if state == "running":
         assert simulation.starts == starts
@@ -271,7 +275,7 @@
 
 @pytest.mark.parametrize("partitioned", [False, True])
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_random_days_with_gangs_keep_every_rule(seed, partitioned):
+def test_invariants_hold_with_gangs_under_random_faults(seed, partitioned):
     simulation, rng, number = (
         Simulation(seed=seed, partitioned=partitioned),
         random.Random(2000 + seed),
@@ -282,12 +286,12 @@
     while simulation.now < end:
         simulation.run(rng.uniform(0.5, 4.0))
         check_invariants(simulation)
-        act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
-        if act < 0.45 and names:
+        draw, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
+        if draw < 0.45 and names:
             number += 1
-            make = gang if rng.random() < 0.6 else functools.partial(job, same_place=False)
+            make_spec = gang if rng.random() < 0.6 else functools.partial(job, same_place=False)
             simulation.submit(
-                make(
+                make_spec(
                     number,
                     team=rng.choice(["red", "blue"]),
                     tasks=rng.randint(1, 6),
@@ -297,20 +301,20 @@
                     urgency=rng.choice(["high", "normal", "low"]),
                 )
             )
-        elif act < 0.55 and number and names:
+        elif draw < 0.55 and number and names:
             simulation.cancel(f"req-{rng.randint(1, number):06d}")
-        elif act < 0.65 and names:
+        elif draw < 0.65 and names:
             simulation.crash(rng.choice(names), rng.choice([0.1, 0.4, 2.0, 6.0]))
-        elif act < 0.75 and len(names + workers) > 1:
+        elif draw < 0.75 and len(names + workers) > 1:
             for _ in range(rng.randint(1, 4)):
                 simulation.cut(*rng.sample(names + [w.name for w in workers] + ["state"], 2))
-        elif act < 0.85:
+        elif draw < 0.85:
             simulation.heal()
         elif workers:
             worker = rng.choice(workers)
-            if act < 0.91:
+            if draw < 0.91:
                 simulation.cloud.reclaim(worker.name)
-            elif act < 0.96:
+            elif draw < 0.96:
                 worker.hang(rng.uniform(0.5, 10.0))
             else:
                 worker.reclaim_notice_s = 10.0
@@ -318,9 +322,9 @@
     simulation.heal()
     simulation.run_until(
         lambda: all(
-            f"d/job/{j}" in simulation.kvstore.data
-            for j in simulation.acknowledged
-            if j not in simulation.cancelled
+            f"d/job/{job_id}" in simulation.kvstore.data
+            for job_id in simulation.acknowledged
+            if job_id not in simulation.cancelled
         ),
         500,
     )
