--- a/tests/test_leader_failures.py
+++ b/tests/test_leader_failures.py
@@ -83,8 +83,8 @@
 
 @pytest.mark.parametrize("back", [0.3, 5.0])
 def test_cancellation_without_a_leader_stops_the_tasks(back):
-    # Guards the stop of tasks whose job is completed, in `TaskReconciler._match_job` and
-    # `TaskStatusHandler`: the new leader has never seen the cancelled job.
+    # Guards the stop of tasks whose job has ended, in `TaskReconciler._match_job` and
+    # `TaskStatusHandler._on_active`: the new leader has never seen the cancelled job.
     simulation = started_simulation([job(n, tasks=3, run_s=400.0) for n in (1, 2)], 6)
     simulation.crash(simulation.leader(), back)
     requests = [simulation.cancel(f"req-{n:06d}") for n in (1, 2)]
--- a/tests/test_one_team.py
+++ b/tests/test_one_team.py
@@ -16,15 +16,15 @@
     return Simulation(seed=seed, lease_s=10.0, cancel_s=30.0, deployment=ONE_TEAM)
 
 
-def test_an_amount_of_zero_stands_for_no_limit():
-    # Read as a limit of nothing, every submission got 422 and nothing ran.
-    solo = settings_module.parse(raw_settings(deployment=ONE_TEAM)).cluster.teams[0]
-    assert (solo.cpus_limit, solo.gpus_limit) == (math.inf, math.inf)
-    red = settings_module.parse(raw_settings()).cluster.teams[0]
-    assert red.cpus_limit == 64.0
+def test_team_amount_of_zero_means_no_limit():
+    # When zero was read as a limit of zero, every submission got 422 and nothing ran.
+    team_without_limit = settings_module.parse(raw_settings(deployment=ONE_TEAM)).cluster.teams[0]
+    assert (team_without_limit.cpus_limit, team_without_limit.gpus_limit) == (math.inf, math.inf)
+    team_with_limit = settings_module.parse(raw_settings()).cluster.teams[0]
+    assert team_with_limit.cpus_limit == 64.0
 
 
-def test_a_team_without_a_limit_uses_all_machines():
+def test_team_without_a_limit_uses_all_machines():
     simulation = simulate()
     simulation.run_until(simulation.leader)
     accepted = [
@@ -32,17 +32,17 @@
         simulation.submit(job(2, team="solo", tasks=12, cpus=32.0, run_s=40.0)),
     ]
     infeasible = simulation.submit(job(3, team="solo", cpus=65.0))
-    infeasible_there = simulation.submit(job(4, team="solo", cpus=32.0, hall="b"))
+    infeasible_in_zone = simulation.submit(job(4, team="solo", cpus=32.0, hall="b"))
     simulation.run(2)
-    assert [user.status for user in accepted] == [201, 201]
-    # No type that is offered holds it; the larger type isn't offered in that zone.
-    assert (infeasible.status, infeasible_there.status) == (422, 422)
+    assert [request.status for request in accepted] == [201, 201]
+    # No offered type is large enough for job 3; zone b doesn't offer the larger type for job 4.
+    assert (infeasible.status, infeasible_in_zone.status) == (422, 422)
     simulation.run_until(lambda: len(simulation.cloud.workers()) == 21, 120)
     simulation.finish()
 
 
 def inject_fault(simulation, rng):
-    """Now and then something fails."""
+    """Inject a random fault in about one of four calls."""
     draw, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
     if draw < 0.05 and names:
         simulation.crash(rng.choice(names), rng.choice([0.1, 0.4, 4.0]))
@@ -73,11 +73,12 @@
         simulation.end_faults()
 
 
-SHAPES = [(32.0, "slow"), (40.0, "slow"), (8.0, "mixed"), (4.0, "quick"), (4.0, "quick")]
+# CPUs per task and the class of the job.
+CPUS_AND_CLASSES = [(32.0, "slow"), (40.0, "slow"), (8.0, "mixed"), (4.0, "quick"), (4.0, "quick")]
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_random_days_of_one_team_keep_every_rule(seed):
+def test_invariants_hold_for_one_team_under_random_faults(seed):
     simulation, rng, number = simulate(seed), random.Random(3000 + seed), 0
     simulation.run_until(simulation.leader)
     for _ in range(200):
@@ -91,7 +92,7 @@
             continue
         if rng.random() < 0.3:
             number += 1
-            cpus, job_class = rng.choice(SHAPES)
+            cpus, job_class = rng.choice(CPUS_AND_CLASSES)
             simulation.submit(
                 job(
                     number,
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -1,4 +1,4 @@
-"""Random days of failures and requests: no rule is broken, and all work is done in the end."""
+"""Random faults and requests: invariants hold throughout, and all jobs are completed in the end."""
 
 import functools
 import random
@@ -10,29 +10,29 @@
 
 
 def inject_fault(simulation, rng):
-    """Now and then one of the faults that meet others; about one in eight steps."""
-    act, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
-    if act < 0.02:
+    """Inject a fault that may coincide with others, in about one of eight steps."""
+    draw, names, workers = rng.random(), sorted(simulation.nodes), simulation.cloud.workers()
+    if draw < 0.02:
         simulation.late_writes = rng.choice([0.0, 0.3])
-    elif act < 0.04:
+    elif draw < 0.04:
         simulation.late_heartbeats = rng.choice([0.0, 0.4])
-    elif act < 0.06 and workers:
+    elif draw < 0.06 and workers:
         zone = rng.choice("abc")
         simulation.outbound_blocked = {
             w.name for w in workers if w.zone == zone or rng.random() < 0.1
         }
-    elif act < 0.09 and workers:
+    elif draw < 0.09 and workers:
         for worker in rng.sample(workers, min(3, len(workers))):
             worker.hang(rng.uniform(1.0, 1.4 * simulation.lease_s))
-    elif act < 0.105 and names:
+    elif draw < 0.105 and names:
         simulation.isolate(rng.choice(names))
-    elif act < 0.115:
+    elif draw < 0.115:
         simulation.kvstore_delay_s = rng.choice([0.0, 0.5])
-    elif act < 0.125 and names:
+    elif draw < 0.125 and names:
         for name in names:
             simulation.crash(name, rng.choice([0.1, 0.5, 1.5 * simulation.lease_s]))
-    elif act < 0.15 and simulation.completed:
-        # A question, a repeated submission or a cancellation of a job that is done or ends now.
+    elif draw < 0.15 and simulation.completed:
+        # Poll, submit again and cancel a job that is completed or about to be.
         job_id = max(simulation.completed).split("/")[0]
         if names:
             simulation.poll(job_id)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("partitioned", [False, True])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_random_days_keep_every_rule(seed, partitioned):
+def test_invariants_hold_and_jobs_complete_under_random_faults(seed, partitioned):
     simulation = Simulation(seed=seed, partitioned=partitioned)
     rng = random.Random(1000 + seed)
     simulation.run_until(simulation.leader)
@@ -55,9 +55,9 @@
         simulation.check_cancelled()
         simulation.check_derived_state()
         inject_fault(simulation, rng)
-        act = rng.random()
+        draw = rng.random()
         names = sorted(simulation.nodes)
-        if act < 0.45 and names:
+        if draw < 0.45 and names:
             number += 1
             simulation.submit(
                 job(
@@ -72,31 +72,31 @@
                     borrowed=rng.random() < 0.8,
                 )
             )
-        elif act < 0.55 and number and names:
+        elif draw < 0.55 and number and names:
             simulation.cancel(f"req-{rng.randint(1, number):06d}")
-        elif act < 0.70 and number and names:
+        elif draw < 0.70 and number and names:
             simulation.poll(f"req-{rng.randint(1, number):06d}")
-        elif act < 0.78 and names:
+        elif draw < 0.78 and names:
             simulation.crash(rng.choice(names), rng.choice([0.1, 0.4, 2.0, 6.0]))
-        elif act < 0.86:
-            ends = names + [w.name for w in simulation.cloud.workers()] + ["state"]
-            if len(ends) > 1:
+        elif draw < 0.86:
+            endpoints = names + [w.name for w in simulation.cloud.workers()] + ["state"]
+            if len(endpoints) > 1:
                 for _ in range(rng.randint(1, 6)):
-                    simulation.cut(*rng.sample(ends, 2))
-        elif act < 0.89:
+                    simulation.cut(*rng.sample(endpoints, 2))
+        elif draw < 0.89:
             for worker in simulation.cloud.workers():
                 if worker.sent_heartbeats and names and rng.random() < 0.5:
-                    # A late copy of a report, to any controller.
+                    # A late copy of a heartbeat, to any controller.
                     _, body = rng.choice(worker.sent_heartbeats[-40:])
-                    late = functools.partial(
+                    deliver_copy = functools.partial(
                         simulation.deliver_late_heartbeat, rng.choice(names), body
                     )
-                    simulation.after(rng.uniform(0.5, 2.0 * simulation.lease_s), late)
-        elif act < 0.90 and simulation.cloud.workers():
+                    simulation.after(rng.uniform(0.5, 2.0 * simulation.lease_s), deliver_copy)
+        elif draw < 0.90 and simulation.cloud.workers():
             simulation.inbound_blocked = {rng.choice(simulation.cloud.workers()).name}
-        elif act < 0.93:
+        elif draw < 0.93:
             simulation.end_faults()
-        elif act < 0.955:
+        elif draw < 0.955:
             simulation.outage(rng.uniform(2, 20))
         elif simulation.cloud.machines:
             simulation.cloud.reclaim(rng.choice(sorted(simulation.cloud.machines)))
@@ -105,17 +105,21 @@
         simulation.run(1.0)
         simulation.check_starvation()
     simulation.check_cancelled()
-    accepted = {j for j, status in simulation.acknowledged.items() if j not in simulation.cancelled}
-    polls = {j: simulation.poll(j) for j in sorted(accepted)}
+    accepted = {
+        job_id
+        for job_id, status in simulation.acknowledged.items()
+        if job_id not in simulation.cancelled
+    }
+    polls = {job_id: simulation.poll(job_id) for job_id in sorted(accepted)}
     simulation.run(3.0)
-    silent = [j for j, poll in polls.items() if poll.status != 200]
-    assert not silent, f"forgotten: {silent}"
+    unanswered = [job_id for job_id, poll in polls.items() if poll.status != 200]
+    assert not unanswered, f"accepted jobs whose poll was not answered with 200: {unanswered}"
     for _ in range(400):
         simulation.run(1.0)
         simulation.check_starvation()
-        if all(f"d/job/{j}" in simulation.kvstore.data for j in accepted):
+        if all(f"d/job/{job_id}" in simulation.kvstore.data for job_id in accepted):
             break
-    left = [j for j in accepted if f"d/job/{j}" not in simulation.kvstore.data]
-    assert not left, [simulation.specs[j] for j in left]
+    incomplete = [job_id for job_id in accepted if f"d/job/{job_id}" not in simulation.kvstore.data]
+    assert not incomplete, [simulation.specs[job_id] for job_id in incomplete]
     assert not simulation.violations
     assert simulation.starts > 20
