--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,6 +1,6 @@
-"""Guards of the schedulers and the election, each alone.
+"""Safeguards of the schedulers and the election, each tested in isolation.
 
-Each of these tests was seen to fail with the guard that it names taken out.
+Each of these tests was seen to fail when the safeguard that its comment names was removed on trial.
 """
 
 import json
@@ -34,16 +34,21 @@
             sequence,
             token,
             None,
-            [TaskStatus(t, a, s, w) for t, a, s, w in tasks],
+            [
+                TaskStatus(task_id, attempt, status, cause)
+                for task_id, attempt, status, cause in tasks
+            ],
         )
     )
 
 
-def test_the_end_of_an_old_lease_does_not_free_the_tasks_of_a_new_session():
-    # Holds `machine.last_answer_at` at a change of agent epoch in `HeartbeatHandler.apply`.
+def test_lease_expiry_of_old_agent_epoch_does_not_free_tasks_of_new_epoch():
+    # Guards the renewal of `machine.last_answer_at` when the agent epoch changes, in
+    # `HeartbeatHandler._apply_agent_epoch`. Otherwise the expiry of the former epoch's lease would
+    # free tasks that run in the new epoch.
     bench = SchedulerBench()
     machine = bench.adopt_machine("m-9", contact=MachineContact("10.0.0.8:1", 3, 0))
-    taken = bench.now
+    taken_over_at = bench.now
     bench.now += 11.9
     bench.scheduler.tick(bench.now)
     for status, token, sequence in ((409, 1, 7), (200, machine.base_token, 8)):
@@ -57,14 +62,15 @@
     call.on_done(
         bench.now, CallOutcome(200, heartbeat_body("m-9", tasks, machine.base_token, 4, 9))
     )
-    bench.scheduler.scan(taken + bench.scheduler.timing.lease_s + 0.1)
+    bench.scheduler.scan(taken_over_at + bench.scheduler.timing.lease_s + 0.1)
     assert bench.job.assigned == {0: "m-9"}
     bench.scheduler.scan(bench.now + bench.scheduler.timing.lease_s + 0.1)
     assert bench.job.assigned == {}
 
 
-def test_answers_to_commands_do_not_pass_for_reports():
-    # Holds `full` in `_take`: a machine that only answers commands loses all it is given.
+def test_answers_to_commands_do_not_count_as_heartbeats():
+    # Guards `unsolicited` in `HeartbeatHandler._apply_agent_epoch`: a machine that answers commands
+    # but sends no heartbeats must count as unresponsive, since it loses all tasks started on it.
     bench = SchedulerBench()
     machine = bench.scheduler.machines["m-1"]
     for second in range(1, 4):
@@ -74,18 +80,20 @@
             bench.now, machine, bench.heartbeat([], sequence=bench.sequence + second), False
         )
     assert not machine.is_usable(bench.now, bench.scheduler.timing.heartbeat_timeout_s)
-    # Yet a copy of what it said before is bounded by the newest message, not the newest report.
+    # The answer to a late copy of an earlier heartbeat can renew the lease up to the newest message
+    # of any kind, not only up to the newest heartbeat.
     bench.scheduler.worker_heartbeat(bench.now, bench.heartbeat([], sequence=1))
     assert machine.last_answer_at == bench.now
 
 
-@pytest.mark.parametrize("turn", [1, -1])
-def test_an_ended_attempt_that_was_not_cleared_does_not_free_the_one_that_runs(turn):
-    # Holds `_alone`. A task was stopped, started again where it was, and the leader changed.
+@pytest.mark.parametrize("list_step", [1, -1])
+def test_an_exited_attempt_not_cleared_yet_does_not_free_the_running_attempt(list_step):
+    # Guards `is_current`. A task was stopped and started again on the same machine, and then the
+    # leader changed. The new leader learns of both attempts from one heartbeat, in either order.
     bench = SchedulerBench()
     bench.add_job(version=40)
     bench.worker_heartbeat(
-        [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::turn]
+        [("req-000001/0", 5, "exited", "halted"), ("req-000001/0", 6, "running", None)][::list_step]
     )
     assert bench.job.assigned == {0: "m-1"}
     bench.worker_heartbeat([("req-000001/0", 6, "running", None)])
@@ -94,8 +102,9 @@
     assert bench.job.assigned == {}
 
 
-def test_ends_that_an_earlier_owner_stored_are_not_written_over():
-    # Holds the loop over `jobs.completion_records` in `CompletionStore._include_late`.
+def test_completions_stored_by_an_earlier_owner_are_not_overwritten():
+    # Guards the loop over `job_table.completion_records` in `CompletionStore._include_late`.
+    # Without it, the page would be written without completions that an earlier owner stored in it.
     bench = SchedulerBench()
     bench.add_job(1, tasks=2)
     bench.add_job(2, tasks=2)
@@ -112,11 +121,12 @@
     assert set(body["writes"][0]["value"]) == {"req-000001", "req-000002"}
 
 
-@pytest.mark.parametrize("settles", ["lease ended", "token moved"])
-def test_a_member_whose_campaign_may_yet_be_carried_out_does_not_vote(settles):
-    # Holds `Campaign.unresolved_leases` in `LeaderElection._may_vote`: the late win would make this
-    # member, restarted, take its votes for its own, while the leader that it gave them to relies on
-    # them.
+@pytest.mark.parametrize("resolved_by", ["lease ended", "token moved"])
+def test_a_member_whose_campaign_may_still_be_applied_does_not_vote(resolved_by):
+    # Guards the check of `Campaign.unresolved_leases` in `LeaderElection._may_vote`. If the
+    # transaction were applied late, this member would be the winner of the last token. After a
+    # restart it would treat its votes as given to itself and not wait for them to expire, while the
+    # leader to which it gave them relies on them.
     out = Outbox()
     transactions = TransactionQueue(out, 60.0, 16, 1.0)
     context = ElectionContext(
@@ -128,32 +138,33 @@
         rng=random.Random(1),
         on_change=lambda now, is_leader, continued: None,
     )
-    core = LeaderElection(context, 0.0)
-    core.records_synced = True
-    core.tick(50.0)
-    (make,) = out.calls
+    election = LeaderElection(context, 0.0)
+    election.records_synced = True
+    election.tick(50.0)
+    (lease_call,) = out.calls
     out.calls.clear()
-    make.on_done(50.0, CallOutcome(200, b'{"permit":7}'))
-    (win,) = out.calls
+    lease_call.on_done(50.0, CallOutcome(200, b'{"permit":7}'))
+    (campaign_call,) = out.calls
     out.calls.clear()
-    win.on_done(51.0, CallOutcome(0))
+    campaign_call.on_done(51.0, CallOutcome(0))
 
-    def votes():
+    def grants_vote():
         out.frames.clear()
-        core.on_extension_request(51.1, "n1", LeaseExtensionRequest(0, 3))
+        election.on_extension_request(51.1, "n1", LeaseExtensionRequest(0, 3))
         return out.frames[0][1].granted
 
-    assert not votes()
-    if settles == "lease ended":
-        (drop,) = out.calls
-        drop.on_done(51.1, CallOutcome(200))
+    assert not grants_vote()
+    if resolved_by == "lease ended":
+        (revocation,) = out.calls
+        revocation.on_done(51.1, CallOutcome(200))
     else:
-        core.on_watch_event(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
-    assert votes()
+        election.on_watch_event(51.1, FENCING_TOKEN_KEY, b'{"token":0,"member":"n1"}', 9)
+    assert grants_vote()
 
 
-def test_a_lease_is_not_over_while_an_owner_of_the_term_before_may_have_renewed_it():
-    # Holds `ownership_overlap_s`: the leader restarted at once, and that owner had not seen it.
+def test_worker_lease_is_not_expired_while_owner_of_former_term_may_have_renewed_it():
+    # Guards `ownership_overlap_s`. The leader restarted at once. An owner of the former term that
+    # has not noticed the new term may still renew worker leases for that many seconds.
     bench = SchedulerBench()
     bench.add_job(version=40)
     bench.scheduler.timing.ownership_overlap_s = 1.5
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -1,4 +1,4 @@
-"""A seeded model of the election: never two leaders with authority at once, whatever fails."""
+"""Leader election under seeded random faults: at most one leader has authority at any time."""
 
 import dataclasses
 import json
@@ -20,8 +20,12 @@
 from tests.request_bodies import raw_settings
 
 
-class Model:
-    """Election cores alone: drifting clocks, hangs, restarts, held and late messages."""
+class ElectionModel:
+    """Runs only the members' `LeaderElection` objects and a fake key-value store.
+
+    Clocks drift, and members hang and restart. Messages arrive late or are dropped; those to a
+    member that hangs are held until it continues.
+    """
 
     def __init__(self, seed, timings=None, own_timings=None, names=("a", "b", "c")):
         self.rng = random.Random(seed)
@@ -31,15 +35,16 @@
         self.own_timings = own_timings or {}
         self.state = KeyValueStore(self)
         self.nodes, self.clock_rate, self.hung_until = {}, {}, {}
-        self.kvstore_refuses, self.cuts = set(), set()
-        self.most_leaders, self.past_leaders, self.extended_ticks = 0, set(), 0
+        # Members that the store refuses (also read by the store), and pairs without a connection.
+        self.kvstore_refuses, self.partitioned_pairs = set(), set()
+        self.max_concurrent_leaders, self.past_leaders, self.extended_ticks = 0, set(), 0
         self.watched_revision = {}
         for name in self.names:
             self.clock_rate[name] = 1 + self.rng.uniform(0, 0.0005)
             self.hung_until[name] = 0.0
             self.boot(name)
 
-    def clock(self, name):
+    def local_time(self, name):
         return self.now * self.clock_rate[name]
 
     def after(self, delay, action):
@@ -62,49 +67,52 @@
             rng=self.rng,
             on_change=lambda now, is_leader, continued: None,
         )
-        self.nodes[name] = LeaderElection(context, self.clock(name))
+        self.nodes[name] = LeaderElection(context, self.local_time(name))
         self.watched_revision[name] = 0
 
     def step(self, seconds=0.05):
         self.now += seconds
         self.state.expire_leases()
-        due = [q for q in self.queue if q[0] <= self.now]
-        self.queue = [q for q in self.queue if q[0] > self.now]
-        for _, _, action in sorted(due, key=lambda q: q[:2]):
+        due = [entry for entry in self.queue if entry[0] <= self.now]
+        self.queue = [entry for entry in self.queue if entry[0] > self.now]
+        for _, _, action in sorted(due, key=lambda entry: entry[:2]):
             action()
         for name in self.names:
             if self.now >= self.hung_until[name]:
-                self.watch(name)
+                self.deliver_watch_events(name)
                 node = self.nodes[name]
-                node.tick(self.clock(name))
-                node.context.transactions.send_due(self.clock(name))
-                self.drain(name)
-        leaders = [n for n in self.names if self.nodes[n].has_authority(self.clock(n))]
-        self.most_leaders = max(self.most_leaders, len(leaders))
+                node.tick(self.local_time(name))
+                node.context.transactions.send_due(self.local_time(name))
+                self.send_outputs(name)
+        leaders = [n for n in self.names if self.nodes[n].has_authority(self.local_time(n))]
+        self.max_concurrent_leaders = max(self.max_concurrent_leaders, len(leaders))
         self.past_leaders.update(leaders)
         self.extended_ticks += sum(
-            1 for n in leaders if self.nodes[n].is_on_extension(self.clock(n))
+            1 for n in leaders if self.nodes[n].is_on_extension(self.local_time(n))
         )
 
-    def watch(self, name):
+    def deliver_watch_events(self, name):
         if self.state.down or name in self.kvstore_refuses:
             return
-        node, at = self.nodes[name], self.clock(name)
+        node, local_time = self.nodes[name], self.local_time(name)
         for revision, key, value in self.state.log:
             if revision > self.watched_revision[name]:
                 raw = None if value is None else json.dumps(value).encode()
-                node.on_watch_event(at, key, raw, revision)
+                node.on_watch_event(local_time, key, raw, revision)
         self.watched_revision[name] = self.state.revision
         node.records_synced = True
 
-    def drain(self, name):
+    def send_outputs(self, name):
+        """Send the frames and calls that the member has queued, with random delays."""
         node = self.nodes[name]
         frames, node.context.outbox.frames = node.context.outbox.frames, []
         for member, frame in frames:
-            if frozenset((name, member)) not in self.cuts:
+            if frozenset((name, member)) not in self.partitioned_pairs:
                 late = self.rng.random() < 0.05
                 delay = self.rng.uniform(0.5, 6.0) if late else self.rng.uniform(0.0, 0.1)
-                self.after(delay, lambda m=member, f=frame: self.deliver(name, m, f))
+                self.after(
+                    delay, lambda member=member, frame=frame: self.deliver(name, member, frame)
+                )
         calls, node.context.outbox.calls = node.context.outbox.calls, []
         for call in calls:
             self.call(name, node, call)
@@ -117,21 +125,21 @@
             return
         node = self.nodes[member]
         if isinstance(frame, LeaseExtensionRequest):
-            node.on_extension_request(self.clock(member), sender, frame)
+            node.on_extension_request(self.local_time(member), sender, frame)
         else:
-            node.on_extension_vote(self.clock(member), sender, frame)
-        self.drain(member)
+            node.on_extension_vote(self.local_time(member), sender, frame)
+        self.send_outputs(member)
 
     def call(self, name, node, call):
-        over = []
+        completed = []
 
         def finish(status, body):
             if self.now < self.hung_until[name]:
                 self.after(self.hung_until[name] - self.now, lambda: finish(status, body))
-            elif not over and self.nodes[name] is node:
-                over.append(True)
-                call.on_done(self.clock(name), CallOutcome(status, body))
-                self.drain(name)
+            elif not completed and self.nodes[name] is node:
+                completed.append(True)
+                call.on_done(self.local_time(name), CallOutcome(status, body))
+                self.send_outputs(name)
 
         def arrive():
             if name in self.kvstore_refuses or self.state.down:
@@ -141,7 +149,9 @@
                 call.method,
                 call.path,
                 call.body,
-                lambda s, b: self.after(self.rng.uniform(0, 0.1), lambda: finish(s, b)),
+                lambda status, body: self.after(
+                    self.rng.uniform(0, 0.1), lambda: finish(status, body)
+                ),
             )
 
         late = self.rng.random() < 0.05
@@ -149,22 +159,23 @@
         self.after(call.timeout_s, lambda: finish(0, b""))
 
     def inject_fault(self):
-        act = self.rng.random()
+        draw = self.rng.random()
         name = self.rng.choice(self.names)
-        if act < 0.25:
+        if draw < 0.25:
             self.boot(name)
-        elif act < 0.45:
+        elif draw < 0.45:
             self.hung_until[name] = self.now + self.rng.uniform(0.2, 8.0)
-        elif act < 0.65:
+        elif draw < 0.65:
             self.kvstore_refuses = {name} if self.rng.random() < 0.7 else set()
-        elif act < 0.8:
-            self.cuts = {frozenset(self.rng.sample(self.names, 2))}
-        elif act < 0.9:
+        elif draw < 0.8:
+            self.partitioned_pairs = {frozenset(self.rng.sample(self.names, 2))}
+        elif draw < 0.9:
             self.state.down = not self.state.down
         else:
-            self.cuts, self.kvstore_refuses, self.state.down = set(), set(), False
+            self.partitioned_pairs, self.kvstore_refuses, self.state.down = set(), set(), False
 
-    def play(self, steps=2500):
+    def run(self, steps=2500):
+        """Run the steps and inject a fault every 60 of them."""
         for step in range(steps):
             if step % 60 == 59:
                 self.inject_fault()
@@ -172,42 +183,43 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_never_two_leaders_with_authority(seed):
-    model = Model(seed)
-    model.play()
-    assert model.most_leaders == 1
+def test_at_most_one_leader_has_authority_under_random_faults(seed):
+    model = ElectionModel(seed)
+    model.run()
+    assert model.max_concurrent_leaders == 1
 
 
 def test_leader_changes_and_extensions_occur_in_the_model():
     extended_ticks = leader_changes = 0
     for seed in range(12):
-        model = Model(seed)
-        model.play(1500)
+        model = ElectionModel(seed)
+        model.run(1500)
         extended_ticks += model.extended_ticks
         leader_changes += len(model.past_leaders) - 1
     assert extended_ticks > 50 and leader_changes > 6
 
 
-def test_the_model_finds_votes_that_expire_too_soon():
-    # Voters bound for a tenth of what the leader counts on: the inequality that `ElectionTimings`
-    # can't express, since one figure serves both sides, broken on purpose.
+def test_model_detects_split_brain_when_votes_expire_too_soon():
+    # The voters' promises last a tenth of the time that the leader relies on. `ElectionTimings`
+    # cannot express this inequality, since both sides use the same `vote_s`; the test breaks it on
+    # purpose.
     split_brains = 0
     for seed in range(12):
         short = election_timings(settings_module.parse(raw_settings()).cluster)
         short = dataclasses.replace(short, vote_s=short.vote_s / 10)
-        model = Model(seed, own_timings={"b": short, "c": short})
-        model.play()
-        split_brains += model.most_leaders > 1
+        model = ElectionModel(seed, own_timings={"b": short, "c": short})
+        model.run()
+        split_brains += model.max_concurrent_leaders > 1
     assert split_brains > 0
 
 
-def test_the_model_finds_campaigns_that_ignore_votes(monkeypatch):
+def test_model_detects_split_brain_when_campaigns_ignore_votes(monkeypatch):
     monkeypatch.setattr(ExtensionVoter, "may_campaign", lambda self, now: True)
     split_brains = 0
     for seed in range(12):
-        model = Model(seed)
-        model.play()
-        split_brains += model.most_leaders > 1
+        model = ElectionModel(seed)
+        model.run()
+        split_brains += model.max_concurrent_leaders > 1
     assert split_brains > 0
 
 
@@ -232,74 +244,87 @@
         dataclasses.replace(good, **change).check()
 
 
-def test_the_lease_of_an_earlier_run_of_the_same_member_is_revoked_at_once():
-    model = Model(3)
+def test_lease_of_an_earlier_run_is_revoked_at_once_when_the_member_restarts():
+    model = ElectionModel(3)
     for _ in range(200):
         model.step()
     (leader,) = model.past_leaders
-    before = model.nodes[leader].token
+    former_token = model.nodes[leader].token
     model.boot(leader)
     for _ in range(20):
         model.step()
-    assert model.nodes[leader].has_authority(model.clock(leader)), (
-        "no need to wait for the key's end"
+    assert model.nodes[leader].has_authority(model.local_time(leader)), (
+        "the restarted member waited for its former leader key to expire"
     )
-    assert model.nodes[leader].token > before
+    assert model.nodes[leader].token > former_token
 
 
 def campaign_in_flight():
-    """A model, a member whose campaign is sent and not carried out, its time and that call."""
-    model = Model(5)
+    """Send a campaign transaction that the store has not executed yet.
+
+    Returns the model, the campaigning member, its local time and the call.
+    """
+    model = ElectionModel(5)
     node = model.nodes["a"]
     node.records_synced = True
     now = node.campaign.next_campaign_at + 1.0
     node.tick(now)
-    (asked,) = node.context.outbox.calls
+    (lease_call,) = node.context.outbox.calls
     node.context.outbox.calls.clear()
     model.state.handle(
-        asked.method, asked.path, asked.body, lambda s, b: asked.on_done(now, CallOutcome(s, b))
+        lease_call.method,
+        lease_call.path,
+        lease_call.body,
+        lambda status, body: lease_call.on_done(now, CallOutcome(status, body)),
     )
-    (sent,) = node.context.outbox.calls
+    (campaign_call,) = node.context.outbox.calls
     node.context.outbox.calls.clear()
-    return model, node, now, sent
+    return model, node, now, campaign_call
 
 
-def votes(node, now, token=9):
+def grants_vote(node, now, token=9):
     node.context.outbox.frames.clear()
     node.on_extension_request(now, "b", LeaseExtensionRequest(token, 1))
     ((_, answer),) = node.context.outbox.frames
     return answer.granted
 
 
-def test_a_late_campaign_does_not_set_the_counter_back():
-    # Guards the token in the campaign's conditions: the key's absence alone lets it in after others
-    # have led, and the next winner would command under a token that was used before.
-    model, _, _, sent = campaign_in_flight()
+def test_late_campaign_transaction_does_not_lower_the_token_counter():
+    # Guards the token counter's version in the conditions of the campaign transaction. If the
+    # transaction depended only on the absence of the leader key, it could be applied after other
+    # members have led, and the next winner would send commands under a token that was used before.
+    model, _, _, campaign_call = campaign_in_flight()
     for token in (1, 2):
-        won = [PutKey("c/lead", {"member": "b", "token": token, "lease": 77})]
-        won.append(PutKey("c/token", {"token": token, "member": "b"}))
-        model.state.transaction(json.loads(transaction_body({}, won)), lambda status, body: None)
-    gone = json.loads(transaction_body({}, [DeleteKey("c/lead")]))
-    model.state.transaction(gone, lambda status, body: None)
+        win = [PutKey("c/lead", {"member": "b", "token": token, "lease": 77})]
+        win.append(PutKey("c/token", {"token": token, "member": "b"}))
+        model.state.transaction(json.loads(transaction_body({}, win)), lambda status, body: None)
+    deletion = json.loads(transaction_body({}, [DeleteKey("c/lead")]))
+    model.state.transaction(deletion, lambda status, body: None)
     statuses = []
-    model.state.handle(sent.method, sent.path, sent.body, lambda s, b: statuses.append(s))
+    model.state.handle(
+        campaign_call.method,
+        campaign_call.path,
+        campaign_call.body,
+        lambda status, body: statuses.append(status),
+    )
     assert statuses == [409] and model.state.data["c/token"][0]["token"] == 2
 
 
-@pytest.mark.parametrize("settled_by", ["lease ended", "lease gone", "token stored"])
-def test_a_member_with_an_unresolved_campaign_does_not_vote(settled_by):
-    # Guards the leader that relies on the vote: the late win would be this member's, which after a
-    # restart is not bound by its votes. The campaign is resolved once its lease is certainly gone
-    # or another token is stored.
-    _, node, now, sent = campaign_in_flight()
-    sent.on_done(now, CallOutcome(0))
-    (drop,) = node.context.outbox.calls
-    assert (drop.method, node.campaign.in_progress) == ("DELETE", False)
-    assert not votes(node, now)
-    if settled_by == "token stored":
+@pytest.mark.parametrize("resolved_by", ["lease ended", "lease gone", "token stored"])
+def test_a_member_with_an_unresolved_campaign_does_not_vote(resolved_by):
+    # Protects the leader that relies on the vote. If the unresolved campaign transaction were
+    # applied late, this member would be the winner of the last token, and such a member does not
+    # wait for its votes to expire after a restart. The campaign is resolved once its lease is
+    # certainly gone or another token is stored.
+    _, node, now, campaign_call = campaign_in_flight()
+    campaign_call.on_done(now, CallOutcome(0))
+    (revocation,) = node.context.outbox.calls
+    assert (revocation.method, node.campaign.in_progress) == ("DELETE", False)
+    assert not grants_vote(node, now)
+    if resolved_by == "token stored":
         node.on_watch_event(now, "c/token", b'{"token":1,"member":"b"}', 50)
     else:
-        drop.on_done(now, CallOutcome(503))
-        assert not votes(node, now)
-        drop.on_done(now, CallOutcome(200 if settled_by == "lease ended" else 404))
-    assert votes(node, now)
+        revocation.on_done(now, CallOutcome(503))
+        assert not grants_vote(node, now)
+        revocation.on_done(now, CallOutcome(200 if resolved_by == "lease ended" else 404))
+    assert grants_vote(node, now)
