--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -34,7 +34,7 @@
 from tests.simulation import Simulation
 from tests.storage_harness import StorageHarness
 from tests.test_machine_inventory import provision_machines
-from tests.test_task_placement import made
+from tests.test_task_placement import new_job
 
 MACHINES = 4200
 
@@ -148,7 +148,7 @@
     capacities: list[FreeCapacity] = [
         Counted(kind, "a", True, 1.0, 0.0, 8.0, []) for _ in range(machines)
     ]
-    waiting = [made(n, 0.0, cpus=4.0) for n in range(1, 101)]
+    waiting = [new_job(n, 0.0, cpus=4.0) for n in range(1, 101)]
     for each in waiting:
         assert pack_tasks(capacities, each.spec, 2, 0.0, set()) == 2
         capacities = without_exhausted(capacities, smallest_cpus=4.0)
