--- a/tests/test_odd_submissions.py
+++ b/tests/test_odd_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions that are malformed, can never run, or only look odd."""
+"""Unusual submissions: malformed ones, ones that can never run, and valid ones."""
 
 import json
 from typing import Any
@@ -6,7 +6,9 @@
 from tests.request_bodies import job
 from tests.simulation import Simulation
 
-ODD: list[tuple[int, dict[str, Any]]] = [
+# The status of the first answer, and the fields that differ from a usual job. A repeated submission
+# of an accepted job is answered with 200.
+SUBMISSIONS: list[tuple[int, dict[str, Any]]] = [
     (400, {"cpus": True}),
     (400, {"cpus": "4.0"}),
     (400, {"pages": True}),
@@ -25,7 +27,8 @@
     (400, {"memory_gb": -0.1}),
     (400, {"flush_s": -1.0}),
     (400, {"desk": None}),
-    # Names of types that don't exist aren't stored; what can't be stored at all is refused.
+    # Unknown machine types are not stored, so the size of their names doesn't matter. A job that is
+    # too large to be stored is refused.
     (201, {"racks": ["box", *(f"none-{n:030d}" for n in range(1000))]}),
     (422, {"master": "m" * 40_000}),
     (422, {"racks": ["box"], "slot": "s" * 40_000}),
@@ -46,12 +49,12 @@
 ]
 
 
-def test_odd_submissions_get_the_same_answer_each_time_and_what_is_accepted_runs():
+def test_unusual_submissions_get_the_same_answer_from_each_member_and_accepted_jobs_complete():
     simulation = Simulation(seed=6)
     simulation.run_until(simulation.leader)
     simulation.run(2.0)
-    for n, (status, odd) in enumerate(ODD, 1):
-        spec = {**job(n, tasks=1, run_s=3.0), **odd}
+    for n, (status, overrides) in enumerate(SUBMISSIONS, 1):
+        spec = {**job(n, tasks=1, run_s=3.0), **overrides}
         for name in simulation.node_names:
             if status == 201:
                 user = simulation.submit(spec, name)
@@ -61,7 +64,10 @@
                     lambda user_api, u, r=raw: user_api.submit(simulation.now, u, r), name
                 )
             simulation.run(0.3)
-            assert user.status == status or (status, user.status) == (201, 200), (odd, user.body)
+            assert user.status == status or (status, user.status) == (201, 200), (
+                overrides,
+                user.body,
+            )
     for raw in (b"NaN", b"Infinity", b"-Infinity", b"1e999", b"[]", b"{}"):
         body = json.dumps(job(90)).encode().replace(b'"cpus": 4.0', b'"cpus": ' + raw)
         user = simulation.request(lambda user_api, u, r=body: user_api.submit(simulation.now, u, r))
@@ -69,9 +75,9 @@
         assert user.status == 400, raw
     for field in job(91):
         if field not in ("racks", "hall", "edition_s"):
-            short = json.dumps({k: v for k, v in job(91).items() if k != field}).encode()
+            incomplete = json.dumps({k: v for k, v in job(91).items() if k != field}).encode()
             user = simulation.request(
-                lambda user_api, u, r=short: user_api.submit(simulation.now, u, r)
+                lambda user_api, u, r=incomplete: user_api.submit(simulation.now, u, r)
             )
             simulation.run(0.3)
             assert user.status == 400, field
