--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -11,8 +11,8 @@
 @PARTED
 def test_no_task_starts_after_its_cancellation_was_confirmed(partitioned):
     # Guards the direct messages, which do not wait for the watch: the cancellation to the other
-    # controllers, and stop commands to the machines. A task whose image arrives before the stop
-    # command does still starts. The two messages in a row, to another controller and from there to
+    # controllers, and stop commands to the machines. A task still starts if its image arrives
+    # before the stop command. The two messages in a row, to another controller and from there to
     # the machine, take at most twice the maximum latency.
     simulation = Simulation(seed=13, partitioned=partitioned)
     simulation.run_until(simulation.leader)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -103,8 +103,9 @@
 
 
 def test_completions_stored_by_an_earlier_owner_are_not_overwritten():
-    # Guards the loop over `job_table.completion_records` in `CompletionStore._include_late`.
-    # Without it, the page would be written without completions that an earlier owner stored in it.
+    # Guards the loop over `job_table.completion_records` in
+    # `CompletionStore._keep_late_completions`. Without it, the page would be written without
+    # completions that an earlier owner stored in it.
     bench = SchedulerBench()
     bench.add_job(1, tasks=2)
     bench.add_job(2, tasks=2)
